--- a/src/gateway/limits/admission.rs
+++ b/src/gateway/limits/admission.rs
@@ -58,11 +58,11 @@
     match self.counted_by {
       CountedBy::Nobody => {}
       CountedBy::Book => {
-        let mut book = self.gateway.use_book.borrow_mut();
+        let mut book = self.gateway.usage_table.borrow_mut();
         book.count(&self.organisation, units, now_ms);
       }
       CountedBy::Ledger => {
-        let mut ledger = self.gateway.use_ledger.borrow_mut();
+        let mut ledger = self.gateway.local_usage.borrow_mut();
         ledger.note(&self.organisation, units, now_ms);
       }
     }
@@ -83,12 +83,12 @@
     organisation: name.clone(),
     units,
   };
-  let Some(limit) = gateway.use_book.borrow().limit(name) else {
+  let Some(limit) = gateway.usage_table.borrow().limit(name) else {
     return Ok(charge(CountedBy::Nobody));
   };
   let (verdict, counted_by) = if gateway.counts_use() {
     let now_ms = gateway.now_ms();
-    let verdict = gateway.use_book.borrow_mut().admit(name, units, now_ms);
+    let verdict = gateway.usage_table.borrow_mut().admit(name, units, now_ms);
     (verdict, CountedBy::Book)
   } else {
     let verdict = admit_by_ledger(gateway, name, limit, units).await;
@@ -123,12 +123,12 @@
     units,
   };
   let way = gateway.settings.limits.way;
-  let local = gateway.use_ledger.borrow_mut().admit(request(), way);
+  let local = gateway.local_usage.borrow_mut().admit(request(), way);
   match local {
     LocalVerdict::Settled(verdict) => verdict,
     LocalVerdict::Ask => match ask(gateway, name, units).await {
       Some(verdict) => verdict,
-      None => gateway.use_ledger.borrow_mut().admit_alone(request()),
+      None => gateway.local_usage.borrow_mut().admit_alone(request()),
     },
   }
 }
@@ -136,7 +136,7 @@
 /// Asks the boxes that count; nothing when none answers in time.
 async fn ask(gateway: &Gateway, name: &Name, units: u64) -> Option<UseVerdict> {
   for address in candidates(gateway).into_iter().take(MOST_ASKED) {
-    let used = gateway.use_ledger.borrow_mut().take_untold();
+    let used = gateway.local_usage.borrow_mut().take_untold();
     let message = UseReport {
       asks: Some((name.clone(), units)),
       box_name: gateway.settings.identity.name.clone(),
@@ -144,9 +144,9 @@
     };
     match report(&gateway.box_calls, address, &message, ASK_LIMIT).await {
       Ok(answer) => {
-        gateway.counting_box.set(Some(address));
+        gateway.last_coordinator.set(Some(address));
         let now_ms = gateway.now_ms();
-        let mut ledger = gateway.use_ledger.borrow_mut();
+        let mut ledger = gateway.local_usage.borrow_mut();
         ledger.heard(answer.short, now_ms);
         match answer.verdict {
           Some(UseVerdict::Within) => ledger.note_counted(name, units, now_ms),
@@ -159,22 +159,22 @@
       }
       Err(error) => {
         log::info!("E610 not asked: {address} on {name}: {error}");
-        gateway.use_ledger.borrow_mut().untell(message.used);
+        gateway.local_usage.borrow_mut().untell(message.used);
       }
     }
   }
-  gateway.use_ledger.borrow_mut().note_unreached();
+  gateway.local_usage.borrow_mut().note_unreached();
   None
 }
 
 /// Says on what a refusal was decided.
 fn log_beyond(gateway: &Gateway, facts: &CallerFacts, name: &Name, units: u64, left: f64) {
-  let version = gateway.table().map(|table| table.version());
-  let limit = gateway.use_book.borrow().limit(name);
+  let version = gateway.route_table().map(|table| table.version());
+  let limit = gateway.usage_table.borrow().limit(name);
   let age_ms = if gateway.counts_use() {
     Some(0)
   } else {
-    gateway.use_ledger.borrow().age_ms(gateway.now_ms())
+    gateway.local_usage.borrow().age_ms(gateway.now_ms())
   };
   log::info!(
     "E608 beyond the limit: {} of {name} asks {units} units, {left:.0} left of {limit:?} in configuration {version:?}, heard {age_ms:?} ms ago",
--- a/src/gateway/limits/messages.rs
+++ b/src/gateway/limits/messages.rs
@@ -77,7 +77,7 @@
     return status_answer(StatusCode::BAD_REQUEST);
   };
   let now_ms = gateway.now_ms();
-  let mut book = gateway.use_book.borrow_mut();
+  let mut book = gateway.usage_table.borrow_mut();
   book.note_follower(&report.box_name, now_ms);
   for (organisation, units) in &report.used {
     book.count(organisation, *units, now_ms);
@@ -104,7 +104,7 @@
   // This box's clock starts with its process.
   let uptime_ms = now_ms;
   gateway
-    .use_book
+    .usage_table
     .borrow_mut()
     .hear(&totals, uptime_ms, now_ms);
   status_answer(StatusCode::OK)
--- a/src/gateway/limits/telling.rs
+++ b/src/gateway/limits/telling.rs
@@ -30,7 +30,7 @@
   let mut turn = 0_u32;
   loop {
     sleep(PAUSE).await;
-    if gateway.use_book.borrow().is_empty() || !gateway.settings.limits.way.is_told() {
+    if gateway.usage_table.borrow().is_empty() || !gateway.settings.limits.way.is_told() {
       continue;
     }
     if gateway.is_counting() {
@@ -42,7 +42,7 @@
       tell_the_others(&gateway, span).await;
       continue;
     }
-    let is_busy = gateway.use_ledger.borrow().is_busy();
+    let is_busy = gateway.local_usage.borrow().is_busy();
     idle_turns = if is_busy { 0 } else { idle_turns + 1 };
     if is_busy || idle_turns >= IDLE_TURNS {
       idle_turns = 0;
@@ -59,7 +59,7 @@
     (boxes.other_counting(&name), boxes.counting_names())
   };
   let totals = {
-    let mut book = gateway.use_book.borrow_mut();
+    let mut book = gateway.usage_table.borrow_mut();
     book.set_counting(|peer| names.iter().any(|name| &**name == peer));
     let now_ms = gateway.now_ms();
     book.set_box_count(gateway.box_count(), now_ms);
@@ -82,7 +82,7 @@
 
 /// Reports to the first box that counts and answers.
 async fn tell_one_that_counts(gateway: &Gateway) {
-  let untold = gateway.use_ledger.borrow_mut().take_untold();
+  let untold = gateway.local_usage.borrow_mut().take_untold();
   let message = UseReport {
     asks: None,
     box_name: gateway.settings.identity.name.clone(),
@@ -92,15 +92,15 @@
     match report(&gateway.box_calls, address, &message, TELL_LIMIT).await {
       Ok(answer) => {
         let now_ms = gateway.now_ms();
-        gateway.counting_box.set(Some(address));
-        gateway.use_ledger.borrow_mut().heard(answer.short, now_ms);
+        gateway.last_coordinator.set(Some(address));
+        gateway.local_usage.borrow_mut().heard(answer.short, now_ms);
         return;
       }
       Err(error) => log::debug!("use not told to {address}: {error}"),
     }
   }
   // It may have been counted all the same; counted twice it is on the safe side of the limit.
-  let mut ledger = gateway.use_ledger.borrow_mut();
+  let mut ledger = gateway.local_usage.borrow_mut();
   ledger.untell(message.used);
   ledger.note_unreached();
 }
@@ -110,7 +110,7 @@
   let identity = &gateway.settings.identity;
   let boxes = gateway.boxes.borrow();
   let mut addresses = boxes.counting_for(&identity.name, &identity.hall);
-  if let Some(latest) = gateway.counting_box.get()
+  if let Some(latest) = gateway.last_coordinator.get()
     && let Some(at) = addresses.iter().position(|address| *address == latest)
   {
     addresses[..=at].rotate_right(1);
--- a/src/gateway/membership/relay.rs
+++ b/src/gateway/membership/relay.rs
@@ -83,7 +83,7 @@
   let Some(revision) = revision else {
     return status_answer(StatusCode::NOT_FOUND);
   };
-  let heard_ms = gateway.store_heard_ms.get();
+  let heard_ms = gateway.store_contact_ms.get();
   let is_source = heard_ms.is_some_and(|heard_ms| gateway.now_ms() < heard_ms + READER_STALE_MS);
   // A box that does not hear the store says so at once: its followers turn to another one.
   if is_source {
@@ -93,7 +93,7 @@
   let answer = RelayAnswer {
     changes: gateway.change_log.after(revision),
     store_age_ms: gateway
-      .store_heard_ms
+      .store_contact_ms
       .get()
       .map(|heard_ms| gateway.now_ms() - heard_ms),
   };
--- a/src/gateway/membership/store_sync.rs
+++ b/src/gateway/membership/store_sync.rs
@@ -148,7 +148,7 @@
     for item in &removed {
       self.view.apply(item.clone());
     }
-    self.gateway.has_steward.set(listing.has_steward);
+    self.gateway.has_leader.set(listing.has_steward);
     match listing.kind() {
       ListingKind::First => self.gateway.change_log.restart(revision),
       // Followers go on from where they were.
@@ -246,7 +246,7 @@
     }
     self
       .gateway
-      .book
+      .endpoints
       .borrow_mut()
       .forget_lapsed(self.gateway.now_ms());
   }
--- a/src/gateway/membership/store_view.rs
+++ b/src/gateway/membership/store_view.rs
@@ -40,14 +40,18 @@
   /// The store was heard, some time ago when a reader says so.
   pub(super) fn heard(&mut self, age_ms: u64) {
     let now_ms = self.gateway.now_ms().saturating_sub(age_ms);
-    let before = self.gateway.store_heard_ms.replace(Some(now_ms));
+    let before = self.gateway.store_contact_ms.replace(Some(now_ms));
     let away = before.is_some_and(|before_ms| now_ms > before_ms + AWAY_MS);
     if self.failing || away {
       self.lapse_until_ms = now_ms + LAPSE_GRACE_MS;
       log::info!("E401 store regained: silent since {before:?} ms, now {now_ms} ms");
     }
     if self.failing || away || before.is_none() {
-      self.gateway.book.borrow_mut().set_store_since(Some(now_ms));
+      self
+        .gateway
+        .endpoints
+        .borrow_mut()
+        .set_store_since(Some(now_ms));
     }
     self.failing = false;
   }
@@ -57,13 +61,13 @@
     if !self.failing {
       log::warn!("E402 store lost: {step}: {error}");
     }
-    self.gateway.book.borrow_mut().set_store_since(None);
+    self.gateway.endpoints.borrow_mut().set_store_since(None);
     self.failing = true;
   }
 
   /// What this box knows and a listing does not have, as changes at its revision.
   pub(super) fn missing_from(&self, listing: &Listing, revision: u64) -> Vec<StoreItem> {
-    let book = self.gateway.book.borrow();
+    let book = self.gateway.endpoints.borrow();
     let boxes = self.gateway.boxes.borrow();
     let endpoints = book
       .ids()
@@ -101,7 +105,7 @@
       (StoreKey::Configuration, None) => {
         log::warn!("E406 configuration removed: the last one stays")
       }
-      (StoreKey::Steward, value) => self.gateway.has_steward.set(value.is_some()),
+      (StoreKey::Steward, value) => self.gateway.has_leader.set(value.is_some()),
       (StoreKey::HallDrain(hall), value) => self.hall_drain(&hall, value.is_some(), item.revision),
       (StoreKey::Quarantine(text), value) => self.quarantine_mark(&text, value.as_deref()),
       (StoreKey::Other, _) => {}
@@ -115,7 +119,7 @@
     }
     let quarantine = &self.gateway.quarantine;
     let unwritten = quarantine.unwritten.borrow();
-    let keys = quarantine.book.borrow().keys();
+    let keys = quarantine.registry.borrow().keys();
     keys
       .iter()
       .filter(|key| !unwritten.contains_key(key))
@@ -130,7 +134,7 @@
       log::warn!("E405 mark {text} can't be read");
       return;
     };
-    let mut book = self.gateway.quarantine.book.borrow_mut();
+    let mut book = self.gateway.quarantine.registry.borrow_mut();
     match value.map(mark_age_ms) {
       Some(Some(age_ms)) => {
         book.note(key, self.gateway.now_ms().saturating_sub(age_ms));
@@ -143,7 +147,7 @@
   fn hall_drain(&self, hall: &Name, is_drained: bool, revision: u64) {
     let news = self
       .gateway
-      .book
+      .endpoints
       .borrow_mut()
       .drained_halls_mut()
       .note(hall, is_drained, revision);
@@ -166,7 +170,7 @@
           self.gateway.pool.close(id);
         }
         self.gateway.note_cold(&entry, entry.cold_ms);
-        self.gateway.book.borrow_mut().put(entry);
+        self.gateway.endpoints.borrow_mut().put(entry);
       }
       Err(error) => log::warn!("E405 entry of {id} at revision {revision} can't be read: {error}"),
     }
@@ -207,7 +211,7 @@
 
   fn endpoint_gone(&self, id: &str) {
     let now_ms = self.gateway.now_ms();
-    let mut book = self.gateway.book.borrow_mut();
+    let mut book = self.gateway.endpoints.borrow_mut();
     if now_ms < self.lapse_until_ms {
       book.lapse(id, self.lapse_until_ms);
     } else {
--- a/src/gateway/parts/notice.rs
+++ b/src/gateway/parts/notice.rs
@@ -36,7 +36,7 @@
   }
   if purpose != Purpose::GiveBack && !TURNED_AWAY.contains(&answer.status) {
     let now_ms = gateway.now_ms();
-    gateway.book.borrow_mut().took_work(&entry.id, now_ms);
+    gateway.endpoints.borrow_mut().took_work(&entry.id, now_ms);
   }
   note_unknown_names(gateway, entry, answer);
   let mut notice = gateway.dialect.notice(answer.status, &answer.headers);
@@ -58,7 +58,7 @@
     log::warn!("E538 not understood: {} says {unreadable}", entry.id);
   }
   let news = gateway
-    .book
+    .endpoints
     .borrow_mut()
     .note_notice(entry, &notice, now_ms);
   log_news(gateway, entry, answer, news, now_ms);
@@ -86,7 +86,7 @@
   }
   let now_ms = gateway.now_ms();
   let news = gateway
-    .book
+    .endpoints
     .borrow_mut()
     .note_limit(entry, said, sent_ms, now_ms);
   if news == LimitNews::Begins {
@@ -114,7 +114,7 @@
   if !is_due {
     return;
   }
-  let heard = gateway.book.borrow().limits().heard(entry);
+  let heard = gateway.endpoints.borrow().limits().heard(entry);
   let per_s = heard.and_then(|heard| heard.per_s);
   let facts = gateway.dialect.answer_facts(&answer.headers);
   let request = facts.request_id.as_deref().unwrap_or("-");
@@ -147,7 +147,7 @@
   let facts = gateway.dialect.answer_facts(&answer.headers);
   let request = facts.request_id.as_deref().unwrap_or("-");
   let heard_ms = gateway
-    .store_heard_ms
+    .store_contact_ms
     .get()
     .map(|heard_ms| now_ms - heard_ms.min(now_ms));
   let id = &entry.id;
@@ -173,7 +173,7 @@
 
 /// What the store's list says of an endpoint.
 fn listed(gateway: &Gateway, id: &str) -> &'static str {
-  match gateway.book.borrow().entry(id) {
+  match gateway.endpoints.borrow().entry(id) {
     Some(entry) if entry.leaving => "leaving",
     Some(_) => "ready",
     None => "gone",
--- a/src/gateway/parts/part.rs
+++ b/src/gateway/parts/part.rs
@@ -98,7 +98,7 @@
 impl Booking {
   /// Books work that is about to be sent.
   pub(crate) fn new(gateway: &Rc<Gateway>, endpoint: &Name, size: u64, units: u64) -> Self {
-    gateway.book.borrow_mut().sent(endpoint, size);
+    gateway.endpoints.borrow_mut().sent(endpoint, size);
     Self {
       end: PartEnd::Dropped,
       endpoint: endpoint.clone(),
@@ -338,7 +338,7 @@
   purpose: Purpose,
 ) -> Result<(), PartError> {
   let now_ms = gateway.now_ms();
-  let mut book = gateway.book.borrow_mut();
+  let mut book = gateway.endpoints.borrow_mut();
   match (book.check(entry, now_ms), purpose) {
     (Ok(()), Purpose::Request | Purpose::Call) => {
       if let Some(asked_ms) = book.sent_after_pause(&entry.id, now_ms) {
@@ -372,7 +372,7 @@
   }
   if let Some(load) = facts.load {
     gateway
-      .book
+      .endpoints
       .borrow_mut()
       .told_load(&entry.id, load, gateway.now_ms());
   }
--- a/src/gateway/parts/sending_check.rs
+++ b/src/gateway/parts/sending_check.rs
@@ -49,7 +49,7 @@
 
 /// Whether a fingerprint is held; it is worked out only when something is.
 fn is_held(gateway: &Gateway, fingerprint: impl FnOnce() -> Fingerprint) -> bool {
-  let book = gateway.quarantine.book.borrow();
+  let book = gateway.quarantine.registry.borrow();
   if book.is_empty() || gateway.settings.quarantine.way == QuarantineWay::Off {
     return false;
   }
--- a/src/gateway/permits/figures.rs
+++ b/src/gateway/permits/figures.rs
@@ -33,7 +33,7 @@
 }
 
 fn lowest_limits(gateway: &Gateway) -> Vec<(Name, HeardLimit)> {
-  let book = gateway.book.borrow();
+  let book = gateway.endpoints.borrow();
   let mut named: Vec<_> = book
     .limits()
     .named()
@@ -51,7 +51,7 @@
 
 /// The permits that are left at an endpoint, on the box that counts.
 fn permits_left(gateway: &Gateway, id: &str, now_ms: u64) -> Option<f64> {
-  let born_ms = gateway.book.borrow().entry(id)?.born_ms;
+  let born_ms = gateway.endpoints.borrow().entry(id)?.born_ms;
   let life = EndpointLife::of(id, born_ms);
-  gateway.permit_book.borrow_mut().left(life, now_ms)
+  gateway.permit_table.borrow_mut().left(life, now_ms)
 }
--- a/src/gateway/permits/messages.rs
+++ b/src/gateway/permits/messages.rs
@@ -90,7 +90,7 @@
   if let Some(told) = question.told {
     note_told(gateway, id, born_ms, told.heard(now_ms));
   }
-  let mut book = gateway.book.borrow_mut();
+  let mut book = gateway.endpoints.borrow_mut();
   if let Some(cold) = question.cold {
     let limits = book.limits_mut();
     limits.note_cold(id, born_ms, cold.span(now_ms));
@@ -125,7 +125,7 @@
   let Some(per_s) = per_s else {
     return PermitVerdict::Granted(permit_request.permits);
   };
-  let verdict = gateway.permit_book.borrow_mut().ask(
+  let verdict = gateway.permit_table.borrow_mut().ask(
     life,
     counted_limit(per_s),
     permit_request,
--- a/src/gateway/permits/taking.rs
+++ b/src/gateway/permits/taking.rs
@@ -76,7 +76,7 @@
   };
   let now_ms = gateway.now_ms();
   let local = gateway
-    .book
+    .endpoints
     .borrow_mut()
     .limits_mut()
     .permits()
@@ -101,7 +101,7 @@
   };
   log_verdict(gateway, entry, caller, heard, verdict, decided_by);
   gateway
-    .book
+    .endpoints
     .borrow_mut()
     .limits_mut()
     .permits()
@@ -118,14 +118,14 @@
 /// A permit was not used: the endpoint never saw the request.
 pub(crate) fn return_permit(gateway: &Gateway, entry: &EndpointEntry) {
   let now_ms = gateway.now_ms();
-  let mut book = gateway.book.borrow_mut();
+  let mut book = gateway.endpoints.borrow_mut();
   book.limits_mut().permits().give_back(&entry.id, now_ms);
 }
 
 /// The limit that is in force at an endpoint.
 fn limit_at(gateway: &Gateway, entry: &EndpointEntry) -> Option<HeardLimit> {
   let now_ms = gateway.now_ms();
-  gateway.book.borrow().limits().in_force(entry, now_ms)
+  gateway.endpoints.borrow().limits().in_force(entry, now_ms)
 }
 
 /// Decides as the box that counts, asks it, or goes on alone.
@@ -176,7 +176,7 @@
   }
   let now_ms = gateway.now_ms();
   let (named, cold) = {
-    let book = gateway.book.borrow();
+    let book = gateway.endpoints.borrow();
     let limits = book.limits();
     (
       limits.heard(entry),
@@ -199,7 +199,7 @@
   match asked {
     Ok(answer) => {
       if let Some(told) = answer.told {
-        let mut book = gateway.book.borrow_mut();
+        let mut book = gateway.endpoints.borrow_mut();
         let limits = book.limits_mut();
         limits.note_told(&entry.id, entry.born_ms, told.heard(now_ms));
       }
@@ -237,10 +237,12 @@
     unused: 0,
     ..permit_request.clone()
   };
-  gateway
-    .lone_permits
-    .borrow_mut()
-    .ask(life, lone_limit(per_s), &permit_request, gateway.now_ms())
+  gateway.isolated_permits.borrow_mut().ask(
+    life,
+    lone_limit(per_s),
+    &permit_request,
+    gateway.now_ms(),
+  )
 }
 
 fn no_permit(gateway: &Gateway, left_ms: u64) -> Unavailable {
--- a/src/gateway/permits/telling.rs
+++ b/src/gateway/permits/telling.rs
@@ -38,7 +38,11 @@
 
 /// Tells others that this box heard an endpoint begin to name a limit; nobody waits for it.
 pub(crate) fn tell_limit(gateway: &Rc<Gateway>, endpoint: &Name, born_ms: Option<u64>) {
-  let heard = gateway.book.borrow().limits().heard_of(endpoint, born_ms);
+  let heard = gateway
+    .endpoints
+    .borrow()
+    .limits()
+    .heard_of(endpoint, born_ms);
   let Some(heard) = heard else {
     return;
   };
@@ -117,7 +121,7 @@
   born_ms: Option<u64>,
   told: HeardLimit,
 ) -> LimitNews {
-  let mut book = gateway.book.borrow_mut();
+  let mut book = gateway.endpoints.borrow_mut();
   let news = book.limits_mut().note_told(endpoint, born_ms, told);
   if news == LimitNews::Begins {
     log::info!(
--- a/src/gateway/process/start.rs
+++ b/src/gateway/process/start.rs
@@ -151,7 +151,7 @@
   let stop_ms = (gateway.settings.bounds.stop_s * 1_000.0) as u64;
   let end_ms = now_ms + stop_ms.saturating_sub(u64::try_from(KILL_MARGIN.as_millis()).unwrap_or(0));
   gateway
-    .ends_ms
+    .exit_ms
     .set(Some(end_ms.saturating_sub(ANSWER_MARGIN_MS)));
   gateway.phase.send_replace(Phase::Leaving);
   log::info!(
@@ -178,16 +178,16 @@
     sleep(HOUSEKEEPING).await;
     let now_ms = gateway.now_ms();
     gateway.pool.close_old(now_ms);
-    gateway.book.borrow_mut().forget_lapsed(now_ms);
+    gateway.endpoints.borrow_mut().forget_lapsed(now_ms);
     forget_notices(&gateway, now_ms);
-    gateway.permit_book.borrow_mut().forget_old(now_ms);
-    gateway.lone_permits.borrow_mut().forget_old(now_ms);
+    gateway.permit_table.borrow_mut().forget_old(now_ms);
+    gateway.isolated_permits.borrow_mut().forget_old(now_ms);
   }
 }
 
 /// Forgets what endpoints said of themselves once it no longer counts.
 fn forget_notices(gateway: &Gateway, now_ms: u64) {
-  let taken_back = gateway.book.borrow_mut().forget_notices(now_ms);
+  let taken_back = gateway.endpoints.borrow_mut().forget_notices(now_ms);
   for endpoint in taken_back {
     log::warn!(
       "E539 taken back: {endpoint} said that it leaves, and is still there as the store lists it"
--- a/src/gateway/quarantine/endpoint_end.rs
+++ b/src/gateway/quarantine/endpoint_end.rs
@@ -53,7 +53,7 @@
 /// end after which the request is held: it has to be known before the request is sent on.
 pub(crate) async fn note_lost(gateway: &Rc<Gateway>, request: &Rc<RoutedRequest>, lost: LostPart) {
   let is_near = {
-    let book = gateway.quarantine.book.borrow();
+    let book = gateway.quarantine.registry.borrow();
     !book.is_empty() && book.is_near(lost.fingerprint)
   };
   // It goes on when the caller leaves meanwhile.
@@ -99,7 +99,7 @@
   let life = EndpointLife::of(&chosen.id, chosen.born_ms);
   let ended_ms = gateway
     .quarantine
-    .book
+    .registry
     .borrow()
     .ended_since_ms(fingerprint, life);
   if ended_ms.is_none_or(|ended_ms| sent_ms <= ended_ms) {
@@ -108,7 +108,7 @@
   let until_ms = gateway.now_ms() + ENTRY_LIMIT_MS;
   loop {
     let born_ms = gateway
-      .book
+      .endpoints
       .borrow()
       .entry(&chosen.id)
       .and_then(|now| now.born_ms);
@@ -129,7 +129,7 @@
     mark: QuarantineMark::Ended(life),
   };
   let now_ms = gateway.now_ms();
-  let mut book = gateway.quarantine.book.borrow_mut();
+  let mut book = gateway.quarantine.registry.borrow_mut();
   if !book.note(key, now_ms) {
     return;
   }
@@ -142,7 +142,7 @@
 /// Finds out whether an endpoint has ended.
 async fn survival(gateway: &Gateway, entry: &EndpointEntry) -> Survival {
   let (is_leaving, born_ms) = {
-    let book = gateway.book.borrow();
+    let book = gateway.endpoints.borrow();
     match book.entry(&entry.id) {
       Some(now) => (book.is_leaving(now, gateway.now_ms()), now.born_ms),
       None => return Survival::Unknown,
--- a/src/gateway/quarantine/vetting.rs
+++ b/src/gateway/quarantine/vetting.rs
@@ -22,13 +22,13 @@
 /// Lets a request pass, or takes a trial for it. One that is held is refused at once: no endpoint sees it.
 pub(crate) async fn vet(gateway: &Rc<Gateway>, request: &RoutedRequest) -> Result<(), Held> {
   let is_off = gateway.settings.quarantine.way == QuarantineWay::Off;
-  if is_off || gateway.quarantine.book.borrow().is_empty() {
+  if is_off || gateway.quarantine.registry.borrow().is_empty() {
     return Ok(());
   }
   let fingerprint = request.fingerprint();
   let now_ms = gateway.now_ms();
   let (verdict, due) = {
-    let book = gateway.quarantine.book.borrow();
+    let book = gateway.quarantine.registry.borrow();
     (
       book.verdict(fingerprint, now_ms),
       book.due(fingerprint, now_ms),
@@ -57,7 +57,7 @@
   if due.is_empty() {
     return;
   }
-  let mut book = gateway.quarantine.book.borrow_mut();
+  let mut book = gateway.quarantine.registry.borrow_mut();
   for key in due {
     book.note(*key, now_ms);
   }
@@ -78,7 +78,7 @@
   };
   // One that is not this box's is another's, or the store does not say: this box waits either way.
   let now_ms = gateway.now_ms();
-  gateway.quarantine.book.borrow_mut().note(key, now_ms);
+  gateway.quarantine.registry.borrow_mut().note(key, now_ms);
   if is_own {
     request.sending.set(Sending::Trial(number));
     log::info!(
@@ -93,8 +93,8 @@
 /// Says on what a refusal was decided, and how old that was.
 fn log_held(gateway: &Gateway, request: &RoutedRequest, held: Held) {
   let fingerprint = request.fingerprint();
-  let (ended, trials) = gateway.quarantine.book.borrow().counts(fingerprint);
-  let heard_ms = gateway.store_heard_ms.get();
+  let (ended, trials) = gateway.quarantine.registry.borrow().counts(fingerprint);
+  let heard_ms = gateway.store_contact_ms.get();
   log::info!(
     "E529 held: {} ({fingerprint}) was at the end of {ended} endpoints, {trials} trials, store heard {:?} ms ago, to come back in {} ms",
     request.id(),
@@ -110,7 +110,7 @@
       fingerprint: request.fingerprint(),
       mark: QuarantineMark::Trial(number),
     };
-    gateway.quarantine.book.borrow_mut().forget(key);
+    gateway.quarantine.registry.borrow_mut().forget(key);
     gateway.quarantine.remove(&[key]);
   }
 }
@@ -122,15 +122,15 @@
   request: &RoutedRequest,
   fingerprint: impl FnOnce(&RoutedRequest) -> Fingerprint,
 ) {
-  if gateway.quarantine.book.borrow().is_empty() {
+  if gateway.quarantine.registry.borrow().is_empty() {
     return;
   }
   let fingerprint = fingerprint(request);
-  let (ended, trials) = gateway.quarantine.book.borrow().counts(fingerprint);
+  let (ended, trials) = gateway.quarantine.registry.borrow().counts(fingerprint);
   if ended < 2 && trials == 0 {
     return;
   }
-  let cleared = gateway.quarantine.book.borrow_mut().clear(fingerprint);
+  let cleared = gateway.quarantine.registry.borrow_mut().clear(fingerprint);
   gateway.quarantine.remove(&cleared);
   log::info!(
     "E531 cleared: {} ({fingerprint}) came back whole after {ended} ends and {trials} trials",
--- a/src/gateway/requests/front.rs
+++ b/src/gateway/requests/front.rs
@@ -76,7 +76,7 @@
     log::debug!("a caller's connection ended at once: {error}");
     return;
   }
-  let limits = gateway.table().map(|table| table.limits());
+  let limits = gateway.route_table().map(|table| table.limits());
   let rest_ms = limits.map_or(REST_MS, |limits| {
     limits.idle_ms * REST_FACTOR + limits.head_ms
   });
@@ -224,7 +224,7 @@
     .get(HOST)
     .and_then(|host| host.to_str().ok())
     .ok_or(OwnAnswer::Malformed)?;
-  let table = gateway.table().ok_or(NO_CONFIGURATION)?;
+  let table = gateway.route_table().ok_or(NO_CONFIGURATION)?;
   let route = table
     .find(host, head.uri.path())
     .cloned()
@@ -234,7 +234,7 @@
   if !gateway.settings.mechanisms.seat_by_estimate {
     facts.answer_estimate = None;
   }
-  let ends_ms = gateway.ends_ms.get().unwrap_or(u64::MAX);
+  let ends_ms = gateway.exit_ms.get().unwrap_or(u64::MAX);
   let timeout_ms = route
     .timeout_ms
     .min(facts.deadline_ms.unwrap_or(u64::MAX))
--- a/src/gateway/requests/prompt.rs
+++ b/src/gateway/requests/prompt.rs
@@ -156,7 +156,7 @@
 
 /// How long an engine of the request's service keeps a prompt; 0 when it is no service of engines.
 fn export_ttl_ms(gateway: &Gateway, request: &RoutedRequest) -> u64 {
-  let table = gateway.table();
+  let table = gateway.route_table();
   let engine = table
     .as_ref()
     .and_then(|table| table.service(&request.service))
--- a/src/gateway/requests/resume_seat.rs
+++ b/src/gateway/requests/resume_seat.rs
@@ -30,7 +30,7 @@
   };
   for engine in keeping {
     let entry = {
-      let book = gateway.book.borrow();
+      let book = gateway.endpoints.borrow();
       book.entry(&engine).cloned()
     };
     let may_write = |entry: &EndpointEntry| {
@@ -54,7 +54,7 @@
 /// The engines that list enough of the prompt's beginning, those with most of it first. The listing of a service is
 /// asked for once in a while, by the first request that needs it.
 async fn engines_that_keep(gateway: &Rc<Gateway>, request: &RoutedRequest) -> Vec<Name> {
-  let listing = gateway.kept_prompts(&request.service);
+  let listing = gateway.cached_prompts(&request.service);
   let mut kept = listing.lock().await;
   if !kept.is_fresh(gateway.now_ms()) {
     kept.begin(gateway.now_ms());
@@ -75,7 +75,7 @@
 }
 
 fn writing_engines(gateway: &Gateway, service: &Name) -> Vec<EndpointEntry> {
-  let book = gateway.book.borrow();
+  let book = gateway.endpoints.borrow();
   book
     .entries()
     .filter(|entry| entry.service == *service && entry.role == Some(Role::Decode))
--- a/src/gateway/requests/seat.rs
+++ b/src/gateway/requests/seat.rs
@@ -75,8 +75,8 @@
   if urgency == SeatUrgency::GoesOn || !gateway.settings.mechanisms.refusal_by_forecast {
     return true;
   }
-  let ahead = gateway.seat_queue.borrow().len();
-  let forecast = gateway.seat_forecast.borrow();
+  let ahead = gateway.slot_queue.borrow().len();
+  let forecast = gateway.slot_forecast.borrow();
   if forecast.has_chance(ahead, within_ms) {
     return true;
   }
@@ -98,7 +98,7 @@
   }
   let target_ms = request.rank.target_ms as f64;
   let start_ms = gateway
-    .start_ms
+    .mean_first_event_ms
     .get()
     .unwrap_or(target_ms * UNSEEN_START_SHARE);
   let in_time_ms = target_ms - start_ms * START_MARGIN;
@@ -117,35 +117,35 @@
 
 impl<'a> QueuedRequest<'a> {
   fn new(gateway: &'a Gateway, urgency: SeatUrgency, priority: u8) -> Self {
-    let place = gateway.seat_queue.borrow_mut().join(urgency, priority);
+    let place = gateway.slot_queue.borrow_mut().join(urgency, priority);
     Self { gateway, place }
   }
 
   /// The request has a seat.
   fn note_seat(&self) {
-    let others_wait = self.gateway.seat_queue.borrow().len() > 1;
+    let others_wait = self.gateway.slot_queue.borrow().len() > 1;
     let now_ms = self.gateway.now_ms();
     self
       .gateway
-      .seat_forecast
+      .slot_forecast
       .borrow_mut()
       .note_seat(now_ms, others_wait);
   }
 
   fn is_first(&self) -> bool {
-    self.gateway.seat_queue.borrow().is_first(self.place)
+    self.gateway.slot_queue.borrow().is_first(self.place)
   }
 }
 
 impl Drop for QueuedRequest<'_> {
   fn drop(&mut self) {
-    let mut queue = self.gateway.seat_queue.borrow_mut();
+    let mut queue = self.gateway.slot_queue.borrow_mut();
     queue.leave(self.place);
     if queue.is_empty() {
-      self.gateway.seat_forecast.borrow_mut().note_idle();
+      self.gateway.slot_forecast.borrow_mut().note_idle();
     }
     drop(queue);
-    self.gateway.seat_queue_moved.notify_waiters();
+    self.gateway.slot_queue_changed.notify_waiters();
   }
 }
 
@@ -158,7 +158,7 @@
 ) -> Option<(EndpointEntry, Reservation)> {
   let queued = QueuedRequest::new(gateway, urgency, request.rank.priority);
   loop {
-    let moved = gateway.seat_queue_moved.notified();
+    let moved = gateway.slot_queue_changed.notified();
     if !queued.is_first() {
       moved.await;
       continue;
--- a/src/gateway/requests/stream.rs
+++ b/src/gateway/requests/stream.rs
@@ -44,7 +44,7 @@
       );
       OwnAnswer::NotRun {
         retry_after_ms: gateway
-          .seat_forecast
+          .slot_forecast
           .borrow()
           .retry_after_ms(gateway.draw()),
       }
@@ -73,7 +73,7 @@
     NoStream::Failed => not_run(gateway, request, RETRY_AFTER_FULL_MS),
     NoStream::NoSeat => {
       let forecast_ms = gateway
-        .seat_forecast
+        .slot_forecast
         .borrow()
         .retry_after_ms(gateway.draw());
       not_run(gateway, request, forecast_ms)
--- a/src/gateway/requests/stream_request.rs
+++ b/src/gateway/requests/stream_request.rs
@@ -262,7 +262,7 @@
 
   /// Whether the service has engines for both parts.
   pub(super) fn is_split(&self) -> bool {
-    let Some(table) = self.gateway.table() else {
+    let Some(table) = self.gateway.route_table() else {
       return false;
     };
     let service = table.service(&self.request.service);
--- a/src/gateway/roles/role_steward.rs
+++ b/src/gateway/roles/role_steward.rs
@@ -105,11 +105,11 @@
 
   fn current_entries(&self) -> Vec<EndpointEntry> {
     let now_ms = self.gateway.now_ms();
-    self.gateway.book.borrow().current_entries(now_ms)
+    self.gateway.endpoints.borrow().current_entries(now_ms)
   }
 
   async fn try_to_become_steward(&mut self) {
-    if self.gateway.has_steward.get() || self.services().is_empty() {
+    if self.gateway.has_leader.get() || self.services().is_empty() {
       return;
     }
     let name = &self.gateway.settings.identity.name;
@@ -121,7 +121,7 @@
     let Some(held) = self.gateway.lease.get() else {
       return;
     };
-    if self.gateway.has_steward.get() {
+    if self.gateway.has_leader.get() {
       return;
     }
     self.gateway.counters.store_calls.inc();
@@ -131,9 +131,9 @@
         log::info!("E420 steward of the engines' roles: fence {fence}");
         self.fence = Some(fence);
         self.since_ms = self.gateway.now_ms();
-        self.gateway.has_steward.set(true);
+        self.gateway.has_leader.set(true);
       }
-      Ok(None) => self.gateway.has_steward.set(true),
+      Ok(None) => self.gateway.has_leader.set(true),
       Err(error) => log::info!("E421 not steward: {error}"),
     }
   }
@@ -142,7 +142,7 @@
   fn services(&self) -> Vec<Name> {
     let mut services: Vec<Name> = self
       .gateway
-      .book
+      .endpoints
       .borrow()
       .entries()
       .filter(|entry| entry.role.is_some())
@@ -234,7 +234,7 @@
   /// What a policy is told of a service's engines. The load is this box's own, taken as usual for all boxes.
   fn pool_facts(&self, service: &Name, engines: &[EndpointEntry]) -> PoolFacts {
     let boxes = self.gateway.boxes.borrow().len().max(1) as u64;
-    let book = self.gateway.book.borrow();
+    let book = self.gateway.endpoints.borrow();
     let load = |role| {
       with_role(engines, role)
         .map(|engine| book.own_load(&engine.id))
@@ -318,7 +318,7 @@
       Ok(other) => {
         log::info!("E422 no longer steward: {other:?}");
         self.fence = None;
-        self.gateway.has_steward.set(other.is_some());
+        self.gateway.has_leader.set(other.is_some());
         None
       }
       Err(error) => {
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -68,7 +68,7 @@
   pub(crate) dialect: Rc<dyn Dialect>,
   pub(crate) settings: GatewaySettings,
   pub(crate) policy: RoutePolicy,
-  pub(crate) book: RefCell<EndpointBook>,
+  pub(crate) endpoints: RefCell<EndpointBook>,
   pub(crate) pool: ConnectionPool,
   pub(crate) counters: Counters,
   pub(crate) phase: watch::Sender<Phase>,
@@ -76,35 +76,35 @@
   /// Callers' connections.
   pub(crate) connections: Cell<usize>,
   /// When the process ends, once it is leaving.
-  pub(crate) ends_ms: Cell<Option<u64>>,
+  pub(crate) exit_ms: Cell<Option<u64>>,
   pub(crate) boxes: RefCell<BoxList>,
   /// The latest changes of the store, for boxes that follow this one.
   pub(crate) change_log: ChangeLog,
-  pub(crate) store_heard_ms: Cell<Option<u64>>,
+  pub(crate) store_contact_ms: Cell<Option<u64>>,
   /// Requests that end endpoints.
   pub(crate) quarantine: Quarantine,
   /// What is expected of the engines' seats.
-  pub(crate) seat_forecast: RefCell<SeatForecast>,
+  pub(crate) slot_forecast: RefCell<SeatForecast>,
   /// The requests that look for a seat.
-  pub(crate) seat_queue: RefCell<SeatQueue>,
+  pub(crate) slot_queue: RefCell<SeatQueue>,
   /// Told when a request leaves that queue.
-  pub(crate) seat_queue_moved: Notify,
+  pub(crate) slot_queue_changed: Notify,
   /// Moving mean of the time from a seat to the first event.
-  pub(crate) start_ms: Cell<Option<f64>>,
+  pub(crate) mean_first_event_ms: Cell<Option<f64>>,
   /// What the engines of each service listed as kept.
-  kept_prompts: RefCell<HashMap<Name, Rc<Mutex<KeptPrompts>>>>,
+  cached_prompts: RefCell<HashMap<Name, Rc<Mutex<KeptPrompts>>>>,
   /// This box's lease in the store, and when it was last renewed.
   pub(crate) lease: Cell<Option<HeldLease>>,
   /// Organisations' use, as far as this box counts it.
-  pub(crate) use_book: RefCell<UseBook>,
+  pub(crate) usage_table: RefCell<UseBook>,
   /// Organisations' use, as far as others count it.
-  pub(crate) use_ledger: RefCell<UseLedger>,
+  pub(crate) local_usage: RefCell<UseLedger>,
   /// The box that counts and answered last.
-  pub(crate) counting_box: Cell<Option<SocketAddr>>,
+  pub(crate) last_coordinator: Cell<Option<SocketAddr>>,
   /// Places at endpoints that this box gives out for all boxes.
-  pub(crate) permit_book: RefCell<PermitBook>,
+  pub(crate) permit_table: RefCell<PermitBook>,
   /// Places that it gives out by itself while it does not reach the box that does.
-  pub(crate) lone_permits: RefCell<PermitBook>,
+  pub(crate) isolated_permits: RefCell<PermitBook>,
   /// Boxes that did not answer a moment ago.
   pub(crate) unheard_boxes: RefCell<UnheardBoxes>,
   /// For calls to other boxes.
@@ -114,15 +114,15 @@
   /// Whether the store was listed to its end: before that some endpoints are not known.
   pub(crate) has_listed: Cell<bool>,
   /// Whether a box is steward, as far as this one knows.
-  pub(crate) has_steward: Cell<bool>,
+  pub(crate) has_leader: Cell<bool>,
   /// For lines on what endpoints say and nobody can read.
   pub(crate) unreadable_lines: LinePause,
   /// For lines on limits whose figures change.
   pub(crate) limit_lines: LinePause,
   /// Names in endpoints' answers that the platform's page doesn't have.
   pub(crate) unknown_names: RefCell<UnknownNames>,
-  table: RefCell<Option<Rc<RouteTable>>>,
-  windows: RefCell<HashMap<Name, RetryWindow>>,
+  route_table: RefCell<Option<Rc<RouteTable>>>,
+  retry_windows: RefCell<HashMap<Name, RetryWindow>>,
   random: RefCell<ChaCha8Rng>,
   started: Instant,
 }
@@ -136,43 +136,43 @@
   ) -> Self {
     let book = new_book(&settings);
     Self {
-      book: RefCell::new(book),
       box_calls: HttpClient::default(),
       boxes: RefCell::default(),
+      cached_prompts: RefCell::default(),
       change_log: ChangeLog::default(),
       connections: Cell::new(0),
-      counting_box: Cell::new(None),
       counters: Counters::default(),
       dialect,
-      ends_ms: Cell::new(None),
+      endpoints: RefCell::new(book),
+      exit_ms: Cell::new(None),
+      has_leader: Cell::new(false),
       has_listed: Cell::new(false),
-      has_steward: Cell::new(false),
       in_flight: Cell::new(0),
       incarnation: seed,
-      kept_prompts: RefCell::default(),
+      isolated_permits: RefCell::default(),
+      last_coordinator: Cell::new(None),
       lease: Cell::new(None),
       limit_lines: LinePause::default(),
-      lone_permits: RefCell::default(),
+      local_usage: RefCell::default(),
+      mean_first_event_ms: Cell::new(None),
+      permit_table: RefCell::default(),
       phase: watch::Sender::new(Phase::Serving),
-      permit_book: RefCell::default(),
       policy,
       pool: ConnectionPool::default(),
       quarantine: Quarantine::default(),
       random: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
-      seat_forecast: RefCell::default(),
-      seat_queue: RefCell::default(),
-      seat_queue_moved: Notify::new(),
-      start_ms: Cell::new(None),
+      retry_windows: RefCell::default(),
+      route_table: RefCell::new(None),
       settings,
+      slot_forecast: RefCell::default(),
+      slot_queue: RefCell::default(),
+      slot_queue_changed: Notify::new(),
       started: Instant::now(),
-      store_heard_ms: Cell::new(None),
-      table: RefCell::new(None),
+      store_contact_ms: Cell::new(None),
       unheard_boxes: RefCell::default(),
       unknown_names: RefCell::default(),
       unreadable_lines: LinePause::default(),
-      use_book: RefCell::default(),
-      use_ledger: RefCell::default(),
-      windows: RefCell::default(),
+      usage_table: RefCell::default(),
     }
   }
 
@@ -187,13 +187,13 @@
   }
 
   /// The configuration in force.
-  pub(crate) fn table(&self) -> Option<Rc<RouteTable>> {
-    self.table.borrow().clone()
+  pub(crate) fn route_table(&self) -> Option<Rc<RouteTable>> {
+    self.route_table.borrow().clone()
   }
 
   /// Puts a configuration in force, unless it is not newer than the one that is.
   pub(crate) fn put_in_force(&self, table: RouteTable) -> bool {
-    let mut current = self.table.borrow_mut();
+    let mut current = self.route_table.borrow_mut();
     if current
       .as_ref()
       .is_some_and(|current| current.version() >= table.version())
@@ -203,7 +203,10 @@
     let limits = table
       .limited()
       .map(|(name, limit)| (name.clone(), self.settings.limits.kept(limit)));
-    self.use_book.borrow_mut().set_limits(limits, self.now_ms());
+    self
+      .usage_table
+      .borrow_mut()
+      .set_limits(limits, self.now_ms());
     *current = Some(Rc::new(table));
     true
   }
@@ -230,7 +233,7 @@
     let bounds = &self.settings.bounds;
     let most_ms = bounds.contact_ms.min(bounds.configuration_ms);
     self
-      .store_heard_ms
+      .store_contact_ms
       .get()
       .is_some_and(|heard_ms| self.now_ms() < heard_ms + most_ms)
   }
@@ -238,9 +241,9 @@
   /// Whether the balancer may send callers.
   pub(crate) fn is_ready(&self) -> bool {
     *self.phase.borrow() == Phase::Serving
-      && self.table.borrow().is_some()
+      && self.route_table.borrow().is_some()
       && self.has_listed.get()
-      && !self.book.borrow().is_empty()
+      && !self.endpoints.borrow().is_empty()
   }
 
   /// The hall whose endpoints are preferred: the own one, or none.
@@ -255,7 +258,7 @@
   /// Chooses an endpoint.
   pub(crate) fn choose(&self, wanted: Wanted) -> Option<Choice> {
     self
-      .book
+      .endpoints
       .borrow()
       .choose(wanted, self.now_ms(), || self.draw())
   }
@@ -271,7 +274,7 @@
       per_s: cold_start.per_s,
       until_ms: noted_ms.saturating_add(cold_ms),
     };
-    let mut book = self.book.borrow_mut();
+    let mut book = self.endpoints.borrow_mut();
     let limits = book.limits_mut();
     limits.note_cold(&entry.id, entry.born_ms, span);
   }
@@ -279,7 +282,7 @@
   /// The endpoints of a hall whose drain has ended may have turned cold shortly before, and their entries tell so late.
   pub(crate) fn note_hall_cold(&self, hall: &str) {
     let entries: Vec<EndpointEntry> = {
-      let book = self.book.borrow();
+      let book = self.endpoints.borrow();
       let of_hall = book.entries().filter(|entry| &*entry.hall == hall);
       of_hall.cloned().collect()
     };
@@ -292,19 +295,22 @@
 
   /// What the endpoints of a service carry while they are cold.
   fn cold_start(&self, service: &str) -> Option<ColdStart> {
-    let table = self.table.borrow();
+    let table = self.route_table.borrow();
     table.as_ref()?.service(service)?.cold_start
   }
 
   /// Whether an endpoint that was chosen before may be sent work now.
   pub(crate) fn check(&self, chosen: &EndpointEntry) -> Result<(), Unavailable> {
-    self.book.borrow().check(chosen, self.now_ms())
+    self.endpoints.borrow().check(chosen, self.now_ms())
   }
 
   /// When a caller may come back whose request found no endpoint of a service that takes work: when the first pause ends, or after
   /// `otherwise_ms` where it is not pauses that keep it waiting.
   pub(crate) fn retry_after_ms(&self, service: &str, otherwise_ms: u64) -> u64 {
-    let reopens_in_ms = self.book.borrow().reopens_in_ms(service, self.now_ms());
+    let reopens_in_ms = self
+      .endpoints
+      .borrow()
+      .reopens_in_ms(service, self.now_ms());
     reopens_in_ms.map_or(otherwise_ms, |reopens_in_ms| {
       retry_after_pause_ms(reopens_in_ms, self.draw())
     })
@@ -313,7 +319,7 @@
   /// Books the end of an endpoint's part.
   pub(crate) fn ended(&self, id: &str, size: u64, units: u64, end: PartEnd) {
     self
-      .book
+      .endpoints
       .borrow_mut()
       .ended(id, size, units, end, self.now_ms());
     if matches!(end, PartEnd::Lost | PartEnd::Unreachable) {
@@ -329,8 +335,8 @@
 
   /// This box's share of the connections that an endpoint accepts, as far as they may rest.
   fn most_resting(&self, endpoint: &str) -> usize {
-    let book = self.book.borrow();
-    let table = self.table.borrow();
+    let book = self.endpoints.borrow();
+    let table = self.route_table.borrow();
     let service = book
       .entry(endpoint)
       .and_then(|entry| table.as_ref()?.service(&entry.service));
@@ -343,19 +349,19 @@
   /// An endpoint has owed an answer for too long; its resting connections may be as dead.
   pub(crate) fn overdue(&self, id: &str) {
     log::info!("E514 overdue: {id} is left alone");
-    self.book.borrow_mut().overdue(id, self.now_ms());
+    self.endpoints.borrow_mut().overdue(id, self.now_ms());
     self.pool.close(id);
   }
 
   /// An endpoint is at fault although it answers: it is left alone like a lost one.
   pub(crate) fn blame(&self, id: &str) {
     log::info!("E513 left alone: {id} has a seat and refuses requests, or its exports are gone");
-    self.book.borrow_mut().blame(id, self.now_ms());
+    self.endpoints.borrow_mut().blame(id, self.now_ms());
   }
 
   /// How many endpoints of a service take work.
   pub(crate) fn count_endpoints(&self, service: &str) -> EndpointCounts {
-    self.book.borrow().count(Some(service), self.now_ms())
+    self.endpoints.borrow().count(Some(service), self.now_ms())
   }
 
   /// How many endpoints are known, leave, pause, name limits, and stand in drained halls, which halls these are, and how many
@@ -367,7 +373,7 @@
       leaving,
       limited,
       pausing,
-    } = self.book.borrow().count(None, self.now_ms());
+    } = self.endpoints.borrow().count(None, self.now_ms());
     let unknown = self.unknown_names.borrow().count();
     let mut text = format!(
       "rillford_endpoints {known}\nrillford_endpoints_leaving {leaving}\nrillford_endpoints_pausing {pausing}\n\
@@ -375,7 +381,7 @@
        rillford_unknown_answer_names {unknown}\nrillford_boxes {}\n",
       self.boxes.borrow().len()
     );
-    for hall in self.book.borrow().drained_halls().names() {
+    for hall in self.endpoints.borrow().drained_halls().names() {
       // Writing to a string does not fail.
       let _ = writeln!(text, "rillford_hall_drained{{hall=\"{hall}\"}} 1");
     }
@@ -384,16 +390,16 @@
 
   /// A first event came this long after its request had a seat.
   pub(crate) fn note_start(&self, took_ms: u64) {
-    let before = self.start_ms.get().unwrap_or(took_ms as f64);
-    self.start_ms.set(Some(
+    let before = self.mean_first_event_ms.get().unwrap_or(took_ms as f64);
+    self.mean_first_event_ms.set(Some(
       before + NEWEST_START_WEIGHT * (took_ms as f64 - before),
     ));
   }
 
   /// What the engines of a service listed as kept; locked while they are asked.
-  pub(crate) fn kept_prompts(&self, service: &Name) -> Rc<Mutex<KeptPrompts>> {
+  pub(crate) fn cached_prompts(&self, service: &Name) -> Rc<Mutex<KeptPrompts>> {
     self
-      .kept_prompts
+      .cached_prompts
       .borrow_mut()
       .entry(service.clone())
       .or_default()
@@ -404,7 +410,7 @@
   pub(crate) fn note_request(&self, service: &Name) {
     let now_ms = self.now_ms();
     self
-      .windows
+      .retry_windows
       .borrow_mut()
       .entry(service.clone())
       .or_default()
@@ -416,7 +422,7 @@
     let boxes = self.box_count();
     let now_ms = self.now_ms();
     let allowance = self.settings.retry_allowance();
-    let mut windows = self.windows.borrow_mut();
+    let mut windows = self.retry_windows.borrow_mut();
     windows
       .entry(service.clone())
       .or_default()
@@ -427,7 +433,7 @@
   /// A repeat was taken from the budget, and no endpoint saw it.
   pub(crate) fn give_repeat_back(&self, service: &Name) {
     let now_ms = self.now_ms();
-    if let Some(window) = self.windows.borrow_mut().get_mut(service) {
+    if let Some(window) = self.retry_windows.borrow_mut().get_mut(service) {
       window.give_back(now_ms);
     }
   }
@@ -436,7 +442,7 @@
   pub(crate) fn take_repeat(&self, service: &Name) -> bool {
     let boxes = self.box_count();
     let taken = self
-      .windows
+      .retry_windows
       .borrow_mut()
       .entry(service.clone())
       .or_default()
--- a/src/gateway/state/quarantine.rs
+++ b/src/gateway/state/quarantine.rs
@@ -33,7 +33,7 @@
 
 /// The book, and the way to the store.
 pub(crate) struct Quarantine {
-  pub(crate) book: RefCell<QuarantineBook>,
+  pub(crate) registry: RefCell<QuarantineBook>,
   /// What is known and not yet in the store.
   pub(crate) unwritten: RefCell<BTreeMap<QuarantineKey, MarkOrigin>>,
   /// What no longer holds and may still be in the store.
@@ -50,7 +50,7 @@
   fn default() -> Self {
     let (claims, claims_to_serve) = mpsc::channel(MOST_CLAIMS);
     Self {
-      book: RefCell::default(),
+      registry: RefCell::default(),
       changed: Notify::new(),
       claims,
       claims_to_serve: RefCell::new(Some(claims_to_serve)),
@@ -105,7 +105,7 @@
 
   /// How many requests are known to have ended endpoints, and how many are held, as text.
   pub(crate) fn figures(&self) -> String {
-    let book = self.book.borrow();
+    let book = self.registry.borrow();
     format!(
       "rillford_quarantine_known {}\nrillford_quarantine_held {}\n",
       book.len(),
