--- a/src/gateway/parts/notice.rs
+++ b/src/gateway/parts/notice.rs
@@ -53,7 +53,7 @@
     .map(|wanted_ms| kept_pause_ms(wanted_ms, boxes, gateway.draw()));
   let now_ms = gateway.now_ms();
   if let Some(unreadable) = &notice.unreadable
-    && gateway.unreadable_lines.is_over(now_ms)
+    && gateway.unreadable_log_throttle.should_log(now_ms)
   {
     log::warn!("E538 not understood: {} says {unreadable}", entry.id);
   }
@@ -67,7 +67,7 @@
 /// Says once of each name that the platform's page doesn't have: it may be a word that boxes ought to heed.
 fn note_unknown_names(gateway: &Gateway, entry: &EndpointEntry, answer: &response::Parts) {
   for name in answer.headers.keys() {
-    if !gateway.dialect.knows_in_answers(name) && gateway.unknown_names.borrow_mut().note(name) {
+    if !gateway.dialect.knows_in_answers(name) && gateway.unknown_headers.borrow_mut().note(name) {
       log::info!("E542 unknown name: {} has {name} in its answers", entry.id);
     }
   }
@@ -108,7 +108,7 @@
 ) {
   let is_due = match news {
     LimitNews::Nothing => false,
-    LimitNews::Changes(_) => gateway.limit_lines.is_over(now_ms),
+    LimitNews::Changes(_) => gateway.limit_log_throttle.should_log(now_ms),
     LimitNews::Begins | LimitNews::Ends => true,
   };
   if !is_due {
--- a/src/gateway/permits/taking.rs
+++ b/src/gateway/permits/taking.rs
@@ -168,9 +168,9 @@
   permit_request: &PermitRequest,
 ) -> Option<PermitAnswer> {
   if gateway
-    .unheard_boxes
+    .unresponsive_boxes
     .borrow()
-    .is_unheard(address, gateway.now_ms())
+    .is_unresponsive(address, gateway.now_ms())
   {
     return None;
   }
@@ -210,7 +210,10 @@
         "E545 permits not asked for: {address} on {}: {error}",
         entry.id
       );
-      gateway.unheard_boxes.borrow_mut().note(address, now_ms);
+      gateway
+        .unresponsive_boxes
+        .borrow_mut()
+        .note(address, now_ms);
       None
     }
   }
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -2,8 +2,8 @@
 
 use {
   super::{
-    change_log::ChangeLog, counters::Counters, line_pause::LinePause, quarantine::Quarantine,
-    unheard_boxes::UnheardBoxes, unknown_names::UnknownNames,
+    change_log::ChangeLog, counters::Counters, log_throttle::LogThrottle, quarantine::Quarantine,
+    unknown_headers::UnknownHeaders, unresponsive_boxes::UnresponsiveBoxes,
   },
   crate::{
     HttpClient,
@@ -106,7 +106,7 @@
   /// Places that it gives out by itself while it does not reach the box that does.
   pub(crate) isolated_permits: RefCell<PermitBook>,
   /// Boxes that did not answer a moment ago.
-  pub(crate) unheard_boxes: RefCell<UnheardBoxes>,
+  pub(crate) unresponsive_boxes: RefCell<UnresponsiveBoxes>,
   /// For calls to other boxes.
   pub(crate) box_calls: HttpClient,
   /// Tells the starts of this box apart.
@@ -116,11 +116,11 @@
   /// Whether a box is steward, as far as this one knows.
   pub(crate) has_leader: Cell<bool>,
   /// For lines on what endpoints say and nobody can read.
-  pub(crate) unreadable_lines: LinePause,
+  pub(crate) unreadable_log_throttle: LogThrottle,
   /// For lines on limits whose figures change.
-  pub(crate) limit_lines: LinePause,
+  pub(crate) limit_log_throttle: LogThrottle,
   /// Names in endpoints' answers that the platform's page doesn't have.
-  pub(crate) unknown_names: RefCell<UnknownNames>,
+  pub(crate) unknown_headers: RefCell<UnknownHeaders>,
   route_table: RefCell<Option<Rc<RouteTable>>>,
   retry_windows: RefCell<HashMap<Name, RetryWindow>>,
   random: RefCell<ChaCha8Rng>,
@@ -152,7 +152,7 @@
       isolated_permits: RefCell::default(),
       last_coordinator: Cell::new(None),
       lease: Cell::new(None),
-      limit_lines: LinePause::default(),
+      limit_log_throttle: LogThrottle::default(),
       local_usage: RefCell::default(),
       mean_first_event_ms: Cell::new(None),
       permit_table: RefCell::default(),
@@ -169,9 +169,9 @@
       slot_queue_changed: Notify::new(),
       started: Instant::now(),
       store_contact_ms: Cell::new(None),
-      unheard_boxes: RefCell::default(),
-      unknown_names: RefCell::default(),
-      unreadable_lines: LinePause::default(),
+      unknown_headers: RefCell::default(),
+      unreadable_log_throttle: LogThrottle::default(),
+      unresponsive_boxes: RefCell::default(),
       usage_table: RefCell::default(),
     }
   }
@@ -374,7 +374,7 @@
       limited,
       pausing,
     } = self.endpoints.borrow().count(None, self.now_ms());
-    let unknown = self.unknown_names.borrow().count();
+    let unknown = self.unknown_headers.borrow().count();
     let mut text = format!(
       "rillford_endpoints {known}\nrillford_endpoints_leaving {leaving}\nrillford_endpoints_pausing {pausing}\n\
        rillford_endpoints_limited {limited}\nrillford_endpoints_drained {drained}\n\
--- a/src/gateway/state/line_pause.rs
+++ b/src/gateway/state/log_throttle.rs
@@ -7,13 +7,13 @@
 
 /// Lets one line pass in each second.
 #[derive(Debug, Default)]
-pub(crate) struct LinePause {
+pub(crate) struct LogThrottle {
   quiet_until_ms: Cell<u64>,
 }
 
-impl LinePause {
+impl LogThrottle {
   /// Whether a line may be written now; if so, the next one waits.
-  pub(crate) fn is_over(&self, now_ms: u64) -> bool {
+  pub(crate) fn should_log(&self, now_ms: u64) -> bool {
     if now_ms < self.quiet_until_ms.get() {
       return false;
     }
--- a/src/gateway/state/mod.rs
+++ b/src/gateway/state/mod.rs
@@ -5,10 +5,10 @@
 mod change_log;
 mod counters;
 mod gateway;
-mod line_pause;
+mod log_throttle;
 mod quarantine;
-mod unheard_boxes;
-mod unknown_names;
+mod unknown_headers;
+mod unresponsive_boxes;
 
 pub use self::change_log::ChangeLog;
 
--- a/src/gateway/state/unknown_names.rs
+++ b/src/gateway/state/unknown_headers.rs
@@ -9,11 +9,11 @@
 
 /// The unknown names that were seen since the box started. Values are never kept: they may be secrets.
 #[derive(Debug, Default)]
-pub(crate) struct UnknownNames {
+pub(crate) struct UnknownHeaders {
   seen: BTreeSet<Name>,
 }
 
-impl UnknownNames {
+impl UnknownHeaders {
   /// Notes a name; whether it was not seen before.
   pub(crate) fn note(&mut self, name: &HeaderName) -> bool {
     let name = name.as_str();
--- a/src/gateway/state/unheard_boxes.rs
+++ b/src/gateway/state/unresponsive_boxes.rs
@@ -7,11 +7,11 @@
 
 /// The boxes that did not answer, each until it is asked again.
 #[derive(Debug, Default)]
-pub(crate) struct UnheardBoxes {
+pub(crate) struct UnresponsiveBoxes {
   until_ms: HashMap<SocketAddr, u64>,
 }
 
-impl UnheardBoxes {
+impl UnresponsiveBoxes {
   /// A box did not answer.
   pub(crate) fn note(&mut self, address: SocketAddr, now_ms: u64) {
     self.until_ms.retain(|_, until_ms| now_ms < *until_ms);
@@ -19,7 +19,7 @@
   }
 
   /// Whether a box did not answer a moment ago.
-  pub(crate) fn is_unheard(&self, address: SocketAddr, now_ms: u64) -> bool {
+  pub(crate) fn is_unresponsive(&self, address: SocketAddr, now_ms: u64) -> bool {
     self
       .until_ms
       .get(&address)
