--- a/src/gateway/limits/admission.rs
+++ b/src/gateway/limits/admission.rs
@@ -86,7 +86,7 @@
   let Some(limit) = gateway.usage_table.borrow().limit(name) else {
     return Ok(charge(CountedBy::Nobody));
   };
-  let (verdict, counted_by) = if gateway.counts_use() {
+  let (verdict, counted_by) = if gateway.coordinates_usage() {
     let now_ms = gateway.now_ms();
     let verdict = gateway.usage_table.borrow_mut().admit(name, units, now_ms);
     (verdict, CountedBy::Book)
@@ -171,7 +171,7 @@
 fn log_beyond(gateway: &Gateway, facts: &CallerFacts, name: &Name, units: u64, left: f64) {
   let version = gateway.route_table().map(|table| table.version());
   let limit = gateway.usage_table.borrow().limit(name);
-  let age_ms = if gateway.counts_use() {
+  let age_ms = if gateway.coordinates_usage() {
     Some(0)
   } else {
     gateway.local_usage.borrow().age_ms(gateway.now_ms())
--- a/src/gateway/limits/figures.rs
+++ b/src/gateway/limits/figures.rs
@@ -13,7 +13,7 @@
 
 /// What is left of organisations' limits as text, a line each; only the head on a box that does not count.
 pub(crate) fn limit_figures(gateway: &Gateway) -> String {
-  let counts = gateway.counts_use();
+  let counts = gateway.coordinates_usage();
   let mut text = format!("rillford_counts_use {}\n", u8::from(counts));
   if !counts {
     return text;
--- a/src/gateway/limits/telling.rs
+++ b/src/gateway/limits/telling.rs
@@ -33,7 +33,7 @@
     if gateway.usage_table.borrow().is_empty() || !gateway.settings.limits.way.is_told() {
       continue;
     }
-    if gateway.is_counting() {
+    if gateway.is_coordinator() {
       let span = match turn % WHOLE_TURNS {
         0 => ToldSpan::All,
         _ => ToldSpan::Changes,
--- a/src/gateway/membership/store_view.rs
+++ b/src/gateway/membership/store_view.rs
@@ -158,7 +158,7 @@
       }
       HallDrainNews::Ends => {
         log::info!("E413 drain ended: {hall}, revision {revision}");
-        self.gateway.note_hall_cold(hall);
+        self.gateway.record_hall_cold(hall);
       }
     }
   }
@@ -169,7 +169,7 @@
         if entry.leaving {
           self.gateway.pool.close(id);
         }
-        self.gateway.note_cold(&entry, entry.cold_ms);
+        self.gateway.record_cold(&entry, entry.cold_ms);
         self.gateway.endpoints.borrow_mut().put(entry);
       }
       Err(error) => log::warn!("E405 entry of {id} at revision {revision} can't be read: {error}"),
@@ -194,7 +194,7 @@
         }
         let version = table.version();
         let routes = table.route_count();
-        if self.gateway.put_in_force(table) {
+        if self.gateway.apply_route_table(table) {
           log::info!("E407 configuration {version} in force: {routes} routes, revision {revision}");
         }
       }
--- a/src/gateway/parts/engine_call.rs
+++ b/src/gateway/parts/engine_call.rs
@@ -81,7 +81,7 @@
     let (head, body) = response.into_parts();
     let read = Limited::new(body, MOST_ANSWER_BYTES).collect().await;
     let body = read.map_err(|error| lost(&error))?.to_bytes();
-    gateway.rest(connection, &head.headers);
+    gateway.keep_alive(connection, &head.headers);
     match head.status {
       status if status.is_success() => Ok(body),
       status => Err(CallFailure::Refused(status)),
--- a/src/gateway/parts/notice.rs
+++ b/src/gateway/parts/notice.rs
@@ -42,7 +42,7 @@
   let mut notice = gateway.dialect.notice(answer.status, &answer.headers);
   hear_limit(gateway, sent, notice.limit, answer);
   if let Some(cold_ms) = notice.cold_ms.take() {
-    gateway.note_cold(entry, cold_ms);
+    gateway.record_cold(entry, cold_ms);
   }
   if notice == EndpointNotice::default() {
     return;
--- a/src/gateway/parts/part.rs
+++ b/src/gateway/parts/part.rs
@@ -134,7 +134,7 @@
   fn drop(&mut self) {
     self
       .gateway
-      .ended(&self.endpoint, self.size, self.units, self.end);
+      .finish_stage(&self.endpoint, self.size, self.units, self.end);
   }
 }
 
@@ -184,7 +184,7 @@
     } else {
       self.booking.answered();
     }
-    gateway.rest(self.connection, &self.raw_headers);
+    gateway.keep_alive(self.connection, &self.raw_headers);
     Ok(WholeAnswer {
       body,
       headers,
--- a/src/gateway/process/own_pages.rs
+++ b/src/gateway/process/own_pages.rs
@@ -42,7 +42,7 @@
       let mut text = gateway.counters.text();
       text.push_str(&limit_figures(gateway));
       text.push_str(&gateway.quarantine.figures());
-      text.push_str(&gateway.endpoint_figures());
+      text.push_str(&gateway.endpoint_metrics());
       text.push_str(&permit_figures(gateway));
       Response::new(Full::new(text.into()))
     }
--- a/src/gateway/requests/event_source.rs
+++ b/src/gateway/requests/event_source.rs
@@ -128,7 +128,7 @@
     let Some(head) = &mut self.head else {
       return Err("no endpoint".into());
     };
-    self.stream.gateway.overdue(&head.connection.endpoint);
+    self.stream.gateway.mark_overdue(&head.connection.endpoint);
     let silent = format!("silent for {silent_ms} ms");
     if silent_ms >= left_ms {
       return Err(silent);
@@ -182,7 +182,7 @@
     gateway.slot_forecast.borrow_mut().note_stream(took_ms);
     if let Some(mut head) = self.head.take() {
       head.booking.answered();
-      gateway.rest(head.connection, &head.raw_headers);
+      gateway.keep_alive(head.connection, &head.raw_headers);
     }
     let rest = self.cutter.take_rest();
     (!rest.is_empty()).then_some(Ok(rest))
--- a/src/gateway/requests/front.rs
+++ b/src/gateway/requests/front.rs
@@ -200,7 +200,7 @@
   request: Rc<RoutedRequest>,
   in_flight: InFlight,
 ) -> Response<AnswerBody> {
-  gateway.note_request(&request.service);
+  gateway.record_request(&request.service);
   match request.route.kind {
     // It would outlast the process.
     RouteKind::Stream { .. } if *gateway.phase.borrow() >= Phase::Closing => {
--- a/src/gateway/requests/plain.rs
+++ b/src/gateway/requests/plain.rs
@@ -161,7 +161,7 @@
     let Some(entry) = self.choose() else {
       return false;
     };
-    if !self.gateway.take_repeat(&self.request.service) {
+    if !self.gateway.take_retry(&self.request.service) {
       return false;
     }
     self.gateway.counters.repeats.inc();
@@ -177,7 +177,7 @@
       return;
     }
     if std::mem::take(&mut self.has_repeat_left) {
-      self.gateway.give_repeat_back(&self.request.service);
+      self.gateway.return_retry(&self.request.service);
     }
   }
 
@@ -257,7 +257,7 @@
   /// The answer at the deadline.
   fn time_out(self) -> Response<AnswerBody> {
     for endpoint in &self.awaited {
-      self.gateway.overdue(endpoint);
+      self.gateway.mark_overdue(endpoint);
     }
     log::info!("E503 timed out: {} at {:?}", self.request.id(), self.tried);
     match self.failure {
--- a/src/gateway/requests/prompt.rs
+++ b/src/gateway/requests/prompt.rs
@@ -141,7 +141,7 @@
     head.whole(gateway).await
   };
   let Ok(answer) = timeout(Duration::from_millis(limit_ms), reading).await else {
-    gateway.overdue(&entry.id);
+    gateway.mark_overdue(&entry.id);
     return Err(PartError::Lost(format!("no answer in {limit_ms} ms")));
   };
   let answer = answer?;
--- a/src/gateway/requests/stream_request.rs
+++ b/src/gateway/requests/stream_request.rs
@@ -142,7 +142,7 @@
     if self.arrivals == 1 {
       return true;
     }
-    let taken = self.gateway.take_repeat(&self.request.service);
+    let taken = self.gateway.take_retry(&self.request.service);
     if taken {
       self.gateway.counters.repeats.inc();
     }
@@ -191,7 +191,9 @@
       .map_or_else(|| entry.id.clone(), |export| export.engine().clone());
     let arrived = self.arrive(&entry, Some(reservation), export).await?;
     if let Ok(head) = &arrived {
-      self.gateway.note_start(self.gateway.now_ms() - seated_ms);
+      self
+        .gateway
+        .record_first_event(self.gateway.now_ms() - seated_ms);
       log::info!(
         "E510 streaming: {} at {} with status {}, read by {reader}: seat {} ms, prompt {} ms, head {} ms, {} ms after arrival, try {}",
         self.request.id(),
--- a/src/gateway/requests/stream_send.rs
+++ b/src/gateway/requests/stream_send.rs
@@ -83,7 +83,7 @@
       if let Ok(result) = timeout(silence, sending.as_mut()).await {
         return result;
       }
-      gateway.overdue(&entry.id);
+      gateway.mark_overdue(&entry.id);
       if !self.prepare_takeover().await {
         continue;
       }
@@ -104,7 +104,7 @@
     if self.request.is_barred(&self.gateway) {
       return false;
     }
-    if !self.has_attempts_left() || !self.gateway.has_repeat_left(&self.request.service) {
+    if !self.has_attempts_left() || !self.gateway.has_retry_left(&self.request.service) {
       return false;
     }
     if !self.is_split() {
@@ -153,7 +153,7 @@
   /// Another engine took the prompt: the one that refused it is at fault.
   fn blame_for_refusal(&mut self) {
     if let Some(engine) = self.refused_by.take() {
-      self.gateway.blame(&engine);
+      self.gateway.mark_faulty(&engine);
     }
   }
 
@@ -161,13 +161,13 @@
   fn note_refusal(&mut self, entry: &EndpointEntry, export: Option<KeptExport>) {
     self.refusals += 1;
     match (export, self.refused_by.take()) {
-      (None, _) => self.gateway.blame(&entry.id),
+      (None, _) => self.gateway.mark_faulty(&entry.id),
       (Some(export), None) => {
         self.refused_by = Some(entry.id.clone());
         self.export = Some(export);
       }
       (Some(export), Some(_)) => {
-        self.gateway.blame(export.engine());
+        self.gateway.mark_faulty(export.engine());
         self.reads_itself = true;
       }
     }
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -192,7 +192,7 @@
   }
 
   /// Puts a configuration in force, unless it is not newer than the one that is.
-  pub(crate) fn put_in_force(&self, table: RouteTable) -> bool {
+  pub(crate) fn apply_route_table(&self, table: RouteTable) -> bool {
     let mut current = self.route_table.borrow_mut();
     if current
       .as_ref()
@@ -217,15 +217,15 @@
   }
 
   /// Whether this box counts organisations' use for others.
-  pub(crate) fn is_counting(&self) -> bool {
+  pub(crate) fn is_coordinator(&self) -> bool {
     let identity = &self.settings.identity;
     let boxes = self.boxes.borrow();
     boxes.is_counting(&identity.name, &identity.hall)
   }
 
   /// Whether this box decides on limits by its own count.
-  pub(crate) fn counts_use(&self) -> bool {
-    self.settings.limits.way.is_told() && self.is_counting()
+  pub(crate) fn coordinates_usage(&self) -> bool {
+    self.settings.limits.way.is_told() && self.is_coordinator()
   }
 
   /// Whether the store was heard so recently that what this box knows can be trusted.
@@ -264,7 +264,7 @@
   }
 
   /// An endpoint is cold for so long from now on. It decides something where the configuration says what one of its service carries.
-  pub(crate) fn note_cold(&self, entry: &EndpointEntry, cold_ms: u64) {
+  pub(crate) fn record_cold(&self, entry: &EndpointEntry, cold_ms: u64) {
     let Some(cold_start) = self.cold_start(&entry.service) else {
       return;
     };
@@ -280,7 +280,7 @@
   }
 
   /// The endpoints of a hall whose drain has ended may have turned cold shortly before, and their entries tell so late.
-  pub(crate) fn note_hall_cold(&self, hall: &str) {
+  pub(crate) fn record_hall_cold(&self, hall: &str) {
     let entries: Vec<EndpointEntry> = {
       let book = self.endpoints.borrow();
       let of_hall = book.entries().filter(|entry| &*entry.hall == hall);
@@ -288,7 +288,7 @@
     };
     for entry in entries {
       if let Some(cold_start) = self.cold_start(&entry.service) {
-        self.note_cold(&entry, cold_start.lasts_ms);
+        self.record_cold(&entry, cold_start.lasts_ms);
       }
     }
   }
@@ -317,7 +317,7 @@
   }
 
   /// Books the end of an endpoint's part.
-  pub(crate) fn ended(&self, id: &str, size: u64, units: u64, end: PartEnd) {
+  pub(crate) fn finish_stage(&self, id: &str, size: u64, units: u64, end: PartEnd) {
     self
       .endpoints
       .borrow_mut()
@@ -328,13 +328,13 @@
   }
 
   /// Lets a connection rest whose answer came whole; `headers` are that answer's.
-  pub(crate) fn rest(&self, connection: Connection, headers: &HeaderMap) {
-    let most = self.most_resting(&connection.endpoint);
+  pub(crate) fn keep_alive(&self, connection: Connection, headers: &HeaderMap) {
+    let most = self.max_idle(&connection.endpoint);
     self.pool.put(connection, headers, most, self.now_ms());
   }
 
   /// This box's share of the connections that an endpoint accepts, as far as they may rest.
-  fn most_resting(&self, endpoint: &str) -> usize {
+  fn max_idle(&self, endpoint: &str) -> usize {
     let book = self.endpoints.borrow();
     let table = self.route_table.borrow();
     let service = book
@@ -347,14 +347,14 @@
   }
 
   /// An endpoint has owed an answer for too long; its resting connections may be as dead.
-  pub(crate) fn overdue(&self, id: &str) {
+  pub(crate) fn mark_overdue(&self, id: &str) {
     log::info!("E514 overdue: {id} is left alone");
     self.endpoints.borrow_mut().overdue(id, self.now_ms());
     self.pool.close(id);
   }
 
   /// An endpoint is at fault although it answers: it is left alone like a lost one.
-  pub(crate) fn blame(&self, id: &str) {
+  pub(crate) fn mark_faulty(&self, id: &str) {
     log::info!("E513 left alone: {id} has a seat and refuses requests, or its exports are gone");
     self.endpoints.borrow_mut().blame(id, self.now_ms());
   }
@@ -366,7 +366,7 @@
 
   /// How many endpoints are known, leave, pause, name limits, and stand in drained halls, which halls these are, and how many
   /// unknown names endpoints' answers have, as text.
-  pub(crate) fn endpoint_figures(&self) -> String {
+  pub(crate) fn endpoint_metrics(&self) -> String {
     let EndpointCounts {
       drained,
       known,
@@ -389,7 +389,7 @@
   }
 
   /// A first event came this long after its request had a seat.
-  pub(crate) fn note_start(&self, took_ms: u64) {
+  pub(crate) fn record_first_event(&self, took_ms: u64) {
     let before = self.mean_first_event_ms.get().unwrap_or(took_ms as f64);
     self.mean_first_event_ms.set(Some(
       before + NEWEST_START_WEIGHT * (took_ms as f64 - before),
@@ -407,7 +407,7 @@
   }
 
   /// Counts a caller's request towards its service's repeats.
-  pub(crate) fn note_request(&self, service: &Name) {
+  pub(crate) fn record_request(&self, service: &Name) {
     let now_ms = self.now_ms();
     self
       .retry_windows
@@ -418,7 +418,7 @@
   }
 
   /// Whether a repeat could be taken now.
-  pub(crate) fn has_repeat_left(&self, service: &Name) -> bool {
+  pub(crate) fn has_retry_left(&self, service: &Name) -> bool {
     let boxes = self.box_count();
     let now_ms = self.now_ms();
     let allowance = self.settings.retry_allowance();
@@ -431,7 +431,7 @@
   }
 
   /// A repeat was taken from the budget, and no endpoint saw it.
-  pub(crate) fn give_repeat_back(&self, service: &Name) {
+  pub(crate) fn return_retry(&self, service: &Name) {
     let now_ms = self.now_ms();
     if let Some(window) = self.retry_windows.borrow_mut().get_mut(service) {
       window.give_back(now_ms);
@@ -439,7 +439,7 @@
   }
 
   /// Takes a repeat from the budget that all boxes share.
-  pub(crate) fn take_repeat(&self, service: &Name) -> bool {
+  pub(crate) fn take_retry(&self, service: &Name) -> bool {
     let boxes = self.box_count();
     let taken = self
       .retry_windows
