--- a/src/gateway/limits/admission.rs
+++ b/src/gateway/limits/admission.rs
@@ -97,7 +97,7 @@
   match verdict {
     UseVerdict::Within => Ok(charge(counted_by)),
     UseVerdict::Beyond { left, wait_ms } => {
-      gateway.counters.beyond_limit.inc();
+      gateway.counters.over_limit.inc();
       log_beyond(gateway, facts, name, units, left);
       // Those who are refused together don't come back together.
       let spread_ms = wait_ms.max(LEAST_WAIT_MS) as f64 * (1.0 + gateway.draw());
--- a/src/gateway/quarantine/vetting.rs
+++ b/src/gateway/quarantine/vetting.rs
@@ -47,7 +47,7 @@
     }
     QuarantineVerdict::Held { retry_after_ms } => Held { retry_after_ms },
   };
-  gateway.counters.held.inc();
+  gateway.counters.quarantined.inc();
   log_held(gateway, request, held);
   Err(held)
 }
--- a/src/gateway/requests/event_source.rs
+++ b/src/gateway/requests/event_source.rs
@@ -226,7 +226,7 @@
   /// Ends the stream so that the caller sees that its end is missing.
   fn break_off(&mut self, error: String) -> StreamBroke {
     self.ended = true;
-    self.stream.gateway.counters.broken_streams.inc();
+    self.stream.gateway.counters.interrupted_streams.inc();
     log::info!(
       "E507 stream broken off: {}: {error}",
       self.stream.request.id()
@@ -238,7 +238,7 @@
 impl Drop for EventSource {
   fn drop(&mut self) {
     if !self.ended {
-      self.stream.gateway.counters.callers_gone.inc();
+      self.stream.gateway.counters.caller_disconnects.inc();
       log::info!(
         "E516 caller left: {} after event {:?}",
         self.stream.request.id(),
--- a/src/gateway/requests/front.rs
+++ b/src/gateway/requests/front.rs
@@ -125,12 +125,14 @@
   match response.status().as_u16() {
     200..300 => {
       counters.answered.inc();
-      counters.head_ms.note(gateway.now_ms() - arrived_ms);
+      counters
+        .response_head_ms
+        .note(gateway.now_ms() - arrived_ms);
     }
     502 => counters.unknown.inc(),
     503 => counters.not_run.inc(),
     504 => counters.timed_out.inc(),
-    400..500 => counters.refused.inc(),
+    400..500 => counters.rejected.inc(),
     _ => {}
   }
 }
--- a/src/gateway/requests/plain.rs
+++ b/src/gateway/requests/plain.rs
@@ -164,7 +164,7 @@
     if !self.gateway.take_retry(&self.request.service) {
       return false;
     }
-    self.gateway.counters.repeats.inc();
+    self.gateway.counters.retries.inc();
     self.has_repeat_left = true;
     self.send_to(entry);
     true
--- a/src/gateway/requests/stream_request.rs
+++ b/src/gateway/requests/stream_request.rs
@@ -144,7 +144,7 @@
     }
     let taken = self.gateway.take_retry(&self.request.service);
     if taken {
-      self.gateway.counters.repeats.inc();
+      self.gateway.counters.retries.inc();
     }
     taken
   }
--- a/src/gateway/state/counters.rs
+++ b/src/gateway/state/counters.rs
@@ -63,11 +63,11 @@
   pub(crate) not_run: Counter,
   pub(crate) unknown: Counter,
   pub(crate) timed_out: Counter,
-  pub(crate) refused: Counter,
-  pub(crate) beyond_limit: Counter,
-  pub(crate) broken_streams: Counter,
+  pub(crate) rejected: Counter,
+  pub(crate) over_limit: Counter,
+  pub(crate) interrupted_streams: Counter,
   /// Requests that were held because endpoints had ended with them.
-  pub(crate) held: Counter,
+  pub(crate) quarantined: Counter,
   /// Parts that were lost with their endpoint.
   pub(crate) lost_with_endpoint: Counter,
   /// Endpoints that said in an answer that they leave, and pauses that began by an endpoint's word.
@@ -84,14 +84,14 @@
   pub(crate) permits_refused: Counter,
   /// Parts and calls that were not sent because their endpoint came to leave or pause after it was chosen.
   pub(crate) not_sent: Counter,
-  pub(crate) callers_gone: Counter,
-  pub(crate) repeats: Counter,
-  pub(crate) repeats_denied: Counter,
+  pub(crate) caller_disconnects: Counter,
+  pub(crate) retries: Counter,
+  pub(crate) retries_denied: Counter,
   pub(crate) resumed: Counter,
   pub(crate) connections: Counter,
   pub(crate) store_calls: Counter,
   pub(crate) store_failures: Counter,
-  pub(crate) head_ms: Histogram,
+  pub(crate) response_head_ms: Histogram,
   pub(crate) first_event_ms: Histogram,
 }
 
@@ -105,10 +105,10 @@
       ("rillford_not_run_total", &self.not_run),
       ("rillford_unknown_total", &self.unknown),
       ("rillford_timed_out_total", &self.timed_out),
-      ("rillford_refused_total", &self.refused),
-      ("rillford_beyond_limit_total", &self.beyond_limit),
-      ("rillford_broken_streams_total", &self.broken_streams),
-      ("rillford_held_total", &self.held),
+      ("rillford_refused_total", &self.rejected),
+      ("rillford_beyond_limit_total", &self.over_limit),
+      ("rillford_broken_streams_total", &self.interrupted_streams),
+      ("rillford_held_total", &self.quarantined),
       (
         "rillford_lost_with_endpoint_total",
         &self.lost_with_endpoint,
@@ -121,9 +121,9 @@
       ("rillford_places_granted_total", &self.permits_granted),
       ("rillford_places_refused_total", &self.permits_refused),
       ("rillford_not_sent_total", &self.not_sent),
-      ("rillford_callers_gone_total", &self.callers_gone),
-      ("rillford_repeats_total", &self.repeats),
-      ("rillford_repeats_denied_total", &self.repeats_denied),
+      ("rillford_callers_gone_total", &self.caller_disconnects),
+      ("rillford_repeats_total", &self.retries),
+      ("rillford_repeats_denied_total", &self.retries_denied),
       ("rillford_resumed_total", &self.resumed),
       ("rillford_connections_total", &self.connections),
       ("rillford_store_calls_total", &self.store_calls),
@@ -133,7 +133,9 @@
     for (name, counter) in counters {
       let _ = writeln!(text, "{name} {}", counter.0.get());
     }
-    self.head_ms.write("rillford_answer_head_ms", &mut text);
+    self
+      .response_head_ms
+      .write("rillford_answer_head_ms", &mut text);
     self
       .first_event_ms
       .write("rillford_first_event_ms", &mut text);
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -448,7 +448,7 @@
       .or_default()
       .take(self.settings.retry_allowance(), boxes, self.now_ms());
     if !taken {
-      self.counters.repeats_denied.inc();
+      self.counters.retries_denied.inc();
     }
     taken
   }
