--- a/src/gateway/limits/admission.rs
+++ b/src/gateway/limits/admission.rs
@@ -2,8 +2,8 @@
 
 use {
   super::{
-    messages::{UseReport, report},
-    telling::candidates,
+    messages::{UsageReport, report},
+    reporting::candidates,
   },
   crate::{
     gateway::{
@@ -26,7 +26,7 @@
 
 /// A request is beyond its organisation's limit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) struct Beyond {
+pub(crate) struct OverLimit {
   /// When it may come back.
   pub(crate) retry_after_ms: u64,
 }
@@ -52,7 +52,7 @@
 
 impl Charge {
   /// The request has not run: what it was charged is there for others, and for its own second try.
-  pub(crate) fn give_back(self) {
+  pub(crate) fn refund(self) {
     let now_ms = self.gateway.now_ms();
     let units = -(self.units as i64);
     match self.counted_by {
@@ -74,7 +74,7 @@
   gateway: &Rc<Gateway>,
   organisation: &Organisation,
   facts: &CallerFacts,
-) -> Result<Charge, Beyond> {
+) -> Result<Charge, OverLimit> {
   let units = organisation.units(facts);
   let name = &organisation.name;
   let charge = |counted_by| Charge {
@@ -101,7 +101,7 @@
       log_beyond(gateway, facts, name, units, left);
       // Those who are refused together don't come back together.
       let spread_ms = wait_ms.max(LEAST_WAIT_MS) as f64 * (1.0 + gateway.draw());
-      Err(Beyond {
+      Err(OverLimit {
         retry_after_ms: spread_ms as u64,
       })
     }
@@ -137,7 +137,7 @@
 async fn ask(gateway: &Gateway, name: &Name, units: u64) -> Option<UseVerdict> {
   for address in candidates(gateway).into_iter().take(MOST_ASKED) {
     let used = gateway.local_usage.borrow_mut().take_untold();
-    let message = UseReport {
+    let message = UsageReport {
       asks: Some((name.clone(), units)),
       box_name: gateway.settings.identity.name.clone(),
       used,
--- a/src/gateway/limits/messages.rs
+++ b/src/gateway/limits/messages.rs
@@ -19,7 +19,7 @@
 };
 
 /// The path on which a box that counts is told of use.
-pub(crate) const USE_PATH: &str = "/use";
+pub(crate) const USAGE_PATH: &str = "/use";
 /// The path on which boxes that count tell each other their totals.
 pub(crate) const TOTALS_PATH: &str = "/totals";
 /// The longest message: 4,000 organisations with names of 60 bytes.
@@ -27,7 +27,7 @@
 
 /// What a box tells one that counts.
 #[derive(Debug, Deserialize, Serialize)]
-pub(crate) struct UseReport {
+pub(crate) struct UsageReport {
   /// The box.
   pub(crate) box_name: Name,
   /// Units admitted since its last report, by organisation; below 0 when more were given back.
@@ -38,7 +38,7 @@
 
 /// What the box that counts answers.
 #[derive(Debug, Deserialize, Serialize)]
-pub(crate) struct UseAnswer {
+pub(crate) struct UsageResponse {
   /// The organisations that are short, each with the units that are left.
   pub(crate) short: Vec<(Name, f64)>,
   /// What becomes of the request that was asked for.
@@ -49,10 +49,10 @@
 pub(super) async fn report(
   http: &HttpClient,
   address: SocketAddr,
-  message: &UseReport,
+  message: &UsageReport,
   limit: Duration,
-) -> Result<UseAnswer, CallError> {
-  let body = send_message(http, address, USE_PATH, message, limit).await?;
+) -> Result<UsageResponse, CallError> {
+  let body = send_message(http, address, USAGE_PATH, message, limit).await?;
   postcard::from_bytes(&body).map_err(|error| CallError::Answer(error.to_string()))
 }
 
@@ -69,11 +69,11 @@
 }
 
 /// Counts what another box reports, and answers it.
-pub(crate) async fn answer_use(
+pub(crate) async fn handle_usage(
   gateway: &Gateway,
   request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-  let Some(report) = read::<UseReport>(request).await else {
+  let Some(report) = read::<UsageReport>(request).await else {
     return status_answer(StatusCode::BAD_REQUEST);
   };
   let now_ms = gateway.now_ms();
@@ -85,7 +85,7 @@
   let verdict = report
     .asks
     .map(|(organisation, units)| book.admit(&organisation, units, now_ms));
-  let answer = UseAnswer {
+  let answer = UsageResponse {
     short: book.short(now_ms),
     verdict,
   };
@@ -93,7 +93,7 @@
 }
 
 /// Takes over the totals of another box that counts.
-pub(crate) async fn answer_totals(
+pub(crate) async fn handle_totals(
   gateway: &Gateway,
   request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
--- a/src/gateway/limits/figures.rs
+++ b/src/gateway/limits/metrics.rs
@@ -12,7 +12,7 @@
 const MOST_SHOWN: usize = 20;
 
 /// What is left of organisations' limits as text, a line each; only the head on a box that does not count.
-pub(crate) fn limit_figures(gateway: &Gateway) -> String {
+pub(crate) fn limit_metrics(gateway: &Gateway) -> String {
   let counts = gateway.coordinates_usage();
   let mut text = format!("rillford_counts_use {}\n", u8::from(counts));
   if !counts {
--- a/src/gateway/limits/mod.rs
+++ b/src/gateway/limits/mod.rs
@@ -4,13 +4,13 @@
 //! for the others.
 
 mod admission;
-mod figures;
 mod messages;
-mod telling;
+mod metrics;
+mod reporting;
 
 pub(crate) use self::{
-  admission::{Beyond, Charge, admit},
-  figures::limit_figures,
-  messages::{TOTALS_PATH, USE_PATH, answer_totals, answer_use},
-  telling::keep_counts,
+  admission::{Charge, OverLimit, admit},
+  messages::{TOTALS_PATH, USAGE_PATH, handle_totals, handle_usage},
+  metrics::limit_metrics,
+  reporting::sync_usage,
 };
--- a/src/gateway/limits/telling.rs
+++ b/src/gateway/limits/reporting.rs
@@ -1,7 +1,7 @@
 //! A box's regular word on use: to a box that counts, or to the others that do.
 
 use {
-  super::messages::{UseReport, report, tell_totals},
+  super::messages::{UsageReport, report, tell_totals},
   crate::gateway::{
     decisions::{ToldSpan, UseTotals},
     state::Gateway,
@@ -24,7 +24,7 @@
 const MOST_TOLD: usize = 3;
 
 /// Tells of use until the process ends; nothing is sent while no organisation is limited.
-pub(crate) async fn keep_counts(gateway: Rc<Gateway>) {
+pub(crate) async fn sync_usage(gateway: Rc<Gateway>) {
   // The first word comes at once: a box that has not heard asks for each request.
   let mut idle_turns = IDLE_TURNS;
   let mut turn = 0_u32;
@@ -83,7 +83,7 @@
 /// Reports to the first box that counts and answers.
 async fn tell_one_that_counts(gateway: &Gateway) {
   let untold = gateway.local_usage.borrow_mut().take_untold();
-  let message = UseReport {
+  let message = UsageReport {
     asks: None,
     box_name: gateway.settings.identity.name.clone(),
     used: untold,
--- a/src/gateway/membership/relay.rs
+++ b/src/gateway/membership/relay.rs
@@ -6,7 +6,7 @@
     gateway::{
       connections::{message_answer, serve_port, status_answer},
       edge::StoreChanges,
-      limits::{TOTALS_PATH, USE_PATH, answer_totals, answer_use},
+      limits::{TOTALS_PATH, USAGE_PATH, handle_totals, handle_usage},
       permits::{LIMITS_PATH, PERMITS_PATH, answer_limit, answer_permits},
       quarantine::{MARKS_PATH, answer_marks},
       state::Gateway,
@@ -64,8 +64,8 @@
 /// Answers another box's call.
 async fn answer(gateway: Rc<Gateway>, request: Request<Incoming>) -> Response<Full<Bytes>> {
   match request.uri().path() {
-    USE_PATH => answer_use(&gateway, request).await,
-    TOTALS_PATH => answer_totals(&gateway, request).await,
+    USAGE_PATH => handle_usage(&gateway, request).await,
+    TOTALS_PATH => handle_totals(&gateway, request).await,
     LIMITS_PATH => answer_limit(&gateway, request).await,
     PERMITS_PATH => answer_permits(&gateway, request).await,
     MARKS_PATH => answer_marks(&gateway, request).await,
--- a/src/gateway/requests/front.rs
+++ b/src/gateway/requests/front.rs
@@ -11,7 +11,7 @@
     connections::{accept, remove_connection_headers, set_limits},
     decisions::{AllowedHalls, RETRY_AFTER_LEAVING_MS, RETRY_AFTER_NO_CONFIGURATION_MS},
     edge::{RouteKind, RouteTable},
-    limits::{Beyond, Charge, admit},
+    limits::{Charge, OverLimit, admit},
     parts::RoutedRequest,
     quarantine::{Held, release_unsent, vet},
     settings::EngineMarks,
@@ -177,11 +177,11 @@
       if response.status() == StatusCode::SERVICE_UNAVAILABLE
         && let Some(charge) = charge
       {
-        charge.give_back();
+        charge.refund();
       }
       response
     }
-    Err(Beyond { retry_after_ms }) => OwnAnswer::BeyondLimit { retry_after_ms }.response(),
+    Err(OverLimit { retry_after_ms }) => OwnAnswer::BeyondLimit { retry_after_ms }.response(),
   }
 }
 
@@ -189,7 +189,7 @@
 async fn admit_request(
   gateway: &Rc<Gateway>,
   request: &RoutedRequest,
-) -> Result<Option<Charge>, Beyond> {
+) -> Result<Option<Charge>, OverLimit> {
   match &request.organisation {
     Some(organisation) => admit(gateway, organisation, &request.facts).await.map(Some),
     None => Ok(None),
