--- a/src/gateway/membership/relay.rs
+++ b/src/gateway/membership/relay.rs
@@ -7,7 +7,7 @@
       connections::{message_answer, serve_port, status_answer},
       edge::StoreChanges,
       limits::{TOTALS_PATH, USAGE_PATH, handle_totals, handle_usage},
-      permits::{LIMITS_PATH, PERMITS_PATH, answer_limit, answer_permits},
+      permits::{LIMITS_PATH, PERMITS_PATH, handle_limit, handle_permits},
       quarantine::{MARKS_PATH, answer_marks},
       state::Gateway,
     },
@@ -66,8 +66,8 @@
   match request.uri().path() {
     USAGE_PATH => handle_usage(&gateway, request).await,
     TOTALS_PATH => handle_totals(&gateway, request).await,
-    LIMITS_PATH => answer_limit(&gateway, request).await,
-    PERMITS_PATH => answer_permits(&gateway, request).await,
+    LIMITS_PATH => handle_limit(&gateway, request).await,
+    PERMITS_PATH => handle_permits(&gateway, request).await,
     MARKS_PATH => answer_marks(&gateway, request).await,
     _ => answer_changes(gateway, request).await,
   }
--- a/src/gateway/parts/notice.rs
+++ b/src/gateway/parts/notice.rs
@@ -5,7 +5,7 @@
   crate::gateway::{
     decisions::{LimitNews, NoticeNews, kept_pause_ms},
     edge::{EndpointEntry, EndpointNotice, NamedLimit},
-    permits::tell_limit,
+    permits::announce_limit,
     state::Gateway,
   },
   http::{StatusCode, response},
@@ -92,7 +92,7 @@
   if news == LimitNews::Begins {
     gateway.counters.limit_notices.inc();
     if gateway.settings.mechanisms.endpoint_limits {
-      tell_limit(gateway, &entry.id, entry.born_ms);
+      announce_limit(gateway, &entry.id, entry.born_ms);
     }
   }
   log_limit(gateway, entry, answer, news, now_ms);
--- a/src/gateway/parts/part.rs
+++ b/src/gateway/parts/part.rs
@@ -11,7 +11,7 @@
       connections::{Connection, SendError, remove_connection_headers},
       decisions::{PartEnd, Unavailable},
       edge::{AnswerFacts, EndpointEntry, Marks},
-      permits::{Permit, return_permit, take_permit},
+      permits::{Permit, acquire_permit, return_permit},
       state::Gateway,
     },
     ids::Name,
@@ -235,7 +235,7 @@
   let entry = part.entry;
   let permit = match part.permit {
     Permit::Taken => Permit::Taken,
-    Permit::NotNeeded => take_permit(gateway, entry, request.permit_caller()).await?,
+    Permit::NotNeeded => acquire_permit(gateway, entry, request.permit_caller()).await?,
   };
   let sent = send_permitted(gateway, request, part).await;
   let never_seen = matches!(&sent, Err(error) if error.is_unsent());
--- a/src/gateway/permits/taking.rs
+++ b/src/gateway/permits/acquisition.rs
@@ -3,8 +3,8 @@
 use {
   super::{
     cold_span_message::ColdSpanMessage,
-    messages::{PermitAnswer, PermitQuestion, ask_for_permits, give_out},
-    told_limit::ToldLimit,
+    messages::{PermitRequestMessage, PermitResponse, ask_for_permits, give_out},
+    relayed_limit::RelayedLimit,
   },
   crate::{
     gateway::{
@@ -66,7 +66,7 @@
 }
 
 /// Takes a permit for a request. Fails when there is none: the request has to go elsewhere.
-pub(crate) async fn take_permit(
+pub(crate) async fn acquire_permit(
   gateway: &Gateway,
   entry: &EndpointEntry,
   caller: PermitCaller<'_>,
@@ -166,7 +166,7 @@
   address: SocketAddr,
   entry: &EndpointEntry,
   permit_request: &PermitRequest,
-) -> Option<PermitAnswer> {
+) -> Option<PermitResponse> {
   if gateway
     .unresponsive_boxes
     .borrow()
@@ -183,7 +183,7 @@
       limits.cold_span(&entry.id, entry.born_ms, now_ms),
     )
   };
-  let question = PermitQuestion {
+  let question = PermitRequestMessage {
     box_name: permit_request.box_name.clone(),
     born_ms: entry.born_ms,
     cold: cold.map(|span| ColdSpanMessage::new(span, now_ms)),
@@ -191,7 +191,7 @@
     hall: entry.hall.clone(),
     permits: permit_request.permits,
     priority: permit_request.priority,
-    told: named.map(|named| ToldLimit::new(named, now_ms)),
+    told: named.map(|named| RelayedLimit::new(named, now_ms)),
     unused: permit_request.unused,
   };
   let asked = ask_for_permits(&gateway.box_calls, address, &question, ASK_LIMIT).await;
--- a/src/gateway/permits/telling.rs
+++ b/src/gateway/permits/announcement.rs
@@ -1,7 +1,7 @@
 //! Telling other boxes of an endpoint that comes to name a limit: each of them would send it one request before it hears so.
 
 use {
-  super::told_limit::ToldLimit,
+  super::relayed_limit::RelayedLimit,
   crate::{
     gateway::{
       connections::{read_message, send_message, status_answer},
@@ -28,16 +28,16 @@
 
 /// What a box tells of an endpoint that comes to name a limit.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-struct LimitMessage {
+struct LimitAnnouncement {
   endpoint: Name,
   born_ms: Option<u64>,
-  told: ToldLimit,
+  told: RelayedLimit,
   /// Whether a reader tells it on to the boxes of its hall; these tell nobody.
   is_told_on: bool,
 }
 
 /// Tells others that this box heard an endpoint begin to name a limit; nobody waits for it.
-pub(crate) fn tell_limit(gateway: &Rc<Gateway>, endpoint: &Name, born_ms: Option<u64>) {
+pub(crate) fn announce_limit(gateway: &Rc<Gateway>, endpoint: &Name, born_ms: Option<u64>) {
   let heard = gateway
     .endpoints
     .borrow()
@@ -51,25 +51,25 @@
     let boxes = gateway.boxes.borrow();
     (boxes.other_counting(own_name), boxes.told_on_by(own_name))
   };
-  let message = LimitMessage {
+  let message = LimitAnnouncement {
     born_ms,
     endpoint: endpoint.clone(),
     is_told_on: false,
-    told: ToldLimit::new(heard, gateway.now_ms()),
+    told: RelayedLimit::new(heard, gateway.now_ms()),
   };
   tell(gateway, all, &message);
   tell_on(gateway, own_hall, message);
 }
 
-fn tell_on(gateway: &Rc<Gateway>, addresses: Vec<SocketAddr>, message: LimitMessage) {
-  let message = LimitMessage {
+fn tell_on(gateway: &Rc<Gateway>, addresses: Vec<SocketAddr>, message: LimitAnnouncement) {
+  let message = LimitAnnouncement {
     is_told_on: true,
     ..message
   };
   tell(gateway, addresses, &message);
 }
 
-fn tell(gateway: &Rc<Gateway>, addresses: Vec<SocketAddr>, message: &LimitMessage) {
+fn tell(gateway: &Rc<Gateway>, addresses: Vec<SocketAddr>, message: &LimitAnnouncement) {
   for address in addresses {
     let (gateway, message) = (gateway.clone(), message.clone());
     spawn_local(async move {
@@ -82,11 +82,11 @@
 }
 
 /// Takes over what another box tells, and tells it on in this box's hall when it is new and that is this box's part.
-pub(crate) async fn answer_limit(
+pub(crate) async fn handle_limit(
   gateway: &Rc<Gateway>,
   request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-  match read_message::<LimitMessage>(request, MOST_BYTES).await {
+  match read_message::<LimitAnnouncement>(request, MOST_BYTES).await {
     Ok(message) => {
       hear_told(gateway, message);
       status_answer(StatusCode::OK)
@@ -98,9 +98,9 @@
   }
 }
 
-fn hear_told(gateway: &Rc<Gateway>, message: LimitMessage) {
+fn hear_told(gateway: &Rc<Gateway>, message: LimitAnnouncement) {
   let now_ms = gateway.now_ms();
-  let LimitMessage {
+  let LimitAnnouncement {
     endpoint, born_ms, ..
   } = &message;
   let told = message.told.heard(now_ms);
@@ -109,8 +109,8 @@
       let boxes = gateway.boxes.borrow();
       boxes.told_on_by(&gateway.settings.identity.name)
     };
-    let told = ToldLimit::new(told, now_ms);
-    tell_on(gateway, addresses, LimitMessage { told, ..message });
+    let told = RelayedLimit::new(told, now_ms);
+    tell_on(gateway, addresses, LimitAnnouncement { told, ..message });
   }
 }
 
--- a/src/gateway/permits/messages.rs
+++ b/src/gateway/permits/messages.rs
@@ -1,7 +1,9 @@
 //! What boxes ask each other for permits at endpoints, and the answers.
 
 use {
-  super::{cold_span_message::ColdSpanMessage, telling::note_told, told_limit::ToldLimit},
+  super::{
+    announcement::note_told, cold_span_message::ColdSpanMessage, relayed_limit::RelayedLimit,
+  },
   crate::{
     CallError, HttpClient,
     gateway::{
@@ -26,13 +28,13 @@
 
 /// A question for permits.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub(super) struct PermitQuestion {
+pub(super) struct PermitRequestMessage {
   pub(super) box_name: Name,
   pub(super) endpoint: Name,
   pub(super) born_ms: Option<u64>,
   pub(super) hall: Name,
   /// The endpoint's own word; nothing when it has named no limit.
-  pub(super) told: Option<ToldLimit>,
+  pub(super) told: Option<RelayedLimit>,
   /// Nothing when it is warm, as far as the box that asks knows.
   pub(super) cold: Option<ColdSpanMessage>,
   pub(super) permits: u32,
@@ -42,25 +44,25 @@
 
 /// What the box that counts answers.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
-pub(super) struct PermitAnswer {
+pub(super) struct PermitResponse {
   pub(super) verdict: PermitVerdict,
   /// The endpoint's newest word that it knows.
-  pub(super) told: Option<ToldLimit>,
+  pub(super) told: Option<RelayedLimit>,
 }
 
 /// Asks the box that counts.
 pub(super) async fn ask_for_permits(
   http: &HttpClient,
   address: SocketAddr,
-  question: &PermitQuestion,
+  question: &PermitRequestMessage,
   limit: Duration,
-) -> Result<PermitAnswer, CallError> {
+) -> Result<PermitResponse, CallError> {
   let answer = send_message(http, address, PERMITS_PATH, question, limit).await?;
   postcard::from_bytes(&answer).map_err(|error| CallError::Answer(error.to_string()))
 }
 
 /// Answers another box's question; with 409 where another box counts, as far as this one knows.
-pub(crate) async fn answer_permits(
+pub(crate) async fn handle_permits(
   gateway: &Gateway,
   request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
@@ -75,7 +77,7 @@
 }
 
 /// Whether this box is the one that counts an endpoint's requests.
-fn counts_for(gateway: &Gateway, question: &PermitQuestion) -> bool {
+fn counts_for(gateway: &Gateway, question: &PermitRequestMessage) -> bool {
   let boxes = gateway.boxes.borrow();
   let order = endpoint_order(&boxes, &question.endpoint, &question.hall, 1);
   let is_first = order
@@ -84,7 +86,7 @@
   is_first && gateway.settings.mechanisms.endpoint_limits
 }
 
-fn answer_question(gateway: &Gateway, question: &PermitQuestion) -> PermitAnswer {
+fn answer_question(gateway: &Gateway, question: &PermitRequestMessage) -> PermitResponse {
   let now_ms = gateway.now_ms();
   let (id, born_ms) = (&question.endpoint, question.born_ms);
   if let Some(told) = question.told {
@@ -104,8 +106,8 @@
     priority: question.priority,
     unused: question.unused,
   };
-  PermitAnswer {
-    told: named.map(|named| ToldLimit::new(named, now_ms)),
+  PermitResponse {
+    told: named.map(|named| RelayedLimit::new(named, now_ms)),
     verdict: give_out(
       gateway,
       EndpointLife::of(id, born_ms),
--- a/src/gateway/permits/figures.rs
+++ b/src/gateway/permits/metrics.rs
@@ -13,7 +13,7 @@
 const MOST_SHOWN: usize = 20;
 
 /// The limits that endpoints name as text, a line each, and the permits that are left where this box counts.
-pub(crate) fn permit_figures(gateway: &Gateway) -> String {
+pub(crate) fn permit_metrics(gateway: &Gateway) -> String {
   let now_ms = gateway.now_ms();
   let mut text = String::new();
   for (id, heard) in lowest_limits(gateway) {
--- a/src/gateway/permits/mod.rs
+++ b/src/gateway/permits/mod.rs
@@ -3,16 +3,16 @@
 //! Imports the folders up to `state`. What is decided stands in `decisions`: `limit_book` for what endpoints name, `permit_account`
 //! for the box that counts, `permit_ledger` for the others, `endpoint_order` for which box that is.
 
+mod acquisition;
+mod announcement;
 mod cold_span_message;
-mod figures;
 mod messages;
-mod taking;
-mod telling;
-mod told_limit;
+mod metrics;
+mod relayed_limit;
 
 pub(crate) use self::{
-  figures::permit_figures,
-  messages::{PERMITS_PATH, answer_permits},
-  taking::{Permit, PermitCaller, return_permit, take_permit},
-  telling::{LIMITS_PATH, answer_limit, tell_limit},
+  acquisition::{Permit, PermitCaller, acquire_permit, return_permit},
+  announcement::{LIMITS_PATH, announce_limit, handle_limit},
+  messages::{PERMITS_PATH, handle_permits},
+  metrics::permit_metrics,
 };
--- a/src/gateway/permits/told_limit.rs
+++ b/src/gateway/permits/relayed_limit.rs
@@ -7,14 +7,14 @@
 
 /// An endpoint's word as a box heard it.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
-pub(super) struct ToldLimit {
+pub(super) struct RelayedLimit {
   /// Requests a second; nothing when it names no limit any more.
   pub(super) per_s: Option<f64>,
   /// How long ago it was heard.
   pub(super) age_ms: u64,
 }
 
-impl ToldLimit {
+impl RelayedLimit {
   /// A word that was heard here.
   pub(super) fn new(heard: HeardLimit, now_ms: u64) -> Self {
     Self {
--- a/src/gateway/process/own_pages.rs
+++ b/src/gateway/process/own_pages.rs
@@ -2,7 +2,7 @@
 
 use {
   crate::gateway::{
-    connections::serve_port, limits::limit_metrics, permits::permit_figures, state::Gateway,
+    connections::serve_port, limits::limit_metrics, permits::permit_metrics, state::Gateway,
   },
   bytes::Bytes,
   http::{Response, StatusCode},
@@ -43,7 +43,7 @@
       text.push_str(&limit_metrics(gateway));
       text.push_str(&gateway.quarantine.figures());
       text.push_str(&gateway.endpoint_metrics());
-      text.push_str(&permit_figures(gateway));
+      text.push_str(&permit_metrics(gateway));
       Response::new(Full::new(text.into()))
     }
     OwnPage::Ready => {
--- a/src/gateway/requests/seat.rs
+++ b/src/gateway/requests/seat.rs
@@ -7,7 +7,7 @@
       decisions::{PartEnd, SeatPlace, SeatUrgency, Wanted},
       edge::EndpointEntry,
       parts::{Booking, CallFailure, Purpose, Reservation, RoutedRequest, call_engine},
-      permits::{Permit, return_permit, take_permit},
+      permits::{Permit, acquire_permit, return_permit},
       state::Gateway,
     },
     ids::Name,
@@ -191,7 +191,7 @@
   tokens: u64,
 ) -> Option<Reservation> {
   // One permit is for the seat and for the stream in it: a seat without a permit would be reserved in vain.
-  let permit = match take_permit(gateway, entry, request.permit_caller()).await {
+  let permit = match acquire_permit(gateway, entry, request.permit_caller()).await {
     Ok(permit) => permit,
     Err(_) => return None,
   };
