--- a/src/gateway/membership/relay.rs
+++ b/src/gateway/membership/relay.rs
@@ -8,7 +8,7 @@
       edge::StoreChanges,
       limits::{TOTALS_PATH, USAGE_PATH, handle_totals, handle_usage},
       permits::{LIMITS_PATH, PERMITS_PATH, handle_limit, handle_permits},
-      quarantine::{MARKS_PATH, answer_marks},
+      quarantine::{MARKS_PATH, handle_marks},
       state::Gateway,
     },
   },
@@ -68,7 +68,7 @@
     TOTALS_PATH => handle_totals(&gateway, request).await,
     LIMITS_PATH => handle_limit(&gateway, request).await,
     PERMITS_PATH => handle_permits(&gateway, request).await,
-    MARKS_PATH => answer_marks(&gateway, request).await,
+    MARKS_PATH => handle_marks(&gateway, request).await,
     _ => answer_changes(gateway, request).await,
   }
 }
--- a/src/gateway/process/start.rs
+++ b/src/gateway/process/start.rs
@@ -11,7 +11,7 @@
       edge::{Dialect, Store},
       limits::sync_usage,
       membership::{end_entry, follow_store, keep_entry, serve_boxes},
-      quarantine::keep_quarantine,
+      quarantine::sync_quarantine,
       requests::accept_callers,
       roles::keep_roles,
       settings::{GatewayListen, GatewaySettings},
@@ -141,7 +141,7 @@
   spawn_local(accept_callers(gateway.clone(), ports.callers));
   spawn_local(serve_boxes(gateway.clone(), ports.boxes));
   spawn_local(sync_usage(gateway.clone()));
-  spawn_local(keep_quarantine(gateway.clone(), store.clone()));
+  spawn_local(sync_quarantine(gateway.clone(), store.clone()));
   spawn_local(keep_house(gateway.clone()));
 }
 
--- a/src/gateway/quarantine/endpoint_end.rs
+++ b/src/gateway/quarantine/crash_detection.rs
@@ -1,7 +1,7 @@
 //! Whether an endpoint has ended, asked right after a part was lost there; and with which request it ended.
 
 use {
-  super::vetting::share,
+  super::screening::share,
   crate::gateway::{
     decisions::{EndpointLife, Fingerprint, QuarantineKey, QuarantineMark, QuarantineWay},
     edge::EndpointEntry,
@@ -39,7 +39,7 @@
 
 /// A part that was lost after it had been sent.
 #[derive(Clone, Debug)]
-pub(crate) struct LostPart {
+pub(crate) struct LostStage {
   /// Where it was sent, as the endpoint was then.
   pub(crate) entry: EndpointEntry,
   pub(crate) sent_ms: u64,
@@ -51,7 +51,11 @@
 
 /// Finds out whether an endpoint ended with a part of a request, and tells the other boxes. Nobody waits for that, but for the
 /// end after which the request is held: it has to be known before the request is sent on.
-pub(crate) async fn note_lost(gateway: &Rc<Gateway>, request: &Rc<RoutedRequest>, lost: LostPart) {
+pub(crate) async fn record_lost_stage(
+  gateway: &Rc<Gateway>,
+  request: &Rc<RoutedRequest>,
+  lost: LostStage,
+) {
   let is_near = {
     let book = gateway.quarantine.registry.borrow();
     !book.is_empty() && book.is_near(lost.fingerprint)
@@ -63,10 +67,10 @@
   }
 }
 
-async fn judge(gateway: Rc<Gateway>, request: Rc<RoutedRequest>, lost: LostPart) {
+async fn judge(gateway: Rc<Gateway>, request: Rc<RoutedRequest>, lost: LostStage) {
   let ran_ms = gateway.now_ms() - lost.sent_ms;
   let survival = survival(&gateway, &lost.entry).await;
-  let LostPart {
+  let LostStage {
     entry,
     error,
     fingerprint,
--- a/src/gateway/quarantine/messages.rs
+++ b/src/gateway/quarantine/messages.rs
@@ -25,7 +25,7 @@
 const TELL_LIMIT: Duration = Duration::from_millis(200);
 
 /// Tells another box of marks.
-pub(super) async fn tell_marks(
+pub(super) async fn send_marks(
   http: &HttpClient,
   address: SocketAddr,
   keys: &[QuarantineKey],
@@ -37,7 +37,7 @@
 }
 
 /// Takes over another box's marks, and has them written.
-pub(crate) async fn answer_marks(
+pub(crate) async fn handle_marks(
   gateway: &Gateway,
   request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
--- a/src/gateway/quarantine/mod.rs
+++ b/src/gateway/quarantine/mod.rs
@@ -3,14 +3,14 @@
 //! Imports the folders up to `parts`. What is decided stands in `decisions::quarantine_book`; the last look before each send is
 //! in `parts`.
 
-mod endpoint_end;
+mod crash_detection;
 mod messages;
-mod sharing;
-mod vetting;
+mod screening;
+mod sync;
 
 pub(crate) use self::{
-  endpoint_end::{LostPart, note_lost},
-  messages::{MARKS_PATH, answer_marks},
-  sharing::{keep_quarantine, mark_age_ms},
-  vetting::{Held, note_whole, release_unsent, vet},
+  crash_detection::{LostStage, record_lost_stage},
+  messages::{MARKS_PATH, handle_marks},
+  screening::{Quarantined, record_success, release_unsent_probe, screen},
+  sync::{mark_age_ms, sync_quarantine},
 };
--- a/src/gateway/quarantine/vetting.rs
+++ b/src/gateway/quarantine/screening.rs
@@ -14,13 +14,16 @@
 
 /// A request that has ended too many endpoints.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) struct Held {
+pub(crate) struct Quarantined {
   /// When it may be asked for again.
   pub(crate) retry_after_ms: u64,
 }
 
 /// Lets a request pass, or takes a trial for it. One that is held is refused at once: no endpoint sees it.
-pub(crate) async fn vet(gateway: &Rc<Gateway>, request: &RoutedRequest) -> Result<(), Held> {
+pub(crate) async fn screen(
+  gateway: &Rc<Gateway>,
+  request: &RoutedRequest,
+) -> Result<(), Quarantined> {
   let is_off = gateway.settings.quarantine.way == QuarantineWay::Off;
   if is_off || gateway.quarantine.registry.borrow().is_empty() {
     return Ok(());
@@ -41,11 +44,11 @@
       if take_trial(gateway, request, number).await {
         return Ok(());
       }
-      Held {
+      Quarantined {
         retry_after_ms: CLAIM_WAIT_MS,
       }
     }
-    QuarantineVerdict::Held { retry_after_ms } => Held { retry_after_ms },
+    QuarantineVerdict::Held { retry_after_ms } => Quarantined { retry_after_ms },
   };
   gateway.counters.quarantined.inc();
   log_held(gateway, request, held);
@@ -91,7 +94,7 @@
 }
 
 /// Says on what a refusal was decided, and how old that was.
-fn log_held(gateway: &Gateway, request: &RoutedRequest, held: Held) {
+fn log_held(gateway: &Gateway, request: &RoutedRequest, held: Quarantined) {
   let fingerprint = request.fingerprint();
   let (ended, trials) = gateway.quarantine.registry.borrow().counts(fingerprint);
   let heard_ms = gateway.store_contact_ms.get();
@@ -104,7 +107,7 @@
 }
 
 /// A trial that no endpoint was sent is there for the next request.
-pub(crate) fn release_unsent(gateway: &Gateway, request: &RoutedRequest) {
+pub(crate) fn release_unsent_probe(gateway: &Gateway, request: &RoutedRequest) {
   if let Sending::Trial(number) = request.sending.get() {
     let key = QuarantineKey {
       fingerprint: request.fingerprint(),
@@ -117,7 +120,7 @@
 
 /// A request, or the reading of its prompt, came to an end of its own: whatever ended before had another cause. One end is let
 /// stand, since it holds nobody, and to remove it costs a call to the store.
-pub(crate) fn note_whole(
+pub(crate) fn record_success(
   gateway: &Gateway,
   request: &RoutedRequest,
   fingerprint: impl FnOnce(&RoutedRequest) -> Fingerprint,
--- a/src/gateway/quarantine/sharing.rs
+++ b/src/gateway/quarantine/sync.rs
@@ -3,12 +3,12 @@
 //! would be free again.
 
 use {
-  super::messages::tell_marks,
+  super::messages::send_marks,
   crate::{
     gateway::{
       decisions::{QuarantineKey, retry_pause_ms},
       edge::{MOST_CHANGED_KEYS, Store, StoreError},
-      state::{Gateway, MarkOrigin, TrialClaim},
+      state::{Gateway, MarkOrigin, ProbeClaim},
     },
     ids::Name,
     observe::unix_ms,
@@ -32,7 +32,7 @@
 }
 
 /// Writes marks and takes trials until the process ends.
-pub(crate) async fn keep_quarantine<S: Store>(gateway: Rc<Gateway>, store: S) {
+pub(crate) async fn sync_quarantine<S: Store>(gateway: Rc<Gateway>, store: S) {
   let Some(claims) = gateway.quarantine.take_claims() else {
     return;
   };
@@ -51,7 +51,7 @@
   }
 }
 
-async fn serve_claims<S: Store>(sharing: Rc<Sharing<S>>, mut claims: mpsc::Receiver<TrialClaim>) {
+async fn serve_claims<S: Store>(sharing: Rc<Sharing<S>>, mut claims: mpsc::Receiver<ProbeClaim>) {
   while let Some(claim) = claims.recv().await {
     let sharing = sharing.clone();
     spawn_local(async move {
@@ -171,7 +171,7 @@
       .borrow()
       .helpers_for(&identity.name, &identity.hall);
     for address in helpers.into_iter().take(MOST_TOLD) {
-      match tell_marks(&self.gateway.box_calls, address, &own).await {
+      match send_marks(&self.gateway.box_calls, address, &own).await {
         Ok(()) => return own,
         Err(error) => log::debug!("marks not told to {address}: {error}"),
       }
--- a/src/gateway/requests/event_source.rs
+++ b/src/gateway/requests/event_source.rs
@@ -10,7 +10,7 @@
   crate::gateway::{
     decisions::PartEnd,
     parts::{Head, PartError, RoutedRequest},
-    quarantine::{LostPart, note_lost, note_whole},
+    quarantine::{LostStage, record_lost_stage, record_success},
     state::InFlight,
   },
   bytes::Bytes,
@@ -177,7 +177,7 @@
       self.stream.tried().len(),
       self.longest_pause_ms
     );
-    note_whole(&gateway, &self.stream.request, RoutedRequest::fingerprint);
+    record_success(&gateway, &self.stream.request, RoutedRequest::fingerprint);
     let took_ms = gateway.now_ms() - self.stream.request.arrived_ms;
     gateway.slot_forecast.borrow_mut().note_stream(took_ms);
     if let Some(mut head) = self.head.take() {
@@ -198,13 +198,13 @@
     );
     if let Some(mut head) = self.head.take() {
       head.booking.settle(PartEnd::Lost);
-      let lost = LostPart {
+      let lost = LostStage {
         entry: head.entry.clone(),
         error: error.clone(),
         fingerprint: request.fingerprint(),
         sent_ms: head.sent_ms,
       };
-      note_lost(&self.stream.gateway, &request, lost).await;
+      record_lost_stage(&self.stream.gateway, &request, lost).await;
       self.stream.wrote_it = Some(head.connection.endpoint.clone());
     }
     self.cutter = EventCutter::default();
--- a/src/gateway/requests/front.rs
+++ b/src/gateway/requests/front.rs
@@ -13,7 +13,7 @@
     edge::{RouteKind, RouteTable},
     limits::{Charge, OverLimit, admit},
     parts::RoutedRequest,
-    quarantine::{Held, release_unsent, vet},
+    quarantine::{Quarantined, release_unsent_probe, screen},
     settings::EngineMarks,
     state::{Gateway, InFlight, Phase},
   },
@@ -155,12 +155,12 @@
   request: RoutedRequest,
   in_flight: InFlight,
 ) -> Response<AnswerBody> {
-  if let Err(Held { retry_after_ms }) = vet(&gateway, &request).await {
+  if let Err(Quarantined { retry_after_ms }) = screen(&gateway, &request).await {
     return OwnAnswer::NotRun { retry_after_ms }.response();
   }
   let request = Rc::new(request);
   let response = serve_admitted(&gateway, &request, in_flight).await;
-  release_unsent(&gateway, &request);
+  release_unsent_probe(&gateway, &request);
   response
 }
 
--- a/src/gateway/requests/plain.rs
+++ b/src/gateway/requests/plain.rs
@@ -7,7 +7,7 @@
       decisions::{RETRY_AFTER_FULL_MS, RETRY_AFTER_NO_ENDPOINT_MS, Wanted},
       edge::{EndpointEntry, Marks, Part},
       parts::{OutgoingPart, PartError, RoutedRequest, WholeAnswer, send_part},
-      quarantine::{LostPart, note_lost, note_whole},
+      quarantine::{LostStage, record_lost_stage, record_success},
       state::Gateway,
     },
     ids::Name,
@@ -115,7 +115,7 @@
         );
         self.note_slower_endpoints();
         if answer.status.is_success() {
-          note_whole(&self.gateway, &self.request, RoutedRequest::fingerprint);
+          record_success(&self.gateway, &self.request, RoutedRequest::fingerprint);
         }
         return Some(pass_on(answer));
       }
@@ -278,13 +278,13 @@
   let id = entry.id.clone();
   if let Err(PartError::Lost(error)) = &answer {
     let error = error.clone();
-    let lost = LostPart {
+    let lost = LostStage {
       entry,
       error,
       fingerprint: request.fingerprint(),
       sent_ms,
     };
-    note_lost(&gateway, &request, lost).await;
+    record_lost_stage(&gateway, &request, lost).await;
   }
   (id, answer)
 }
--- a/src/gateway/requests/prompt.rs
+++ b/src/gateway/requests/prompt.rs
@@ -7,7 +7,7 @@
       decisions::{Choice, Wanted},
       edge::{EndpointEntry, Part},
       parts::{KeptExport, OutgoingPart, PartError, RoutedRequest, send_part},
-      quarantine::{LostPart, note_lost, note_whole},
+      quarantine::{LostStage, record_lost_stage, record_success},
       state::Gateway,
     },
     ids::Name,
@@ -72,7 +72,7 @@
     let sent_ms = gateway.now_ms();
     match read_at(gateway, request, &entry, choice.ahead).await {
       Ok(handle) => {
-        note_whole(gateway, request, RoutedRequest::reading_fingerprint);
+        record_success(gateway, request, RoutedRequest::reading_fingerprint);
         let ttl_ms = export_ttl_ms(gateway, request);
         return PromptReading {
           arrived: true,
@@ -87,13 +87,13 @@
         );
         if let PartError::Lost(error) = &error {
           let error = format!("prompt not read: {error}");
-          let lost = LostPart {
+          let lost = LostStage {
             entry: entry.clone(),
             error,
             fingerprint: request.reading_fingerprint(),
             sent_ms,
           };
-          note_lost(gateway, request, lost).await;
+          record_lost_stage(gateway, request, lost).await;
         }
         if !error.is_unsent() {
           return PromptReading::unread(true);
--- a/src/gateway/requests/stream_send.rs
+++ b/src/gateway/requests/stream_send.rs
@@ -7,7 +7,7 @@
     edge::{EndpointEntry, Marks, Part},
     parts::{Head, KeptExport, OutgoingPart, PartError, Reservation, send_part},
     permits::Permit,
-    quarantine::{LostPart, note_lost},
+    quarantine::{LostStage, record_lost_stage},
   },
   futures_util::FutureExt,
   std::{pin::pin, time::Duration},
@@ -38,13 +38,13 @@
       Err(error) => self.note_error(entry, error, export),
     }
     if let Err(PartError::Lost(error)) = &result {
-      let lost = LostPart {
+      let lost = LostStage {
         entry: entry.clone(),
         error: error.clone(),
         fingerprint: self.request.fingerprint(),
         sent_ms,
       };
-      note_lost(&self.gateway, &self.request, lost).await;
+      record_lost_stage(&self.gateway, &self.request, lost).await;
     }
     result
   }
--- a/src/gateway/state/mod.rs
+++ b/src/gateway/state/mod.rs
@@ -14,5 +14,5 @@
 
 pub(crate) use self::{
   gateway::{Gateway, HeldLease, InFlight, Phase},
-  quarantine::{MarkOrigin, TrialClaim},
+  quarantine::{MarkOrigin, ProbeClaim},
 };
--- a/src/gateway/state/quarantine.rs
+++ b/src/gateway/state/quarantine.rs
@@ -24,7 +24,7 @@
 }
 
 /// A box wants to be the one that takes a trial.
-pub(crate) struct TrialClaim {
+pub(crate) struct ProbeClaim {
   /// The trial.
   pub(crate) key: QuarantineKey,
   /// Told whether it is this box's.
@@ -42,8 +42,8 @@
   pub(crate) changed: Notify,
   /// Told when that can't wait.
   pub(crate) pressing: Notify,
-  claims: mpsc::Sender<TrialClaim>,
-  claims_to_serve: RefCell<Option<mpsc::Receiver<TrialClaim>>>,
+  claims: mpsc::Sender<ProbeClaim>,
+  claims_to_serve: RefCell<Option<mpsc::Receiver<ProbeClaim>>>,
 }
 
 impl Default for Quarantine {
@@ -63,14 +63,14 @@
 
 impl Quarantine {
   /// The claims, for the one task that serves them.
-  pub(crate) fn take_claims(&self) -> Option<mpsc::Receiver<TrialClaim>> {
+  pub(crate) fn take_claims(&self) -> Option<mpsc::Receiver<ProbeClaim>> {
     self.claims_to_serve.take()
   }
 
   /// Asks for a trial; whether it is this box's.
   pub(crate) async fn claim(&self, key: QuarantineKey) -> bool {
     let (granted, is_granted) = oneshot::channel();
-    if self.claims.try_send(TrialClaim { granted, key }).is_err() {
+    if self.claims.try_send(ProbeClaim { granted, key }).is_err() {
       return false;
     }
     is_granted.await.unwrap_or(false)
