--- a/src/gateway/membership/mod.rs
+++ b/src/gateway/membership/mod.rs
@@ -10,7 +10,7 @@
 mod store_view;
 
 pub(crate) use self::{
-  own_entry::{end_entry, keep_entry},
+  own_entry::{maintain_entry, revoke_entry},
   relay::serve_boxes,
-  store_sync::follow_store,
+  store_sync::sync_store,
 };
--- a/src/gateway/membership/own_entry.rs
+++ b/src/gateway/membership/own_entry.rs
@@ -17,7 +17,7 @@
 const RENEW_PAUSE: Duration = Duration::from_millis(3_000);
 
 /// Keeps this box's own entry, by which the others count the boxes.
-pub(crate) async fn keep_entry<S: Store>(gateway: Rc<Gateway>, store: S) {
+pub(crate) async fn maintain_entry<S: Store>(gateway: Rc<Gateway>, store: S) {
   let ttl = Duration::from_millis(LEASE_TTL_MS.max(gateway.settings.store.least_lease_ms));
   while *gateway.phase.borrow() == Phase::Serving {
     let sent_ms = gateway.now_ms();
@@ -77,7 +77,7 @@
 }
 
 /// Gives this box's lease back, so that the others take over at once.
-pub(crate) async fn end_entry<S: Store>(gateway: &Gateway, store: &S) {
+pub(crate) async fn revoke_entry<S: Store>(gateway: &Gateway, store: &S) {
   let Some(held) = gateway.lease.take() else {
     return;
   };
--- a/src/gateway/membership/relay.rs
+++ b/src/gateway/membership/relay.rs
@@ -34,7 +34,7 @@
 
 /// What a box that is followed answers.
 #[derive(Debug, Deserialize, Serialize)]
-pub(crate) struct RelayAnswer {
+pub(crate) struct RelayResponse {
   pub(crate) changes: StoreChanges,
   /// How long ago it heard the store; nothing when it never did.
   pub(crate) store_age_ms: Option<u64>,
@@ -45,7 +45,7 @@
   http: &HttpClient,
   address: SocketAddr,
   revision: u64,
-) -> Result<RelayAnswer, CallError> {
+) -> Result<RelayResponse, CallError> {
   let request = Request::get(format!("http://{address}/changes/{revision}"))
     .body(Full::new(Bytes::new()))
     .map_err(|error| CallError::NotSent(error.to_string()))?;
@@ -90,7 +90,7 @@
     // An answer without changes says that there are none.
     let _ = timeout(FOLLOW_WAIT, gateway.change_log.wait_after(revision)).await;
   }
-  let answer = RelayAnswer {
+  let answer = RelayResponse {
     changes: gateway.change_log.after(revision),
     store_age_ms: gateway
       .store_contact_ms
--- a/src/gateway/membership/store_sync.rs
+++ b/src/gateway/membership/store_sync.rs
@@ -3,7 +3,7 @@
 use {
   super::{
     listing::{Listing, ListingKind},
-    relay::{READER_STALE_MS, RelayAnswer, follow},
+    relay::{READER_STALE_MS, RelayResponse, follow},
     store_view::StoreView,
   },
   crate::{
@@ -44,7 +44,7 @@
 const JOINT_START: Duration = Duration::from_millis(400);
 
 /// Follows the store until the process ends.
-pub(crate) async fn follow_store<S: Store>(gateway: Rc<Gateway>, store: S) {
+pub(crate) async fn sync_store<S: Store>(gateway: Rc<Gateway>, store: S) {
   let mut sync = StoreSync {
     direct_until_ms: 0,
     failed_readers: 0,
@@ -371,7 +371,7 @@
 /// What a box told that hears the store, and how long ago that heard it; nothing of one that doesn't.
 fn fresh(
   address: SocketAddr,
-  answer: Result<RelayAnswer, CallError>,
+  answer: Result<RelayResponse, CallError>,
 ) -> Option<(u64, StoreChanges)> {
   match answer {
     Ok(answer) => answer
--- a/src/gateway/process/start.rs
+++ b/src/gateway/process/start.rs
@@ -10,7 +10,7 @@
     gateway::{
       edge::{Dialect, Store},
       limits::sync_usage,
-      membership::{end_entry, follow_store, keep_entry, serve_boxes},
+      membership::{maintain_entry, revoke_entry, serve_boxes, sync_store},
       quarantine::sync_quarantine,
       requests::accept_callers,
       roles::keep_roles,
@@ -133,8 +133,8 @@
   if let Some(metrics) = ports.metrics {
     spawn_local(serve_page(gateway.clone(), metrics, OwnPage::Metrics));
   }
-  spawn_local(follow_store(gateway.clone(), store.clone()));
-  spawn_local(keep_entry(gateway.clone(), store.clone()));
+  spawn_local(sync_store(gateway.clone(), store.clone()));
+  spawn_local(maintain_entry(gateway.clone(), store.clone()));
   if gateway.settings.mechanisms.role_orders {
     spawn_local(keep_roles(gateway.clone(), store.clone()));
   }
@@ -158,7 +158,7 @@
     "E104 leaving: {} requests in progress",
     gateway.in_flight.get()
   );
-  end_entry(gateway, store).await;
+  revoke_entry(gateway, store).await;
   sleep(BALANCER_LAG).await;
   gateway.phase.send_replace(Phase::Closing);
   let last_call_ms = end_ms.saturating_sub(LAST_CALL_MS);
