--- a/src/gateway/process/start.rs
+++ b/src/gateway/process/start.rs
@@ -13,7 +13,7 @@
       membership::{maintain_entry, revoke_entry, serve_boxes, sync_store},
       quarantine::sync_quarantine,
       requests::accept_callers,
-      roles::keep_roles,
+      roles::manage_roles,
       settings::{GatewayListen, GatewaySettings},
       state::{Gateway, Phase},
     },
@@ -136,7 +136,7 @@
   spawn_local(sync_store(gateway.clone(), store.clone()));
   spawn_local(maintain_entry(gateway.clone(), store.clone()));
   if gateway.settings.mechanisms.role_orders {
-    spawn_local(keep_roles(gateway.clone(), store.clone()));
+    spawn_local(manage_roles(gateway.clone(), store.clone()));
   }
   spawn_local(accept_callers(gateway.clone(), ports.callers));
   spawn_local(serve_boxes(gateway.clone(), ports.boxes));
--- a/src/gateway/roles/mod.rs
+++ b/src/gateway/roles/mod.rs
@@ -2,6 +2,6 @@
 //!
 //! Imports `parts` and what lies below it. What to order is decided in `decisions`; the orders go out from here.
 
-mod role_steward;
+mod role_leader;
 
-pub(crate) use self::role_steward::keep_roles;
+pub(crate) use self::role_leader::manage_roles;
--- a/src/gateway/roles/role_steward.rs
+++ b/src/gateway/roles/role_leader.rs
@@ -33,8 +33,8 @@
 const WANT_PATIENCE_MS: u64 = 10_000;
 
 /// Keeps the engines' roles until the process ends.
-pub(crate) async fn keep_roles<S: Store>(gateway: Rc<Gateway>, store: S) {
-  let mut steward = RoleSteward {
+pub(crate) async fn manage_roles<S: Store>(gateway: Rc<Gateway>, store: S) {
+  let mut steward = RoleLeader {
     fence: None,
     gateway,
     pending: HashMap::new(),
@@ -60,7 +60,7 @@
   since_ms: u64,
 }
 
-struct RoleSteward<S> {
+struct RoleLeader<S> {
   gateway: Rc<Gateway>,
   store: S,
   /// This box's fencing token while it is steward.
@@ -75,7 +75,7 @@
   wanting_since_ms: HashMap<Name, u64>,
 }
 
-impl<S: Store> RoleSteward<S> {
+impl<S: Store> RoleLeader<S> {
   /// One look at the engines: tries to become steward, or orders what is due.
   async fn look(&mut self) {
     self.note_engines();
