--- a/src/gateway/limits/admission.rs
+++ b/src/gateway/limits/admission.rs
@@ -1,9 +1,9 @@
-//! Whether a request is within its organisation's limit, and its charge.
+//! Admission of a request within its organisation's limit, and its charge.
 
 use {
   super::{
-    messages::{UsageReport, report},
-    reporting::candidates,
+    messages::{UsageReport, send_usage},
+    reporting::coordinators,
   },
   crate::{
     gateway::{
@@ -16,60 +16,59 @@
   std::{rc::Rc, time::Duration},
 };
 
-/// How long a box that counts is asked. In a hall it answers within milliseconds, and within 100 ms when it has used up its
-/// share of a core; requests are wanted within some hundred.
-const ASK_LIMIT: Duration = Duration::from_millis(120);
-/// Boxes that are asked one after the other.
-const MOST_ASKED: usize = 2;
-/// The shortest time until a caller beyond the limit comes back: the counts are that old.
-const LEAST_WAIT_MS: u64 = 300;
+/// How long a request waits for a coordinator: within a hall one answers in milliseconds, and within 100 ms when it has used up
+/// its CPU quota.
+const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(120);
+/// Coordinators asked one after the other for one request.
+const MAX_COORDINATORS_ASKED: usize = 2;
+/// Shortest retry-after delay of a request over its limit: usage reports lag by about this much.
+const MIN_RETRY_AFTER_MS: u64 = 300;
 
-/// A request is beyond its organisation's limit.
+/// A request was rejected because its organisation is over its limit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct OverLimit {
-  /// When it may come back.
   pub(crate) retry_after_ms: u64,
 }
 
-/// Who counted a request.
+/// Where a request was charged.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum CountedBy {
-  /// Nobody: its organisation is not limited.
-  Nobody,
-  /// This box, which counts.
-  Book,
-  /// This box's ledger, or the box that it asked.
-  Ledger,
+enum ChargedTo {
+  /// Nowhere: its organisation has no limit.
+  Nothing,
+  /// This coordinator's usage table.
+  UsageTable,
+  /// This box's local usage, reported to a coordinator.
+  LocalUsage,
 }
 
-/// What a request was charged to its organisation.
+/// The units that a request was charged to its organisation.
 pub(crate) struct Charge {
   gateway: Rc<Gateway>,
   organisation: Name,
   units: u64,
-  counted_by: CountedBy,
+  charged_to: ChargedTo,
 }
 
 impl Charge {
-  /// The request has not run: what it was charged is there for others, and for its own second try.
+  /// Refunds the units of a request that did not run.
   pub(crate) fn refund(self) {
     let now_ms = self.gateway.now_ms();
     let units = -(self.units as i64);
-    match self.counted_by {
-      CountedBy::Nobody => {}
-      CountedBy::Book => {
-        let mut book = self.gateway.usage_table.borrow_mut();
-        book.count(&self.organisation, units, now_ms);
+    match self.charged_to {
+      ChargedTo::Nothing => {}
+      ChargedTo::UsageTable => {
+        let mut usage = self.gateway.usage_table.borrow_mut();
+        usage.count(&self.organisation, units, now_ms);
       }
-      CountedBy::Ledger => {
-        let mut ledger = self.gateway.local_usage.borrow_mut();
-        ledger.note(&self.organisation, units, now_ms);
+      ChargedTo::LocalUsage => {
+        let mut local_usage = self.gateway.local_usage.borrow_mut();
+        local_usage.note(&self.organisation, units, now_ms);
       }
     }
   }
 }
 
-/// Admits a request of an organisation if it is within the limit over all boxes.
+/// Admits and charges a request if its organisation is within its limit over all boxes.
 pub(crate) async fn admit(
   gateway: &Rc<Gateway>,
   organisation: &Organisation,
@@ -77,30 +76,30 @@
 ) -> Result<Charge, OverLimit> {
   let units = organisation.units(facts);
   let name = &organisation.name;
-  let charge = |counted_by| Charge {
-    counted_by,
+  let charge = |charged_to| Charge {
+    charged_to,
     gateway: gateway.clone(),
     organisation: name.clone(),
     units,
   };
   let Some(limit) = gateway.usage_table.borrow().limit(name) else {
-    return Ok(charge(CountedBy::Nobody));
+    return Ok(charge(ChargedTo::Nothing));
   };
-  let (verdict, counted_by) = if gateway.coordinates_usage() {
+  let (verdict, charged_to) = if gateway.coordinates_usage() {
     let now_ms = gateway.now_ms();
     let verdict = gateway.usage_table.borrow_mut().admit(name, units, now_ms);
-    (verdict, CountedBy::Book)
+    (verdict, ChargedTo::UsageTable)
   } else {
-    let verdict = admit_by_ledger(gateway, name, limit, units).await;
-    (verdict, CountedBy::Ledger)
+    let verdict = admit_by_local_usage(gateway, name, limit, units).await;
+    (verdict, ChargedTo::LocalUsage)
   };
   match verdict {
-    UseVerdict::Within => Ok(charge(counted_by)),
+    UseVerdict::Within => Ok(charge(charged_to)),
     UseVerdict::Beyond { left, wait_ms } => {
       gateway.counters.over_limit.inc();
-      log_beyond(gateway, facts, name, units, left);
-      // Those who are refused together don't come back together.
-      let spread_ms = wait_ms.max(LEAST_WAIT_MS) as f64 * (1.0 + gateway.draw());
+      log_over_limit(gateway, facts, name, units, left);
+      // Spreads the retries of requests rejected at the same time.
+      let spread_ms = wait_ms.max(MIN_RETRY_AFTER_MS) as f64 * (1.0 + gateway.draw());
       Err(OverLimit {
         retry_after_ms: spread_ms as u64,
       })
@@ -108,8 +107,8 @@
   }
 }
 
-/// Decides by what this box heard, or asks a box that counts.
-async fn admit_by_ledger(
+/// Decides from the usage that this box knows, or asks a coordinator.
+async fn admit_by_local_usage(
   gateway: &Gateway,
   name: &Name,
   limit: UseLimit,
@@ -126,39 +125,42 @@
   let local = gateway.local_usage.borrow_mut().admit(request(), way);
   match local {
     LocalVerdict::Settled(verdict) => verdict,
-    LocalVerdict::Ask => match ask(gateway, name, units).await {
+    LocalVerdict::Ask => match ask_coordinator(gateway, name, units).await {
       Some(verdict) => verdict,
       None => gateway.local_usage.borrow_mut().admit_alone(request()),
     },
   }
 }
 
-/// Asks the boxes that count; nothing when none answers in time.
-async fn ask(gateway: &Gateway, name: &Name, units: u64) -> Option<UseVerdict> {
-  for address in candidates(gateway).into_iter().take(MOST_ASKED) {
+/// Asks the coordinators for a decision; `None` when none answers in time.
+async fn ask_coordinator(gateway: &Gateway, name: &Name, units: u64) -> Option<UseVerdict> {
+  for address in coordinators(gateway)
+    .into_iter()
+    .take(MAX_COORDINATORS_ASKED)
+  {
     let used = gateway.local_usage.borrow_mut().take_untold();
     let message = UsageReport {
-      asks: Some((name.clone(), units)),
       box_name: gateway.settings.identity.name.clone(),
+      pending: Some((name.clone(), units)),
       used,
     };
-    match report(&gateway.box_calls, address, &message, ASK_LIMIT).await {
-      Ok(answer) => {
+    match send_usage(&gateway.box_calls, address, &message, COORDINATOR_TIMEOUT).await {
+      Ok(response) => {
         gateway.last_coordinator.set(Some(address));
         let now_ms = gateway.now_ms();
-        let mut ledger = gateway.local_usage.borrow_mut();
-        ledger.heard(answer.short, now_ms);
-        match answer.verdict {
-          Some(UseVerdict::Within) => ledger.note_counted(name, units, now_ms),
+        let mut local_usage = gateway.local_usage.borrow_mut();
+        local_usage.heard(response.near_limit, now_ms);
+        match response.verdict {
+          Some(UseVerdict::Within) => local_usage.note_counted(name, units, now_ms),
           Some(UseVerdict::Beyond { left, wait_ms }) => {
-            ledger.note_refused(name, left, wait_ms, now_ms);
+            local_usage.note_refused(name, left, wait_ms, now_ms);
           }
           None => {}
         }
-        return answer.verdict;
+        return response.verdict;
       }
       Err(error) => {
-        log::info!("E610 not asked: {address} on {name}: {error}");
+        log::info!("E610 coordinator {address} did not decide on {name}: {error}");
         gateway.local_usage.borrow_mut().untell(message.used);
       }
     }
@@ -167,8 +169,8 @@
   None
 }
 
-/// Says on what a refusal was decided.
-fn log_beyond(gateway: &Gateway, facts: &CallerFacts, name: &Name, units: u64, left: f64) {
+/// Logs a rejection with the data that it was based on.
+fn log_over_limit(gateway: &Gateway, facts: &CallerFacts, name: &Name, units: u64, left: f64) {
   let version = gateway.route_table().map(|table| table.version());
   let limit = gateway.usage_table.borrow().limit(name);
   let age_ms = if gateway.coordinates_usage() {
@@ -177,7 +179,7 @@
     gateway.local_usage.borrow().age_ms(gateway.now_ms())
   };
   log::info!(
-    "E608 beyond the limit: {} of {name} asks {units} units, {left:.0} left of {limit:?} in configuration {version:?}, heard {age_ms:?} ms ago",
+    "E608 over the limit: {} of {name} needs {units} units, {left:.0} remaining of {limit:?} in configuration {version:?}, usage received {age_ms:?} ms ago",
     facts.request_id.as_deref().unwrap_or("-")
   );
 }
--- a/src/gateway/limits/messages.rs
+++ b/src/gateway/limits/messages.rs
@@ -1,4 +1,4 @@
-//! What boxes tell each other of organisations' use, and the answers.
+//! Messages between boxes on organisations' usage.
 
 use {
   crate::{
@@ -18,57 +18,56 @@
   std::{net::SocketAddr, time::Duration},
 };
 
-/// The path on which a box that counts is told of use.
+/// The path on which a coordinator receives usage reports.
 pub(crate) const USAGE_PATH: &str = "/use";
-/// The path on which boxes that count tell each other their totals.
+/// The path on which coordinators exchange their totals.
 pub(crate) const TOTALS_PATH: &str = "/totals";
-/// The longest message: 4,000 organisations with names of 60 bytes.
-const MOST_BYTES: usize = 256 * 1024;
+/// Limit of a message body: room for 4,000 organisations with names of 60 bytes.
+const MAX_BODY_BYTES: usize = 256 * 1024;
 
-/// What a box tells one that counts.
+/// A box's report to a coordinator.
 #[derive(Debug, Deserialize, Serialize)]
 pub(crate) struct UsageReport {
-  /// The box.
   pub(crate) box_name: Name,
-  /// Units admitted since its last report, by organisation; below 0 when more were given back.
+  /// Units admitted since the last report, by organisation; negative when more were refunded.
   pub(crate) used: Vec<(Name, i64)>,
-  /// A request of an organisation that is short, to be counted if it is within the limit.
-  pub(crate) asks: Option<(Name, u64)>,
+  /// A request of an organisation that is near its limit, with its units: to be charged if it is within the limit.
+  pub(crate) pending: Option<(Name, u64)>,
 }
 
-/// What the box that counts answers.
+/// A coordinator's response to a report.
 #[derive(Debug, Deserialize, Serialize)]
 pub(crate) struct UsageResponse {
-  /// The organisations that are short, each with the units that are left.
-  pub(crate) short: Vec<(Name, f64)>,
-  /// What becomes of the request that was asked for.
+  /// The organisations near their limits, each with its remaining units.
+  pub(crate) near_limit: Vec<(Name, f64)>,
+  /// The decision on the request in `pending`.
   pub(crate) verdict: Option<UseVerdict>,
 }
 
-/// Tells a box that counts of use, and asks it.
-pub(super) async fn report(
+/// Sends a usage report to a coordinator.
+pub(super) async fn send_usage(
   http: &HttpClient,
   address: SocketAddr,
-  message: &UsageReport,
-  limit: Duration,
+  report: &UsageReport,
+  timeout: Duration,
 ) -> Result<UsageResponse, CallError> {
-  let body = send_message(http, address, USAGE_PATH, message, limit).await?;
+  let body = send_message(http, address, USAGE_PATH, report, timeout).await?;
   postcard::from_bytes(&body).map_err(|error| CallError::Answer(error.to_string()))
 }
 
-/// Tells another box that counts this one's totals.
-pub(super) async fn tell_totals(
+/// Sends this coordinator's totals to another one.
+pub(super) async fn send_totals(
   http: &HttpClient,
   address: SocketAddr,
   totals: &UseTotals,
-  limit: Duration,
+  timeout: Duration,
 ) -> Result<(), CallError> {
-  send_message(http, address, TOTALS_PATH, totals, limit)
+  send_message(http, address, TOTALS_PATH, totals, timeout)
     .await
     .map(drop)
 }
 
-/// Counts what another box reports, and answers it.
+/// Charges the usage that another box reports, and decides on the request that it asks for.
 pub(crate) async fn handle_usage(
   gateway: &Gateway,
   request: Request<Incoming>,
@@ -77,22 +76,22 @@
     return status_answer(StatusCode::BAD_REQUEST);
   };
   let now_ms = gateway.now_ms();
-  let mut book = gateway.usage_table.borrow_mut();
-  book.note_follower(&report.box_name, now_ms);
+  let mut usage = gateway.usage_table.borrow_mut();
+  usage.note_follower(&report.box_name, now_ms);
   for (organisation, units) in &report.used {
-    book.count(organisation, *units, now_ms);
+    usage.count(organisation, *units, now_ms);
   }
   let verdict = report
-    .asks
-    .map(|(organisation, units)| book.admit(&organisation, units, now_ms));
-  let answer = UsageResponse {
-    short: book.short(now_ms),
+    .pending
+    .map(|(organisation, units)| usage.admit(&organisation, units, now_ms));
+  let response = UsageResponse {
+    near_limit: usage.short(now_ms),
     verdict,
   };
-  message_answer(&answer)
+  message_answer(&response)
 }
 
-/// Takes over the totals of another box that counts.
+/// Applies the totals of another coordinator.
 pub(crate) async fn handle_totals(
   gateway: &Gateway,
   request: Request<Incoming>,
@@ -101,7 +100,7 @@
     return status_answer(StatusCode::BAD_REQUEST);
   };
   let now_ms = gateway.now_ms();
-  // This box's clock starts with its process.
+  // `now_ms` counts from the start of this process.
   let uptime_ms = now_ms;
   gateway
     .usage_table
@@ -111,8 +110,8 @@
 }
 
 async fn read<M: DeserializeOwned>(request: Request<Incoming>) -> Option<M> {
-  read_message(request, MOST_BYTES)
+  read_message(request, MAX_BODY_BYTES)
     .await
-    .inspect_err(|error| log::info!("E609 counts not read: {error}"))
+    .inspect_err(|error| log::info!("E609 usage message rejected: {error}"))
     .ok()
 }
--- a/src/gateway/limits/metrics.rs
+++ b/src/gateway/limits/metrics.rs
@@ -1,4 +1,4 @@
-//! Organisations' limits as a box's figures show them.
+//! Metrics of organisations' limits.
 
 use {
   crate::{
@@ -8,21 +8,21 @@
   std::fmt::Write,
 };
 
-/// Organisations that are shown: those that are nearest to their limits.
-const MOST_SHOWN: usize = 20;
+/// Organisations that are exported: those nearest to their limits.
+const MAX_ORGANISATIONS: usize = 20;
 
-/// What is left of organisations' limits as text, a line each; only the head on a box that does not count.
+/// The remaining units of organisations' limits as text, one line each; a box that is no coordinator exports only the first line.
 pub(crate) fn limit_metrics(gateway: &Gateway) -> String {
-  let counts = gateway.coordinates_usage();
-  let mut text = format!("rillford_counts_use {}\n", u8::from(counts));
-  if !counts {
+  let is_coordinator = gateway.coordinates_usage();
+  let mut text = format!("rillford_counts_use {}\n", u8::from(is_coordinator));
+  if !is_coordinator {
     return text;
   }
-  for (name, left, limit) in nearest_to_limits(gateway) {
-    // Writing to a string does not fail.
+  for (name, remaining, limit) in nearest_to_limits(gateway) {
+    // Writing to a `String` cannot fail.
     let _ = writeln!(
       text,
-      "rillford_limit_left_units{{organisation=\"{name}\",rate_per_s=\"{:.0}\",burst=\"{:.0}\"}} {left:.0}",
+      "rillford_limit_left_units{{organisation=\"{name}\",rate_per_s=\"{:.0}\",burst=\"{:.0}\"}} {remaining:.0}",
       limit.rate_per_s, limit.burst
     );
   }
@@ -32,12 +32,12 @@
 fn nearest_to_limits(gateway: &Gateway) -> Vec<(Name, f64, UseLimit)> {
   let now_ms = gateway.now_ms();
   let mut all = gateway.usage_table.borrow_mut().standings(now_ms);
-  let left_share = |left: f64, limit: UseLimit| left / limit.burst.max(1.0);
+  let remaining_share = |remaining: f64, limit: UseLimit| remaining / limit.burst.max(1.0);
   all.sort_by(|one, other| {
-    left_share(one.1, one.2)
-      .total_cmp(&left_share(other.1, other.2))
+    remaining_share(one.1, one.2)
+      .total_cmp(&remaining_share(other.1, other.2))
       .then_with(|| one.0.cmp(&other.0))
   });
-  all.truncate(MOST_SHOWN);
+  all.truncate(MAX_ORGANISATIONS);
   all
 }
--- a/src/gateway/limits/mod.rs
+++ b/src/gateway/limits/mod.rs
@@ -1,7 +1,7 @@
-//! Organisations' limits over all boxes: what boxes tell each other of use, and the admission of a request.
+//! Organisations' rate limits over all boxes: usage reports between boxes, and the admission of a request.
 //!
-//! Imports the folders up to `state`. What is decided stands in `decisions`: `use_book` for boxes that count, `use_ledger`
-//! for the others.
+//! Imports the folders up to `state`. The accounting is in `decisions`: `use_book` on coordinators, `use_ledger` on all other
+//! boxes.
 
 mod admission;
 mod messages;
--- a/src/gateway/limits/reporting.rs
+++ b/src/gateway/limits/reporting.rs
@@ -1,7 +1,7 @@
-//! A box's regular word on use: to a box that counts, or to the others that do.
+//! Periodic usage reports: from each box to a coordinator, and between coordinators.
 
 use {
-  super::messages::{UsageReport, report, tell_totals},
+  super::messages::{UsageReport, send_totals, send_usage},
   crate::gateway::{
     decisions::{ToldSpan, UseTotals},
     state::Gateway,
@@ -11,102 +11,105 @@
   tokio::time::sleep,
 };
 
-/// Pause between a box's messages: what is admitted elsewhere meanwhile may go beyond a limit.
-const PAUSE: Duration = Duration::from_millis(150);
-/// Every so many turns a box that counts tells all its totals.
-const WHOLE_TURNS: u32 = 10;
-/// A box with nothing to tell skips so many turns, and still hears often enough not to count as alone.
-const IDLE_TURNS: u32 = 3;
-/// A box that has not answered for this long is passed over: one that has used up its share of a core answers within 100 ms.
-const TELL_LIMIT: Duration = Duration::from_millis(200);
+/// Interval between a box's reports; usage admitted elsewhere within it may exceed a limit.
+const REPORT_INTERVAL: Duration = Duration::from_millis(150);
+/// A coordinator sends all of its totals every this many rounds, and only changed ones in between.
+const FULL_TOTALS_ROUNDS: u32 = 10;
+/// A box without new usage reports only every this many rounds, still often enough not to count as isolated.
+const IDLE_ROUNDS: u32 = 3;
+/// How long a coordinator may take; one that has used up its CPU quota answers within 100 ms.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(200);
+/// Coordinators tried one after the other until one answers: both of the own hall, and one of another hall.
+const MAX_REPORT_ATTEMPTS: usize = 3;
 
-/// Boxes that are told one after the other, until one answers: both of the hall, and one of another hall.
-const MOST_TOLD: usize = 3;
-
-/// Tells of use until the process ends; nothing is sent while no organisation is limited.
+/// Reports usage until the process exits; sends nothing while no organisation has a limit.
 pub(crate) async fn sync_usage(gateway: Rc<Gateway>) {
-  // The first word comes at once: a box that has not heard asks for each request.
-  let mut idle_turns = IDLE_TURNS;
-  let mut turn = 0_u32;
+  // The first report goes out at once: a box without a response asks a coordinator for each request.
+  let mut idle_rounds = IDLE_ROUNDS;
+  let mut round = 0_u32;
   loop {
-    sleep(PAUSE).await;
+    sleep(REPORT_INTERVAL).await;
     if gateway.usage_table.borrow().is_empty() || !gateway.settings.limits.way.is_told() {
       continue;
     }
     if gateway.is_coordinator() {
-      let span = match turn % WHOLE_TURNS {
+      let span = match round % FULL_TOTALS_ROUNDS {
         0 => ToldSpan::All,
         _ => ToldSpan::Changes,
       };
-      turn = turn.wrapping_add(1);
-      tell_the_others(&gateway, span).await;
+      round = round.wrapping_add(1);
+      exchange_totals(&gateway, span).await;
       continue;
     }
     let is_busy = gateway.local_usage.borrow().is_busy();
-    idle_turns = if is_busy { 0 } else { idle_turns + 1 };
-    if is_busy || idle_turns >= IDLE_TURNS {
-      idle_turns = 0;
-      tell_one_that_counts(&gateway).await;
+    idle_rounds = if is_busy { 0 } else { idle_rounds + 1 };
+    if is_busy || idle_rounds >= IDLE_ROUNDS {
+      idle_rounds = 0;
+      report_usage(&gateway).await;
     }
   }
 }
 
-/// Sends this box's totals to the others that count.
-async fn tell_the_others(gateway: &Gateway, span: ToldSpan) {
+/// Sends this box's totals to all other coordinators.
+async fn exchange_totals(gateway: &Gateway, span: ToldSpan) {
   let name = gateway.settings.identity.name.clone();
   let (addresses, names) = {
     let boxes = gateway.boxes.borrow();
     (boxes.other_counting(&name), boxes.counting_names())
   };
   let totals = {
-    let mut book = gateway.usage_table.borrow_mut();
-    book.set_counting(|peer| names.iter().any(|name| &**name == peer));
+    let mut usage = gateway.usage_table.borrow_mut();
+    usage.set_counting(|peer| names.iter().any(|name| &**name == peer));
     let now_ms = gateway.now_ms();
-    book.set_box_count(gateway.box_count(), now_ms);
+    usage.set_box_count(gateway.box_count(), now_ms);
     UseTotals {
       box_name: name,
-      followers: book.follower_count(now_ms),
+      followers: usage.follower_count(now_ms),
       incarnation: gateway.incarnation,
-      totals: book.totals_to_tell(span),
+      totals: usage.totals_to_tell(span),
       uptime_ms: now_ms,
     }
   };
   let totals = &totals;
-  let told = addresses.into_iter().map(|address| async move {
-    if let Err(error) = tell_totals(&gateway.box_calls, address, totals, TELL_LIMIT).await {
-      log::debug!("totals not told to {address}: {error}");
+  let calls = addresses.into_iter().map(|address| async move {
+    if let Err(error) = send_totals(&gateway.box_calls, address, totals, REPORT_TIMEOUT).await {
+      log::debug!("totals not sent to {address}: {error}");
     }
   });
-  join_all(told).await;
+  join_all(calls).await;
 }
 
-/// Reports to the first box that counts and answers.
-async fn tell_one_that_counts(gateway: &Gateway) {
-  let untold = gateway.local_usage.borrow_mut().take_untold();
-  let message = UsageReport {
-    asks: None,
+/// Reports this box's usage to the first coordinator that answers.
+async fn report_usage(gateway: &Gateway) {
+  let unreported = gateway.local_usage.borrow_mut().take_untold();
+  let report = UsageReport {
     box_name: gateway.settings.identity.name.clone(),
-    used: untold,
+    pending: None,
+    used: unreported,
   };
-  for address in candidates(gateway).into_iter().take(MOST_TOLD) {
-    match report(&gateway.box_calls, address, &message, TELL_LIMIT).await {
-      Ok(answer) => {
+  for address in coordinators(gateway).into_iter().take(MAX_REPORT_ATTEMPTS) {
+    match send_usage(&gateway.box_calls, address, &report, REPORT_TIMEOUT).await {
+      Ok(response) => {
         let now_ms = gateway.now_ms();
         gateway.last_coordinator.set(Some(address));
-        gateway.local_usage.borrow_mut().heard(answer.short, now_ms);
+        gateway
+          .local_usage
+          .borrow_mut()
+          .heard(response.near_limit, now_ms);
         return;
       }
-      Err(error) => log::debug!("use not told to {address}: {error}"),
+      Err(error) => log::debug!("usage not reported to {address}: {error}"),
     }
   }
-  // It may have been counted all the same; counted twice it is on the safe side of the limit.
-  let mut ledger = gateway.local_usage.borrow_mut();
-  ledger.untell(message.used);
-  ledger.note_unreached();
+  // A coordinator may have charged the report although its response was lost. Reported again it is charged twice, which errs
+  // towards rejecting.
+  let mut local_usage = gateway.local_usage.borrow_mut();
+  local_usage.untell(report.used);
+  local_usage.note_unreached();
 }
 
-/// The boxes that count, the one that answered last before all others.
-pub(super) fn candidates(gateway: &Gateway) -> Vec<SocketAddr> {
+/// The coordinators in the order in which to try them: first the one that answered last.
+pub(super) fn coordinators(gateway: &Gateway) -> Vec<SocketAddr> {
   let identity = &gateway.settings.identity;
   let boxes = gateway.boxes.borrow();
   let mut addresses = boxes.counting_for(&identity.name, &identity.hall);
