--- a/src/gateway/permits/acquisition.rs
+++ b/src/gateway/permits/acquisition.rs
@@ -1,9 +1,9 @@
-//! Taking a permit for a request at an endpoint that names a limit.
+//! Acquires a permit for a request to an endpoint that advertises a limit.
 
 use {
   super::{
     cold_span_message::ColdSpanMessage,
-    messages::{PermitRequestMessage, PermitResponse, ask_for_permits, give_out},
+    messages::{PermitRequestMessage, PermitResponse, grant_permits, request_permits},
     relayed_limit::RelayedLimit,
   },
   crate::{
@@ -20,58 +20,58 @@
   std::{fmt, net::SocketAddr, time::Duration},
 };
 
-/// How long the box that counts is asked. In a hall it answers within milliseconds, and within 100 ms when it has used up its
-/// share of a core.
-const ASK_LIMIT: Duration = Duration::from_millis(120);
-/// A box that neither counts nor goes on alone looks again for the one that counts after this time.
-const NOT_ALONE_WAIT_MS: u64 = 1_000;
+/// How long a request waits for the coordinator: within a hall it answers in milliseconds, and within 100 ms when it has used up
+/// its CPU quota.
+const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(120);
+/// Time after which an isolated box that may not grant permits asks the coordinator again.
+const COORDINATOR_RETRY_MS: u64 = 1_000;
 
-/// Who wants a permit.
+/// The request that needs a permit.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PermitCaller<'a> {
-  /// The request's id, for logs.
+  /// The request ID, for logs.
   pub(crate) request: &'a str,
-  /// 0 goes first.
+  /// 0 is the most urgent.
   pub(crate) priority: u8,
 }
 
-/// What a request has at an endpoint.
+/// A request's permission to be sent to an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Permit {
-  /// The endpoint named no limit when it was looked for.
+  /// The endpoint advertised no limit.
   NotNeeded,
-  /// A permit that was counted for all boxes.
+  /// A permit was taken from the endpoint's limit.
   Taken,
 }
 
-/// Who decided on a permit.
+/// The box that decided on a permit.
 #[derive(Clone, Copy, Debug)]
 enum DecidedBy {
-  /// This box, which counts for all.
-  Own,
-  /// The box that counts.
-  Box(SocketAddr),
-  /// This box alone.
-  Alone,
+  /// This box, as the endpoint's coordinator.
+  Local,
+  /// The endpoint's coordinator.
+  Coordinator(SocketAddr),
+  /// This box, cut off from the coordinator.
+  Isolated,
 }
 
 impl fmt::Display for DecidedBy {
   fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
     match self {
-      Self::Own => write!(formatter, "this box for all"),
-      Self::Box(address) => write!(formatter, "{address} for all"),
-      Self::Alone => write!(formatter, "this box alone"),
+      Self::Local => write!(formatter, "this box as coordinator"),
+      Self::Coordinator(address) => write!(formatter, "coordinator {address}"),
+      Self::Isolated => write!(formatter, "this box, isolated"),
     }
   }
 }
 
-/// Takes a permit for a request. Fails when there is none: the request has to go elsewhere.
+/// Acquires a permit for a request. Fails when none is available: the request has to go to another endpoint.
 pub(crate) async fn acquire_permit(
   gateway: &Gateway,
   entry: &EndpointEntry,
   caller: PermitCaller<'_>,
 ) -> Result<Permit, Unavailable> {
-  let Some(heard) = limit_at(gateway, entry) else {
+  let Some(limit) = effective_limit(gateway, entry) else {
     return Ok(Permit::NotNeeded);
   };
   let now_ms = gateway.now_ms();
@@ -94,12 +94,12 @@
       unused,
     },
   };
-  let (verdict, decided_by) = decide(gateway, entry, heard, &permit_request).await;
+  let (verdict, decided_by) = decide(gateway, entry, limit, &permit_request).await;
   let now_ms = gateway.now_ms();
-  let Some(heard) = limit_at(gateway, entry) else {
+  let Some(limit) = effective_limit(gateway, entry) else {
     return Ok(Permit::NotNeeded);
   };
-  log_verdict(gateway, entry, caller, heard, verdict, decided_by);
+  log_verdict(gateway, entry, caller, limit, verdict, decided_by);
   gateway
     .endpoints
     .borrow_mut()
@@ -115,24 +115,27 @@
   }
 }
 
-/// A permit was not used: the endpoint never saw the request.
+/// Returns a permit whose request did not reach the endpoint.
 pub(crate) fn return_permit(gateway: &Gateway, entry: &EndpointEntry) {
   let now_ms = gateway.now_ms();
-  let mut book = gateway.endpoints.borrow_mut();
-  book.limits_mut().permits().give_back(&entry.id, now_ms);
+  let mut endpoints = gateway.endpoints.borrow_mut();
+  endpoints
+    .limits_mut()
+    .permits()
+    .give_back(&entry.id, now_ms);
 }
 
-/// The limit that is in force at an endpoint.
-fn limit_at(gateway: &Gateway, entry: &EndpointEntry) -> Option<HeardLimit> {
+/// The limit in force at an endpoint: advertised, or that of a cold endpoint.
+fn effective_limit(gateway: &Gateway, entry: &EndpointEntry) -> Option<HeardLimit> {
   let now_ms = gateway.now_ms();
   gateway.endpoints.borrow().limits().in_force(entry, now_ms)
 }
 
-/// Decides as the box that counts, asks it, or goes on alone.
+/// Decides as the coordinator, asks it, or decides in isolation when it does not answer.
 async fn decide(
   gateway: &Gateway,
   entry: &EndpointEntry,
-  heard: HeardLimit,
+  limit: HeardLimit,
   permit_request: &PermitRequest,
 ) -> (PermitVerdict, DecidedBy) {
   let life = EndpointLife::of(&entry.id, entry.born_ms);
@@ -146,22 +149,22 @@
   if let Some((name, address)) = order.first() {
     if name == own_name {
       return (
-        give_out(gateway, life, heard.per_s, permit_request),
-        DecidedBy::Own,
+        grant_permits(gateway, life, limit.per_s, permit_request),
+        DecidedBy::Local,
       );
     }
-    if let Some(answer) = ask(gateway, *address, entry, permit_request).await {
-      return (answer.verdict, DecidedBy::Box(*address));
+    if let Some(response) = ask_coordinator(gateway, *address, entry, permit_request).await {
+      return (response.verdict, DecidedBy::Coordinator(*address));
     }
   }
   (
-    decide_alone(gateway, life, heard, permit_request, &order),
-    DecidedBy::Alone,
+    decide_isolated(gateway, life, limit, permit_request, &order),
+    DecidedBy::Isolated,
   )
 }
 
-/// Asks the box that counts, and takes over its word on the limit; nothing when it does not answer, or did not a moment ago.
-async fn ask(
+/// Asks the coordinator, and records the limit that it knows; `None` when it does not answer, or recently failed to.
+async fn ask_coordinator(
   gateway: &Gateway,
   address: SocketAddr,
   entry: &EndpointEntry,
@@ -175,15 +178,16 @@
     return None;
   }
   let now_ms = gateway.now_ms();
-  let (named, cold) = {
-    let book = gateway.endpoints.borrow();
-    let limits = book.limits();
+  let (advertised, cold) = {
+    let endpoints = gateway.endpoints.borrow();
+    let limits = endpoints.limits();
     (
       limits.heard(entry),
       limits.cold_span(&entry.id, entry.born_ms, now_ms),
     )
   };
-  let question = PermitRequestMessage {
+  let message = PermitRequestMessage {
+    advertised: advertised.map(|limit| RelayedLimit::new(limit, now_ms)),
     box_name: permit_request.box_name.clone(),
     born_ms: entry.born_ms,
     cold: cold.map(|span| ColdSpanMessage::new(span, now_ms)),
@@ -191,23 +195,23 @@
     hall: entry.hall.clone(),
     permits: permit_request.permits,
     priority: permit_request.priority,
-    told: named.map(|named| RelayedLimit::new(named, now_ms)),
     unused: permit_request.unused,
   };
-  let asked = ask_for_permits(&gateway.box_calls, address, &question, ASK_LIMIT).await;
+  let result = request_permits(&gateway.box_calls, address, &message, COORDINATOR_TIMEOUT).await;
   let now_ms = gateway.now_ms();
-  match asked {
-    Ok(answer) => {
-      if let Some(told) = answer.told {
-        let mut book = gateway.endpoints.borrow_mut();
-        let limits = book.limits_mut();
-        limits.note_told(&entry.id, entry.born_ms, told.heard(now_ms));
+  match result {
+    Ok(response) => {
+      if let Some(advertised) = response.advertised {
+        let mut endpoints = gateway.endpoints.borrow_mut();
+        let limits = endpoints.limits_mut();
+        let limit = advertised.on_local_clock(now_ms);
+        limits.note_told(&entry.id, entry.born_ms, limit);
       }
-      Some(answer)
+      Some(response)
     }
     Err(error) => {
       log::info!(
-        "E545 permits not asked for: {address} on {}: {error}",
+        "E545 permit request to {address} for {} failed: {error}",
         entry.id
       );
       gateway
@@ -219,20 +223,20 @@
   }
 }
 
-/// Decides without the box that counts. A few boxes do, each with a part of the limit; the others send nothing there, since nobody
-/// knows how many they are.
-fn decide_alone(
+/// Decides without the coordinator. A few boxes may, each with a share of the limit; all others send nothing there, because a share
+/// can't be computed for an unknown number of isolated boxes.
+fn decide_isolated(
   gateway: &Gateway,
   life: EndpointLife,
-  heard: HeardLimit,
+  limit: HeardLimit,
   permit_request: &PermitRequest,
   order: &[(Name, SocketAddr)],
 ) -> PermitVerdict {
   let own_name = &gateway.settings.identity.name;
-  let goes_on = order.iter().skip(1).any(|(name, _)| name == own_name) || order.is_empty();
-  let Some(per_s) = heard.per_s.filter(|_| goes_on) else {
+  let may_grant = order.iter().skip(1).any(|(name, _)| name == own_name) || order.is_empty();
+  let Some(per_s) = limit.per_s.filter(|_| may_grant) else {
     return PermitVerdict::Refused {
-      wait_ms: NOT_ALONE_WAIT_MS,
+      wait_ms: COORDINATOR_RETRY_MS,
     };
   };
   let permit_request = PermitRequest {
@@ -248,35 +252,36 @@
   )
 }
 
-fn no_permit(gateway: &Gateway, left_ms: u64) -> Unavailable {
+fn no_permit(gateway: &Gateway, wait_ms: u64) -> Unavailable {
   gateway.counters.without_permit.inc();
-  Unavailable::NoPermit { left_ms }
+  Unavailable::NoPermit { left_ms: wait_ms }
 }
 
-/// Says why a request goes to an endpoint, or not: which figure, who heard it, how old it is, who decided.
+/// Logs a decision with the limit, its source and age, and the box that decided.
 fn log_verdict(
   gateway: &Gateway,
   entry: &EndpointEntry,
   caller: PermitCaller,
-  heard: HeardLimit,
+  limit: HeardLimit,
   verdict: PermitVerdict,
   decided_by: DecidedBy,
 ) {
   let PermitCaller { request, priority } = caller;
-  let HeardLimit { per_s, source, .. } = heard;
+  let HeardLimit { per_s, source, .. } = limit;
   let per_s = per_s.unwrap_or_default();
-  let age_ms = gateway.now_ms().saturating_sub(heard.heard_ms);
+  let age_ms = gateway.now_ms().saturating_sub(limit.heard_ms);
   let id = &entry.id;
-  let limit = format!("limit {per_s} heard by {source:?} {age_ms} ms ago, decided by {decided_by}");
+  let basis =
+    format!("limit {per_s} per second from {source:?} {age_ms} ms ago, decided by {decided_by}");
   match verdict {
     PermitVerdict::Granted(permits) => {
       log::info!(
-        "E544 permit: {request} (priority {priority}) at {id}, {permits} permits, {limit}"
+        "E544 permit: {request} (priority {priority}) at {id}, {permits} permits, {basis}"
       );
     }
     PermitVerdict::Refused { wait_ms } => {
       log::info!(
-        "E543 no permit: {request} (priority {priority}) at {id} for {wait_ms} ms, {limit}"
+        "E543 no permit: {request} (priority {priority}) at {id} for {wait_ms} ms, {basis}"
       );
     }
   }
--- a/src/gateway/permits/announcement.rs
+++ b/src/gateway/permits/announcement.rs
@@ -1,4 +1,5 @@
-//! Telling other boxes of an endpoint that comes to name a limit: each of them would send it one request before it hears so.
+//! Announces an endpoint's new limit to the other boxes, which would otherwise learn it only from a response to a request of their
+//! own.
 
 use {
   super::relayed_limit::RelayedLimit,
@@ -19,116 +20,118 @@
   tokio::task::spawn_local,
 };
 
-/// The path on which a box is told that an endpoint names a limit.
+/// The path on which a box receives announcements of limits.
 pub(crate) const LIMITS_PATH: &str = "/limits";
-/// The longest message: a name and some numbers.
-const MOST_BYTES: usize = 4 * 1024;
-/// A box that does not answer in this time hears of the limit in the endpoint's own answer.
-const TELL_LIMIT: Duration = Duration::from_millis(200);
+/// Limit of a message body: a name and some numbers.
+const MAX_BODY_BYTES: usize = 4 * 1024;
+/// How long an announcement may take; a box that misses it learns the limit from the endpoint's next response.
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What a box tells of an endpoint that comes to name a limit.
+/// Announces that an endpoint has begun to advertise a limit.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct LimitAnnouncement {
   endpoint: Name,
   born_ms: Option<u64>,
-  told: RelayedLimit,
-  /// Whether a reader tells it on to the boxes of its hall; these tell nobody.
-  is_told_on: bool,
+  limit: RelayedLimit,
+  /// Whether a store reader forwarded it to the boxes of its hall, which do not forward it again.
+  is_forwarded: bool,
 }
 
-/// Tells others that this box heard an endpoint begin to name a limit; nobody waits for it.
+/// Announces a limit that an endpoint has begun to advertise to this box; does not wait for the calls.
 pub(crate) fn announce_limit(gateway: &Rc<Gateway>, endpoint: &Name, born_ms: Option<u64>) {
-  let heard = gateway
+  let limit = gateway
     .endpoints
     .borrow()
     .limits()
     .heard_of(endpoint, born_ms);
-  let Some(heard) = heard else {
+  let Some(limit) = limit else {
     return;
   };
   let own_name = &gateway.settings.identity.name;
-  let (all, own_hall) = {
+  let (coordinators, own_hall) = {
     let boxes = gateway.boxes.borrow();
     (boxes.other_counting(own_name), boxes.told_on_by(own_name))
   };
   let message = LimitAnnouncement {
     born_ms,
     endpoint: endpoint.clone(),
-    is_told_on: false,
-    told: RelayedLimit::new(heard, gateway.now_ms()),
+    is_forwarded: false,
+    limit: RelayedLimit::new(limit, gateway.now_ms()),
   };
-  tell(gateway, all, &message);
-  tell_on(gateway, own_hall, message);
+  send(gateway, coordinators, &message);
+  forward(gateway, own_hall, message);
 }
 
-fn tell_on(gateway: &Rc<Gateway>, addresses: Vec<SocketAddr>, message: LimitAnnouncement) {
+fn forward(gateway: &Rc<Gateway>, addresses: Vec<SocketAddr>, message: LimitAnnouncement) {
   let message = LimitAnnouncement {
-    is_told_on: true,
+    is_forwarded: true,
     ..message
   };
-  tell(gateway, addresses, &message);
+  send(gateway, addresses, &message);
 }
 
-fn tell(gateway: &Rc<Gateway>, addresses: Vec<SocketAddr>, message: &LimitAnnouncement) {
+fn send(gateway: &Rc<Gateway>, addresses: Vec<SocketAddr>, message: &LimitAnnouncement) {
   for address in addresses {
     let (gateway, message) = (gateway.clone(), message.clone());
     spawn_local(async move {
       let http = &gateway.box_calls;
-      if let Err(error) = send_message(http, address, LIMITS_PATH, &message, TELL_LIMIT).await {
-        log::debug!("a limit was not told to {address}: {error}");
+      if let Err(error) = send_message(http, address, LIMITS_PATH, &message, ANNOUNCE_TIMEOUT).await
+      {
+        log::debug!("limit not announced to {address}: {error}");
       }
     });
   }
 }
 
-/// Takes over what another box tells, and tells it on in this box's hall when it is new and that is this box's part.
+/// Records a limit that another box announces; a store reader forwards a new one to its hall.
 pub(crate) async fn handle_limit(
   gateway: &Rc<Gateway>,
   request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-  match read_message::<LimitAnnouncement>(request, MOST_BYTES).await {
+  match read_message::<LimitAnnouncement>(request, MAX_BODY_BYTES).await {
     Ok(message) => {
-      hear_told(gateway, message);
+      receive_announcement(gateway, message);
       status_answer(StatusCode::OK)
     }
     Err(error) => {
-      log::info!("E609 an endpoint's limit not read: {error}");
+      log::info!("E609 limit announcement rejected: {error}");
       status_answer(StatusCode::BAD_REQUEST)
     }
   }
 }
 
-fn hear_told(gateway: &Rc<Gateway>, message: LimitAnnouncement) {
+fn receive_announcement(gateway: &Rc<Gateway>, message: LimitAnnouncement) {
   let now_ms = gateway.now_ms();
   let LimitAnnouncement {
     endpoint, born_ms, ..
   } = &message;
-  let told = message.told.heard(now_ms);
-  if note_told(gateway, endpoint, *born_ms, told) == LimitNews::Begins && !message.is_told_on {
+  let limit = message.limit.on_local_clock(now_ms);
+  let change = record_relayed_limit(gateway, endpoint, *born_ms, limit);
+  if change == LimitNews::Begins && !message.is_forwarded {
     let addresses = {
       let boxes = gateway.boxes.borrow();
       boxes.told_on_by(&gateway.settings.identity.name)
     };
-    let told = RelayedLimit::new(told, now_ms);
-    tell_on(gateway, addresses, LimitAnnouncement { told, ..message });
+    let limit = RelayedLimit::new(limit, now_ms);
+    forward(gateway, addresses, LimitAnnouncement { limit, ..message });
   }
 }
 
-/// Takes over a word that another box heard, and says so where it begins.
-pub(super) fn note_told(
+/// Records a limit that another box received, and logs it when it is new.
+pub(super) fn record_relayed_limit(
   gateway: &Gateway,
   endpoint: &Name,
   born_ms: Option<u64>,
-  told: HeardLimit,
+  limit: HeardLimit,
 ) -> LimitNews {
-  let mut book = gateway.endpoints.borrow_mut();
-  let news = book.limits_mut().note_told(endpoint, born_ms, told);
-  if news == LimitNews::Begins {
+  let mut endpoints = gateway.endpoints.borrow_mut();
+  let change = endpoints.limits_mut().note_told(endpoint, born_ms, limit);
+  if change == LimitNews::Begins {
     log::info!(
-      "E540 names a limit: {endpoint} born {born_ms:?} takes {} requests a second of all boxes, as another box heard {} ms ago",
-      told.per_s.unwrap_or_default(),
-      gateway.now_ms().saturating_sub(told.heard_ms)
+      "E540 limit advertised: {endpoint} started {born_ms:?} takes {} requests per second from all boxes, received by another box {} ms ago",
+      limit.per_s.unwrap_or_default(),
+      gateway.now_ms().saturating_sub(limit.heard_ms)
     );
   }
-  news
+  change
 }
--- a/src/gateway/permits/cold_span_message.rs
+++ b/src/gateway/permits/cold_span_message.rs
@@ -1,34 +1,33 @@
-//! For how long an endpoint is cold, on its way between boxes.
+//! The cold period of an endpoint, as boxes send it to each other.
 
 use {
   crate::gateway::decisions::ColdSpan,
   serde::{Deserialize, Serialize},
 };
 
-/// A span as a box knows it.
+/// A cold period, independent of a box's clock.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(super) struct ColdSpanMessage {
-  /// Requests a second that the endpoint carries.
+  /// Requests per second that the endpoint sustains while cold.
   per_s: f64,
-  /// How much longer it is cold.
-  left_ms: u64,
+  /// Remaining time.
+  remaining_ms: u64,
 }
 
 impl ColdSpanMessage {
-  /// A span that is known here.
   pub(super) fn new(span: ColdSpan, now_ms: u64) -> Self {
     Self {
-      left_ms: span.until_ms.saturating_sub(now_ms),
+      remaining_ms: span.until_ms.saturating_sub(now_ms),
       per_s: span.per_s,
     }
   }
 
-  /// It on the clock of the box that is told.
-  pub(super) fn span(self, now_ms: u64) -> ColdSpan {
+  /// The period on the clock of the receiving box.
+  pub(super) fn on_local_clock(self, now_ms: u64) -> ColdSpan {
     ColdSpan {
       noted_ms: now_ms,
       per_s: self.per_s.max(0.0),
-      until_ms: now_ms.saturating_add(self.left_ms),
+      until_ms: now_ms.saturating_add(self.remaining_ms),
     }
   }
 }
--- a/src/gateway/permits/messages.rs
+++ b/src/gateway/permits/messages.rs
@@ -1,8 +1,9 @@
-//! What boxes ask each other for permits at endpoints, and the answers.
+//! Messages between boxes on permits.
 
 use {
   super::{
-    announcement::note_told, cold_span_message::ColdSpanMessage, relayed_limit::RelayedLimit,
+    announcement::record_relayed_limit, cold_span_message::ColdSpanMessage,
+    relayed_limit::RelayedLimit,
   },
   crate::{
     CallError, HttpClient,
@@ -21,94 +22,96 @@
   std::{net::SocketAddr, time::Duration},
 };
 
-/// The path on which the box that counts an endpoint's requests is asked for permits.
+/// The path on which an endpoint's coordinator receives permit requests.
 pub(crate) const PERMITS_PATH: &str = "/permits";
-/// The longest question: two names and some numbers.
-const MOST_BYTES: usize = 4 * 1024;
+/// Limit of a message body: two names and some numbers.
+const MAX_BODY_BYTES: usize = 4 * 1024;
 
-/// A question for permits.
+/// A request for permits, with what the requesting box knows of the endpoint.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(super) struct PermitRequestMessage {
   pub(super) box_name: Name,
   pub(super) endpoint: Name,
   pub(super) born_ms: Option<u64>,
   pub(super) hall: Name,
-  /// The endpoint's own word; nothing when it has named no limit.
-  pub(super) told: Option<RelayedLimit>,
-  /// Nothing when it is warm, as far as the box that asks knows.
+  /// The limit that the endpoint advertised; `None` when it advertised none.
+  pub(super) advertised: Option<RelayedLimit>,
+  /// `None` when the endpoint is warm as far as the requesting box knows.
   pub(super) cold: Option<ColdSpanMessage>,
   pub(super) permits: u32,
+  /// Permits of the last grant that were not used.
   pub(super) unused: u32,
+  /// 0 is the most urgent.
   pub(super) priority: u8,
 }
 
-/// What the box that counts answers.
+/// The coordinator's response.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub(super) struct PermitResponse {
   pub(super) verdict: PermitVerdict,
-  /// The endpoint's newest word that it knows.
-  pub(super) told: Option<RelayedLimit>,
+  /// The latest limit of the endpoint that the coordinator knows.
+  pub(super) advertised: Option<RelayedLimit>,
 }
 
-/// Asks the box that counts.
-pub(super) async fn ask_for_permits(
+/// Requests permits from an endpoint's coordinator.
+pub(super) async fn request_permits(
   http: &HttpClient,
   address: SocketAddr,
-  question: &PermitRequestMessage,
-  limit: Duration,
+  request: &PermitRequestMessage,
+  timeout: Duration,
 ) -> Result<PermitResponse, CallError> {
-  let answer = send_message(http, address, PERMITS_PATH, question, limit).await?;
-  postcard::from_bytes(&answer).map_err(|error| CallError::Answer(error.to_string()))
+  let body = send_message(http, address, PERMITS_PATH, request, timeout).await?;
+  postcard::from_bytes(&body).map_err(|error| CallError::Answer(error.to_string()))
 }
 
-/// Answers another box's question; with 409 where another box counts, as far as this one knows.
+/// Handles another box's request for permits; responds with 409 when this box is not the endpoint's coordinator.
 pub(crate) async fn handle_permits(
   gateway: &Gateway,
   request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-  match read_message(request, MOST_BYTES).await {
-    Ok(question) if !counts_for(gateway, &question) => status_answer(StatusCode::CONFLICT),
-    Ok(question) => message_answer(&answer_question(gateway, &question)),
+  match read_message(request, MAX_BODY_BYTES).await {
+    Ok(message) if !is_coordinator_of(gateway, &message) => status_answer(StatusCode::CONFLICT),
+    Ok(message) => message_answer(&respond(gateway, &message)),
     Err(error) => {
-      log::info!("E609 question for permits not read: {error}");
+      log::info!("E609 permit request rejected: {error}");
       status_answer(StatusCode::BAD_REQUEST)
     }
   }
 }
 
-/// Whether this box is the one that counts an endpoint's requests.
-fn counts_for(gateway: &Gateway, question: &PermitRequestMessage) -> bool {
+/// Whether this box grants the permits of the requested endpoint.
+fn is_coordinator_of(gateway: &Gateway, message: &PermitRequestMessage) -> bool {
   let boxes = gateway.boxes.borrow();
-  let order = endpoint_order(&boxes, &question.endpoint, &question.hall, 1);
+  let order = endpoint_order(&boxes, &message.endpoint, &message.hall, 1);
   let is_first = order
     .first()
     .is_some_and(|(name, _)| *name == gateway.settings.identity.name);
   is_first && gateway.settings.mechanisms.endpoint_limits
 }
 
-fn answer_question(gateway: &Gateway, question: &PermitRequestMessage) -> PermitResponse {
+fn respond(gateway: &Gateway, message: &PermitRequestMessage) -> PermitResponse {
   let now_ms = gateway.now_ms();
-  let (id, born_ms) = (&question.endpoint, question.born_ms);
-  if let Some(told) = question.told {
-    note_told(gateway, id, born_ms, told.heard(now_ms));
+  let (id, born_ms) = (&message.endpoint, message.born_ms);
+  if let Some(advertised) = message.advertised {
+    record_relayed_limit(gateway, id, born_ms, advertised.on_local_clock(now_ms));
   }
-  let mut book = gateway.endpoints.borrow_mut();
-  if let Some(cold) = question.cold {
-    let limits = book.limits_mut();
-    limits.note_cold(id, born_ms, cold.span(now_ms));
+  let mut endpoints = gateway.endpoints.borrow_mut();
+  if let Some(cold) = message.cold {
+    let limits = endpoints.limits_mut();
+    limits.note_cold(id, born_ms, cold.on_local_clock(now_ms));
   }
-  let named = book.limits().heard_of(id, born_ms);
-  let per_s = book.limits().lowest_per_s(id, born_ms, now_ms);
-  drop(book);
+  let advertised = endpoints.limits().heard_of(id, born_ms);
+  let per_s = endpoints.limits().lowest_per_s(id, born_ms, now_ms);
+  drop(endpoints);
   let permit_request = PermitRequest {
-    box_name: question.box_name.clone(),
-    permits: question.permits,
-    priority: question.priority,
-    unused: question.unused,
+    box_name: message.box_name.clone(),
+    permits: message.permits,
+    priority: message.priority,
+    unused: message.unused,
   };
   PermitResponse {
-    told: named.map(|named| RelayedLimit::new(named, now_ms)),
-    verdict: give_out(
+    advertised: advertised.map(|limit| RelayedLimit::new(limit, now_ms)),
+    verdict: grant_permits(
       gateway,
       EndpointLife::of(id, born_ms),
       per_s,
@@ -117,8 +120,8 @@
   }
 }
 
-/// Gives out permits as the box that counts; without a limit as many as are wanted.
-pub(super) fn give_out(
+/// Grants permits as the coordinator; without a limit as many as requested.
+pub(super) fn grant_permits(
   gateway: &Gateway,
   life: EndpointLife,
   per_s: Option<f64>,
--- a/src/gateway/permits/metrics.rs
+++ b/src/gateway/permits/metrics.rs
@@ -1,4 +1,4 @@
-//! Endpoints' limits as a box's figures show them.
+//! Metrics of the limits that endpoints advertise.
 
 use {
   crate::gateway::{
@@ -9,48 +9,51 @@
   std::fmt::Write,
 };
 
-/// Endpoints that are shown: those with the lowest limits.
-const MOST_SHOWN: usize = 20;
+/// Endpoints that are exported: those with the lowest limits.
+const MAX_ENDPOINTS: usize = 20;
 
-/// The limits that endpoints name as text, a line each, and the permits that are left where this box counts.
+/// Advertised limits as text, one line each, with the remaining permits where this box is the coordinator.
 pub(crate) fn permit_metrics(gateway: &Gateway) -> String {
   let now_ms = gateway.now_ms();
   let mut text = String::new();
   for (id, heard) in lowest_limits(gateway) {
     let age_ms = now_ms.saturating_sub(heard.heard_ms);
     let per_s = heard.per_s.unwrap_or_default();
-    // Writing to a string does not fail.
+    // Writing to a `String` cannot fail.
     let _ = writeln!(
       text,
       "rillford_endpoint_limit_per_s{{endpoint=\"{id}\",heard_by=\"{:?}\",age_ms=\"{age_ms}\"}} {per_s}",
       heard.source
     );
-    if let Some(left) = permits_left(gateway, &id, now_ms) {
-      let _ = writeln!(text, "rillford_places_left{{endpoint=\"{id}\"}} {left:.1}");
+    if let Some(remaining) = remaining_permits(gateway, &id, now_ms) {
+      let _ = writeln!(
+        text,
+        "rillford_places_left{{endpoint=\"{id}\"}} {remaining:.1}"
+      );
     }
   }
   text
 }
 
 fn lowest_limits(gateway: &Gateway) -> Vec<(Name, HeardLimit)> {
-  let book = gateway.endpoints.borrow();
-  let mut named: Vec<_> = book
+  let endpoints = gateway.endpoints.borrow();
+  let mut limits: Vec<_> = endpoints
     .limits()
     .named()
     .map(|(id, heard)| (id.clone(), heard))
     .collect();
-  named.sort_by(|one, other| {
+  limits.sort_by(|one, other| {
     let per_s = |heard: HeardLimit| heard.per_s.unwrap_or_default();
     per_s(one.1)
       .total_cmp(&per_s(other.1))
       .then_with(|| one.0.cmp(&other.0))
   });
-  named.truncate(MOST_SHOWN);
-  named
+  limits.truncate(MAX_ENDPOINTS);
+  limits
 }
 
-/// The permits that are left at an endpoint, on the box that counts.
-fn permits_left(gateway: &Gateway, id: &str, now_ms: u64) -> Option<f64> {
+/// The permits remaining for an endpoint; `None` where this box has granted none.
+fn remaining_permits(gateway: &Gateway, id: &str, now_ms: u64) -> Option<f64> {
   let born_ms = gateway.endpoints.borrow().entry(id)?.born_ms;
   let life = EndpointLife::of(id, born_ms);
   gateway.permit_table.borrow_mut().left(life, now_ms)
--- a/src/gateway/permits/mod.rs
+++ b/src/gateway/permits/mod.rs
@@ -1,7 +1,7 @@
-//! Permits at endpoints that name a limit for all boxes together: a request is sent there only with one.
+//! Permits for endpoints that advertise a rate limit over all boxes: a request is sent to such an endpoint only with a permit.
 //!
-//! Imports the folders up to `state`. What is decided stands in `decisions`: `limit_book` for what endpoints name, `permit_account`
-//! for the box that counts, `permit_ledger` for the others, `endpoint_order` for which box that is.
+//! Imports the folders up to `state`. The decisions are in `decisions`: `limit_book` for advertised limits, `permit_account` for
+//! the coordinator of an endpoint, `permit_ledger` for all other boxes, `endpoint_order` for the choice of the coordinator.
 
 mod acquisition;
 mod announcement;
--- a/src/gateway/permits/relayed_limit.rs
+++ b/src/gateway/permits/relayed_limit.rs
@@ -1,30 +1,29 @@
-//! An endpoint's word on its limit on its way between boxes.
+//! The limit that an endpoint advertised, as boxes send it to each other.
 
 use {
   crate::gateway::decisions::{HeardLimit, LimitSource},
   serde::{Deserialize, Serialize},
 };
 
-/// An endpoint's word as a box heard it.
+/// An advertised limit, independent of a box's clock.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(super) struct RelayedLimit {
-  /// Requests a second; nothing when it names no limit any more.
+  /// Requests per second; `None` when the endpoint no longer advertises a limit.
   pub(super) per_s: Option<f64>,
-  /// How long ago it was heard.
+  /// Time since a box received it from the endpoint.
   pub(super) age_ms: u64,
 }
 
 impl RelayedLimit {
-  /// A word that was heard here.
-  pub(super) fn new(heard: HeardLimit, now_ms: u64) -> Self {
+  pub(super) fn new(limit: HeardLimit, now_ms: u64) -> Self {
     Self {
-      age_ms: now_ms.saturating_sub(heard.heard_ms),
-      per_s: heard.per_s,
+      age_ms: now_ms.saturating_sub(limit.heard_ms),
+      per_s: limit.per_s,
     }
   }
 
-  /// It as heard by the box that is told. A figure that no endpoint can name is none.
-  pub(super) fn heard(self, now_ms: u64) -> HeardLimit {
+  /// The limit on the clock of the receiving box. A rate that is negative or not finite counts as no limit.
+  pub(super) fn on_local_clock(self, now_ms: u64) -> HeardLimit {
     HeardLimit {
       heard_ms: now_ms.saturating_sub(self.age_ms),
       per_s: self
