--- a/src/gateway/process/own_pages.rs
+++ b/src/gateway/process/own_pages.rs
@@ -41,7 +41,7 @@
     OwnPage::Metrics => {
       let mut text = gateway.counters.text();
       text.push_str(&limit_metrics(gateway));
-      text.push_str(&gateway.quarantine.figures());
+      text.push_str(&gateway.quarantine.metrics());
       text.push_str(&gateway.endpoint_metrics());
       text.push_str(&permit_metrics(gateway));
       Response::new(Full::new(text.into()))
--- a/src/gateway/quarantine/crash_detection.rs
+++ b/src/gateway/quarantine/crash_detection.rs
@@ -1,14 +1,14 @@
-//! Whether an endpoint has ended, asked right after a part was lost there; and with which request it ended.
+//! Detects whether an endpoint crashed when a stage of a request was lost there, and attributes the crash to the request.
 
 use {
-  super::screening::share,
+  super::screening::publish,
   crate::gateway::{
     decisions::{EndpointLife, Fingerprint, QuarantineKey, QuarantineMark, QuarantineWay},
     edge::EndpointEntry,
     parts::RoutedRequest,
     state::Gateway,
   },
-  std::{net::SocketAddr, rc::Rc, time::Duration},
+  std::{fmt, net::SocketAddr, rc::Rc, time::Duration},
   tokio::{
     net::TcpStream,
     task::spawn_local,
@@ -16,60 +16,68 @@
   },
 };
 
-/// An endpoint in reach accepts within milliseconds, or refuses; one behind a cut does neither.
-const CONNECT_LIMIT: Duration = Duration::from_millis(150);
-/// Behind a relay a connection is accepted for an endpoint that is gone, and closed at once.
-const CLOSE_LIMIT: Duration = Duration::from_millis(30);
+/// A reachable host accepts or refuses a connection within milliseconds; an unreachable one does neither.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
+/// A TCP relay accepts a connection for a terminated endpoint, and closes it at once.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// An endpoint enters itself as it starts, and its entry reaches a box within a second.
-const ENTRY_LIMIT_MS: u64 = 1_000;
-/// Pause between looks for that entry.
-const ENTRY_PAUSE: Duration = Duration::from_millis(20);
+/// An endpoint registers as it starts, and its entry reaches a box within this time.
+const ENTRY_TIMEOUT_MS: u64 = 1_000;
+const ENTRY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What became of an endpoint at which a part was lost.
+/// The state of an endpoint at which a stage was lost.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Survival {
-  /// Its process is gone: connections are refused, or closed at once.
-  Ended,
-  /// It accepts connections: the part alone was lost.
-  Lives,
-  /// It is not in reach, or it was leaving.
+enum EndpointState {
+  /// Its process terminated: connections are refused, or closed at once.
+  Terminated,
+  /// It accepts connections: only the stage was lost.
+  Alive,
+  /// It is unreachable, or it was leaving.
   Unknown,
 }
 
-/// A part that was lost after it had been sent.
+impl fmt::Display for EndpointState {
+  fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+    formatter.write_str(match self {
+      Self::Terminated => "Ended",
+      Self::Alive => "Lives",
+      Self::Unknown => "Unknown",
+    })
+  }
+}
+
+/// A stage of a request that was lost after it had been sent.
 #[derive(Clone, Debug)]
 pub(crate) struct LostStage {
-  /// Where it was sent, as the endpoint was then.
+  /// The endpoint as it was when the stage was sent.
   pub(crate) entry: EndpointEntry,
   pub(crate) sent_ms: u64,
-  /// What was seen.
   pub(crate) error: String,
-  /// What it shares with repeats of the same part.
+  /// The same for all attempts of the same stage.
   pub(crate) fingerprint: Fingerprint,
 }
 
-/// Finds out whether an endpoint ended with a part of a request, and tells the other boxes. Nobody waits for that, but for the
-/// end after which the request is held: it has to be known before the request is sent on.
+/// Finds out whether an endpoint crashed on a stage of a request, and publishes that. Waits for the result only when this crash
+/// may quarantine the request: that has to be known before the request is sent again.
 pub(crate) async fn record_lost_stage(
   gateway: &Rc<Gateway>,
   request: &Rc<RoutedRequest>,
   lost: LostStage,
 ) {
   let is_near = {
-    let book = gateway.quarantine.registry.borrow();
-    !book.is_empty() && book.is_near(lost.fingerprint)
+    let registry = gateway.quarantine.registry.borrow();
+    !registry.is_empty() && registry.is_near(lost.fingerprint)
   };
-  // It goes on when the caller leaves meanwhile.
-  let judged = spawn_local(judge(gateway.clone(), request.clone(), lost));
-  if is_near && let Err(error) = judged.await {
-    log::error!("E528 a lost part was not judged: {error}");
+  // A task of its own: it completes even when the caller disconnects.
+  let examined = spawn_local(examine(gateway.clone(), request.clone(), lost));
+  if is_near && let Err(error) = examined.await {
+    log::error!("E528 lost stage not examined: {error}");
   }
 }
 
-async fn judge(gateway: Rc<Gateway>, request: Rc<RoutedRequest>, lost: LostStage) {
+async fn examine(gateway: Rc<Gateway>, request: Rc<RoutedRequest>, lost: LostStage) {
   let ran_ms = gateway.now_ms() - lost.sent_ms;
-  let survival = survival(&gateway, &lost.entry).await;
+  let state = endpoint_state(&gateway, &lost.entry).await;
   let LostStage {
     entry,
     error,
@@ -77,100 +85,103 @@
     sent_ms,
   } = lost;
   log::info!(
-    "E528 part lost: {} ({fingerprint}) at {} born {:?}, {ran_ms} ms after it was sent: {error}; endpoint {survival:?}",
+    "E528 stage lost: {} ({fingerprint}) at {} started {:?}, {ran_ms} ms after it was sent: {error}; endpoint {state}",
     request.id(),
     entry.id,
     entry.born_ms
   );
-  if survival != Survival::Ended {
+  if state != EndpointState::Terminated {
     return;
   }
   gateway.counters.lost_with_endpoint.inc();
   if gateway.settings.quarantine.way != QuarantineWay::Off {
-    let life = reached_life(&gateway, &entry, fingerprint, sent_ms).await;
-    note_end(&gateway, fingerprint, life);
+    let incarnation = reached_incarnation(&gateway, &entry, fingerprint, sent_ms).await;
+    record_crash(&gateway, fingerprint, incarnation);
   }
 }
 
-/// The life of an endpoint that a part reached. Where the chosen one had ended before the part was sent, it was the next one,
-/// which may not be entered yet: its end must not pass for the end that is known.
-async fn reached_life(
+/// The incarnation of an endpoint that a stage reached. When the chosen one had terminated before the stage was sent, it was the
+/// next one, which may not be registered yet; its crash must not be taken for the known one.
+async fn reached_incarnation(
   gateway: &Gateway,
   chosen: &EndpointEntry,
   fingerprint: Fingerprint,
   sent_ms: u64,
 ) -> EndpointLife {
-  let life = EndpointLife::of(&chosen.id, chosen.born_ms);
+  let incarnation = EndpointLife::of(&chosen.id, chosen.born_ms);
   let ended_ms = gateway
     .quarantine
     .registry
     .borrow()
-    .ended_since_ms(fingerprint, life);
+    .ended_since_ms(fingerprint, incarnation);
   if ended_ms.is_none_or(|ended_ms| sent_ms <= ended_ms) {
-    return life;
+    return incarnation;
   }
-  let until_ms = gateway.now_ms() + ENTRY_LIMIT_MS;
+  let until_ms = gateway.now_ms() + ENTRY_TIMEOUT_MS;
   loop {
     let born_ms = gateway
       .endpoints
       .borrow()
       .entry(&chosen.id)
-      .and_then(|now| now.born_ms);
+      .and_then(|current| current.born_ms);
     if born_ms.is_some() && born_ms != chosen.born_ms {
       return EndpointLife::of(&chosen.id, born_ms);
     }
     if gateway.now_ms() >= until_ms {
-      return life;
+      return incarnation;
     }
-    sleep(ENTRY_PAUSE).await;
+    sleep(ENTRY_POLL_INTERVAL).await;
   }
 }
 
-/// Notes that a life of an endpoint ended with a request.
-fn note_end(gateway: &Gateway, fingerprint: Fingerprint, life: EndpointLife) {
+/// Records that an incarnation of an endpoint crashed on a request.
+fn record_crash(gateway: &Gateway, fingerprint: Fingerprint, incarnation: EndpointLife) {
   let key = QuarantineKey {
     fingerprint,
-    mark: QuarantineMark::Ended(life),
+    mark: QuarantineMark::Ended(incarnation),
   };
   let now_ms = gateway.now_ms();
-  let mut book = gateway.quarantine.registry.borrow_mut();
-  if !book.note(key, now_ms) {
+  let mut registry = gateway.quarantine.registry.borrow_mut();
+  if !registry.note(key, now_ms) {
     return;
   }
-  // Most requests are there at one end only: theirs can wait.
-  let is_pressing = book.counts(key.fingerprint).0 > 1;
-  drop(book);
-  share(gateway, &[key], is_pressing);
+  // Most fingerprints see a single crash, which need not be published at once.
+  let is_urgent = registry.counts(key.fingerprint).0 > 1;
+  drop(registry);
+  publish(gateway, &[key], is_urgent);
 }
 
-/// Finds out whether an endpoint has ended.
-async fn survival(gateway: &Gateway, entry: &EndpointEntry) -> Survival {
+/// Finds out whether an endpoint has terminated.
+async fn endpoint_state(gateway: &Gateway, entry: &EndpointEntry) -> EndpointState {
   let (is_leaving, born_ms) = {
-    let book = gateway.endpoints.borrow();
-    match book.entry(&entry.id) {
-      Some(now) => (book.is_leaving(now, gateway.now_ms()), now.born_ms),
-      None => return Survival::Unknown,
+    let endpoints = gateway.endpoints.borrow();
+    match endpoints.entry(&entry.id) {
+      Some(current) => (
+        endpoints.is_leaving(current, gateway.now_ms()),
+        current.born_ms,
+      ),
+      None => return EndpointState::Unknown,
     }
   };
   if is_leaving {
-    return Survival::Unknown;
+    return EndpointState::Unknown;
   }
   if born_ms != entry.born_ms {
-    return Survival::Ended;
+    return EndpointState::Terminated;
   }
   probe(entry.address).await
 }
 
-/// Opens a connection, and looks whether it stays.
-async fn probe(address: SocketAddr) -> Survival {
-  let stream = match timeout(CONNECT_LIMIT, TcpStream::connect(address)).await {
+/// Opens a connection, and checks that it stays open.
+async fn probe(address: SocketAddr) -> EndpointState {
+  let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
     Ok(Ok(stream)) => stream,
-    Ok(Err(_)) => return Survival::Ended,
-    Err(_) => return Survival::Unknown,
+    Ok(Err(_)) => return EndpointState::Terminated,
+    Err(_) => return EndpointState::Unknown,
   };
-  // Nobody has asked for anything: what can be read is the end.
-  match timeout(CLOSE_LIMIT, stream.readable()).await {
-    Ok(_) => Survival::Ended,
-    Err(_) => Survival::Lives,
+  // Nothing was sent on it, so it becomes readable only when it is closed.
+  match timeout(CLOSE_TIMEOUT, stream.readable()).await {
+    Ok(_) => EndpointState::Terminated,
+    Err(_) => EndpointState::Alive,
   }
 }
--- a/src/gateway/quarantine/messages.rs
+++ b/src/gateway/quarantine/messages.rs
@@ -1,4 +1,4 @@
-//! What a box that does not reach the store asks another one to write there.
+//! Quarantine marks that a box cut off from the store has another box write there.
 
 use {
   crate::{
@@ -17,43 +17,43 @@
   std::{net::SocketAddr, time::Duration},
 };
 
-/// The path on which a box is told of marks.
+/// The path on which a box receives marks.
 pub(crate) const MARKS_PATH: &str = "/quarantine";
-/// The longest message: 32 marks of 60 bytes, with room.
-const MOST_BYTES: usize = 16 * 1024;
-/// A box in reach answers within milliseconds, and within 100 ms when it has used up its share of a core.
-const TELL_LIMIT: Duration = Duration::from_millis(200);
+/// Limit of a message body: room for 32 marks of 60 bytes.
+const MAX_BODY_BYTES: usize = 16 * 1024;
+/// A reachable box answers in milliseconds, and within 100 ms when it has used up its CPU quota.
+const SEND_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Tells another box of marks.
+/// Sends marks to another box.
 pub(super) async fn send_marks(
   http: &HttpClient,
   address: SocketAddr,
   keys: &[QuarantineKey],
 ) -> Result<(), CallError> {
   let texts: Vec<Name> = keys.iter().map(QuarantineKey::text).collect();
-  send_message(http, address, MARKS_PATH, &texts, TELL_LIMIT)
+  send_message(http, address, MARKS_PATH, &texts, SEND_TIMEOUT)
     .await
     .map(drop)
 }
 
-/// Takes over another box's marks, and has them written.
+/// Records another box's marks, and queues them for the store.
 pub(crate) async fn handle_marks(
   gateway: &Gateway,
   request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-  match read_message::<Vec<Name>>(request, MOST_BYTES).await {
+  match read_message::<Vec<Name>>(request, MAX_BODY_BYTES).await {
     Ok(texts) => {
-      note_marks(gateway, &texts);
+      record_marks(gateway, &texts);
       status_answer(StatusCode::OK)
     }
     Err(error) => {
-      log::info!("E534 marks of another box not read: {error}");
+      log::info!("E534 marks from another box rejected: {error}");
       status_answer(StatusCode::BAD_REQUEST)
     }
   }
 }
 
-fn note_marks(gateway: &Gateway, texts: &[Name]) {
+fn record_marks(gateway: &Gateway, texts: &[Name]) {
   let now_ms = gateway.now_ms();
   let keys: Vec<QuarantineKey> = texts
     .iter()
@@ -62,5 +62,5 @@
   for key in &keys {
     gateway.quarantine.registry.borrow_mut().note(*key, now_ms);
   }
-  gateway.quarantine.write(&keys, MarkOrigin::Told, true);
+  gateway.quarantine.write(&keys, MarkOrigin::Peer, true);
 }
--- a/src/gateway/quarantine/mod.rs
+++ b/src/gateway/quarantine/mod.rs
@@ -1,7 +1,7 @@
-//! Requests that end the endpoints that run them: what was seen, what is shared with other boxes, and who may be sent.
+//! Quarantine of requests that crash the endpoints that run them: crash detection, marks shared with all boxes, and screening.
 //!
-//! Imports the folders up to `parts`. What is decided stands in `decisions::quarantine_book`; the last look before each send is
-//! in `parts`.
+//! Imports the folders up to `parts`. The decisions are in `decisions::quarantine_book`; the last check before each send is in
+//! `parts`.
 
 mod crash_detection;
 mod messages;
--- a/src/gateway/quarantine/screening.rs
+++ b/src/gateway/quarantine/screening.rs
@@ -1,4 +1,4 @@
-//! Whether a request is sent at all, asked when it comes; and what its end means for those that are the same.
+//! Screens requests on arrival for quarantine, and lifts the quarantine when a request succeeds.
 
 use {
   crate::gateway::{
@@ -9,17 +9,16 @@
   std::rc::Rc,
 };
 
-/// Callers come back after this when another box has taken the trial, or the store does not say whose it is.
-const CLAIM_WAIT_MS: u64 = 1_000;
+/// Retry-after delay when another box holds the probe, or the store does not answer.
+const CLAIM_RETRY_MS: u64 = 1_000;
 
-/// A request that has ended too many endpoints.
+/// A request was rejected because its fingerprint has crashed too many endpoints.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Quarantined {
-  /// When it may be asked for again.
   pub(crate) retry_after_ms: u64,
 }
 
-/// Lets a request pass, or takes a trial for it. One that is held is refused at once: no endpoint sees it.
+/// Lets a request pass, or claims a probe for it. A quarantined request is rejected at once and reaches no endpoint.
 pub(crate) async fn screen(
   gateway: &Rc<Gateway>,
   request: &RoutedRequest,
@@ -31,45 +30,45 @@
   let fingerprint = request.fingerprint();
   let now_ms = gateway.now_ms();
   let (verdict, due) = {
-    let book = gateway.quarantine.registry.borrow();
+    let registry = gateway.quarantine.registry.borrow();
     (
-      book.verdict(fingerprint, now_ms),
-      book.due(fingerprint, now_ms),
+      registry.verdict(fingerprint, now_ms),
+      registry.due(fingerprint, now_ms),
     )
   };
-  keep_longer(gateway, &due, now_ms);
-  let held = match verdict {
+  refresh_marks(gateway, &due, now_ms);
+  let quarantined = match verdict {
     QuarantineVerdict::Free => return Ok(()),
     QuarantineVerdict::Trial { number } => {
-      if take_trial(gateway, request, number).await {
+      if claim_probe(gateway, request, number).await {
         return Ok(());
       }
       Quarantined {
-        retry_after_ms: CLAIM_WAIT_MS,
+        retry_after_ms: CLAIM_RETRY_MS,
       }
     }
     QuarantineVerdict::Held { retry_after_ms } => Quarantined { retry_after_ms },
   };
   gateway.counters.quarantined.inc();
-  log_held(gateway, request, held);
-  Err(held)
+  log_quarantined(gateway, request, quarantined);
+  Err(quarantined)
 }
 
-/// What is asked for is kept: its marks are written anew before they lapse.
-fn keep_longer(gateway: &Gateway, due: &[QuarantineKey], now_ms: u64) {
+/// Refreshes the marks of a fingerprint that is still requested, before they expire.
+fn refresh_marks(gateway: &Gateway, due: &[QuarantineKey], now_ms: u64) {
   if due.is_empty() {
     return;
   }
-  let mut book = gateway.quarantine.registry.borrow_mut();
+  let mut registry = gateway.quarantine.registry.borrow_mut();
   for key in due {
-    book.note(*key, now_ms);
+    registry.note(*key, now_ms);
   }
-  drop(book);
-  share(gateway, due, false);
+  drop(registry);
+  publish(gateway, due, false);
 }
 
-/// Takes a trial, unless another box has it.
-async fn take_trial(gateway: &Gateway, request: &RoutedRequest, number: u32) -> bool {
+/// Claims a probe, unless another box holds it.
+async fn claim_probe(gateway: &Gateway, request: &RoutedRequest, number: u32) -> bool {
   let key = QuarantineKey {
     fingerprint: request.fingerprint(),
     mark: QuarantineMark::Trial(number),
@@ -79,13 +78,13 @@
     QuarantineWay::OwnBox => true,
     QuarantineWay::Shared => gateway.quarantine.claim(key).await,
   };
-  // One that is not this box's is another's, or the store does not say: this box waits either way.
+  // Recorded either way: a probe that was not granted belongs to another box, or its holder is unknown.
   let now_ms = gateway.now_ms();
   gateway.quarantine.registry.borrow_mut().note(key, now_ms);
   if is_own {
     request.sending.set(Sending::Trial(number));
     log::info!(
-      "E530 trial {number}: {} ({})",
+      "E530 probe {number}: {} ({})",
       request.id(),
       request.fingerprint()
     );
@@ -93,20 +92,20 @@
   is_own
 }
 
-/// Says on what a refusal was decided, and how old that was.
-fn log_held(gateway: &Gateway, request: &RoutedRequest, held: Quarantined) {
+/// Logs a rejection with the data that it was based on, and its age.
+fn log_quarantined(gateway: &Gateway, request: &RoutedRequest, quarantined: Quarantined) {
   let fingerprint = request.fingerprint();
-  let (ended, trials) = gateway.quarantine.registry.borrow().counts(fingerprint);
-  let heard_ms = gateway.store_contact_ms.get();
+  let (crashes, probes) = gateway.quarantine.registry.borrow().counts(fingerprint);
+  let contact_ms = gateway.store_contact_ms.get();
   log::info!(
-    "E529 held: {} ({fingerprint}) was at the end of {ended} endpoints, {trials} trials, store heard {:?} ms ago, to come back in {} ms",
+    "E529 quarantined: {} ({fingerprint}) after crashes of {crashes} endpoints and {probes} probes, last store contact {:?} ms ago, retry after {} ms",
     request.id(),
-    heard_ms.map(|heard_ms| gateway.now_ms() - heard_ms),
-    held.retry_after_ms
+    contact_ms.map(|contact_ms| gateway.now_ms() - contact_ms),
+    quarantined.retry_after_ms
   );
 }
 
-/// A trial that no endpoint was sent is there for the next request.
+/// Releases the probe of a request that was sent to no endpoint.
 pub(crate) fn release_unsent_probe(gateway: &Gateway, request: &RoutedRequest) {
   if let Sending::Trial(number) = request.sending.get() {
     let key = QuarantineKey {
@@ -118,8 +117,8 @@
   }
 }
 
-/// A request, or the reading of its prompt, came to an end of its own: whatever ended before had another cause. One end is let
-/// stand, since it holds nobody, and to remove it costs a call to the store.
+/// Lifts the quarantine of a request, or of its prefill, that succeeded: earlier crashes had another cause. The mark of a single
+/// crash stays, since it quarantines nothing and removing it costs a call to the store.
 pub(crate) fn record_success(
   gateway: &Gateway,
   request: &RoutedRequest,
@@ -129,21 +128,21 @@
     return;
   }
   let fingerprint = fingerprint(request);
-  let (ended, trials) = gateway.quarantine.registry.borrow().counts(fingerprint);
-  if ended < 2 && trials == 0 {
+  let (crashes, probes) = gateway.quarantine.registry.borrow().counts(fingerprint);
+  if crashes < 2 && probes == 0 {
     return;
   }
   let cleared = gateway.quarantine.registry.borrow_mut().clear(fingerprint);
   gateway.quarantine.remove(&cleared);
   log::info!(
-    "E531 cleared: {} ({fingerprint}) came back whole after {ended} ends and {trials} trials",
+    "E531 quarantine lifted: {} ({fingerprint}) succeeded after {crashes} crashes and {probes} probes",
     request.id()
   );
 }
 
-/// Tells the other boxes, where boxes share what they know.
-pub(super) fn share(gateway: &Gateway, keys: &[QuarantineKey], is_pressing: bool) {
+/// Publishes marks to the other boxes, where quarantine is shared.
+pub(super) fn publish(gateway: &Gateway, keys: &[QuarantineKey], is_urgent: bool) {
   if gateway.settings.quarantine.way == QuarantineWay::Shared {
-    gateway.quarantine.write(keys, MarkOrigin::Own, is_pressing);
+    gateway.quarantine.write(keys, MarkOrigin::Local, is_urgent);
   }
 }
--- a/src/gateway/quarantine/sync.rs
+++ b/src/gateway/quarantine/sync.rs
@@ -1,6 +1,5 @@
-//! Keeps in the store what boxes know of requests that end endpoints: each box hears of it by its watch, one that has just started by
-//! its listing, and it outlasts all of them, and their leases too: those run out while the store is away, and a request that was held
-//! would be free again.
+//! Writes quarantine marks to the store, from which each box reads them by its watch, and a starting box by its listing. Marks are
+//! not tied to a lease: leases expire while the store is down, which would release quarantined requests.
 
 use {
   super::messages::send_marks,
@@ -18,81 +17,84 @@
   tokio::{sync::mpsc, task::spawn_local, time::sleep},
 };
 
-/// Time for each box over which the first ends of requests are gathered: when an engine ends, all boxes that had streams there
-/// write at once, and the store takes 400 changes a second.
-const GATHER_MS_PER_BOX: u64 = 4;
-/// Pause between looks for what is old.
-const FORGET_PAUSE: Duration = Duration::from_secs(10);
-/// Other boxes that are asked to write when the store does not answer this one.
-const MOST_TOLD: usize = 3;
+/// Batching delay of marks that are not urgent, per box: when an engine crashes, all boxes with streams there write at once, and
+/// the store takes 400 writes per second.
+const BATCH_MS_PER_BOX: u64 = 4;
+/// Interval between removals of expired marks.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
+/// Boxes tried one after the other to write marks when the store does not answer this one.
+const MAX_DELEGATES: usize = 3;
 
-struct Sharing<S> {
+struct QuarantineSync<S> {
   gateway: Rc<Gateway>,
   store: S,
 }
 
-/// Writes marks and takes trials until the process ends.
+/// Writes marks and claims probes until the process exits.
 pub(crate) async fn sync_quarantine<S: Store>(gateway: Rc<Gateway>, store: S) {
-  let Some(claims) = gateway.quarantine.take_claims() else {
+  let Some(claims) = gateway.quarantine.take_claim_receiver() else {
     return;
   };
-  let sharing = Rc::new(Sharing { gateway, store });
-  spawn_local(serve_claims(sharing.clone(), claims));
-  spawn_local(forget_old(sharing.gateway.clone()));
+  let sync = Rc::new(QuarantineSync { gateway, store });
+  spawn_local(serve_claims(sync.clone(), claims));
+  spawn_local(expire_marks(sync.gateway.clone()));
   loop {
-    sharing.gather().await;
-    if sharing.write_marks().await && sharing.remove_marks().await {
+    sync.wait_for_changes().await;
+    if sync.write_marks().await && sync.remove_marks().await {
       continue;
     }
-    let boxes = sharing.gateway.box_count();
-    let contact_ms = sharing.gateway.settings.bounds.contact_ms;
-    let pause_ms = retry_pause_ms(boxes, contact_ms, sharing.gateway.draw());
+    let boxes = sync.gateway.box_count();
+    let contact_ms = sync.gateway.settings.bounds.contact_ms;
+    let pause_ms = retry_pause_ms(boxes, contact_ms, sync.gateway.draw());
     sleep(Duration::from_millis(pause_ms)).await;
   }
 }
 
-async fn serve_claims<S: Store>(sharing: Rc<Sharing<S>>, mut claims: mpsc::Receiver<ProbeClaim>) {
+async fn serve_claims<S: Store>(
+  sync: Rc<QuarantineSync<S>>,
+  mut claims: mpsc::Receiver<ProbeClaim>,
+) {
   while let Some(claim) = claims.recv().await {
-    let sharing = sharing.clone();
+    let sync = sync.clone();
     spawn_local(async move {
-      let is_granted = sharing.claim(claim.key).await;
-      // The request may be gone: its trial is lost then.
+      let is_granted = sync.claim(claim.key).await;
+      // When the request was dropped, its probe is lost.
       let _ = claim.granted.send(is_granted);
     });
   }
 }
 
-/// Forgets what is old. One box alone has it removed from the store: the first by name.
-async fn forget_old(gateway: Rc<Gateway>) {
+/// Removes expired marks. Only one box, the first by name, removes them from the store too.
+async fn expire_marks(gateway: Rc<Gateway>) {
   loop {
-    sleep(FORGET_PAUSE).await;
+    sleep(EXPIRY_INTERVAL).await;
     let now_ms = gateway.now_ms();
-    let old = gateway.quarantine.registry.borrow_mut().forget_old(now_ms);
+    let expired = gateway.quarantine.registry.borrow_mut().forget_old(now_ms);
     let is_first = {
       let boxes = gateway.boxes.borrow();
       boxes.names().first() == Some(&gateway.settings.identity.name)
     };
-    if is_first && !old.is_empty() {
-      gateway.quarantine.remove(&old);
+    if is_first && !expired.is_empty() {
+      gateway.quarantine.remove(&expired);
     }
   }
 }
 
-impl<S: Store> Sharing<S> {
-  /// Waits until there is something to write, and for more of it unless it can't wait.
-  async fn gather(&self) {
+impl<S: Store> QuarantineSync<S> {
+  /// Waits until there is something to write, and then for a batch unless a change is urgent.
+  async fn wait_for_changes(&self) {
     let quarantine = &self.gateway.quarantine;
     while !quarantine.has_changes() {
       quarantine.changed.notified().await;
     }
     let boxes = self.gateway.box_count() as u64;
     tokio::select! {
-      () = sleep(Duration::from_millis(GATHER_MS_PER_BOX * boxes)) => {}
-      () = quarantine.pressing.notified() => {}
+      () = sleep(Duration::from_millis(BATCH_MS_PER_BOX * boxes)) => {}
+      () = quarantine.urgent.notified() => {}
     }
   }
 
-  /// Writes what waits; whether the store, or another box, has it.
+  /// Writes queued marks; returns whether the store or another box has taken them.
   async fn write_marks(&self) -> bool {
     let keys = {
       let unwritten = self.gateway.quarantine.unwritten.borrow();
@@ -106,7 +108,7 @@
       Ok(()) => keys,
       Err(error) => {
         log::info!("E532 marks not written: {} of them: {error}", keys.len());
-        self.hand_over(&keys).await
+        self.delegate(&keys).await
       }
     };
     let mut unwritten = self.gateway.quarantine.unwritten.borrow_mut();
@@ -122,7 +124,7 @@
     self.store.put_quarantine(&texts(keys), value).await
   }
 
-  /// Removes what no longer holds; whether the store has done so.
+  /// Removes obsolete marks from the store; returns whether that succeeded.
   async fn remove_marks(&self) -> bool {
     let keys = {
       let unremoved = self.gateway.quarantine.unremoved.borrow();
@@ -144,21 +146,21 @@
     true
   }
 
-  /// Takes a trial, unless another box has it or the store does not say.
+  /// Claims a probe; fails when another box holds it or the store does not answer.
   async fn claim(&self, key: QuarantineKey) -> bool {
     self.gateway.counters.store_calls.inc();
     let claimed = self.store.claim_quarantine(&key.text(), mark_value()).await;
     claimed.unwrap_or_else(|error| {
-      log::info!("E532 trial not taken: {error}");
+      log::info!("E532 probe not claimed: {error}");
       false
     })
   }
 
-  /// Has another box write what this one saw, while the store does not answer it; what was handed over.
-  async fn hand_over(&self, keys: &[QuarantineKey]) -> Vec<QuarantineKey> {
+  /// Has another box write this box's own marks while the store does not answer; returns the marks that were taken.
+  async fn delegate(&self, keys: &[QuarantineKey]) -> Vec<QuarantineKey> {
     let own: Vec<QuarantineKey> = {
       let unwritten = self.gateway.quarantine.unwritten.borrow();
-      let is_own = |key: &&QuarantineKey| unwritten.get(key) == Some(&MarkOrigin::Own);
+      let is_own = |key: &&QuarantineKey| unwritten.get(key) == Some(&MarkOrigin::Local);
       keys.iter().filter(is_own).copied().collect()
     };
     if own.is_empty() {
@@ -170,22 +172,22 @@
       .boxes
       .borrow()
       .helpers_for(&identity.name, &identity.hall);
-    for address in helpers.into_iter().take(MOST_TOLD) {
+    for address in helpers.into_iter().take(MAX_DELEGATES) {
       match send_marks(&self.gateway.box_calls, address, &own).await {
         Ok(()) => return own,
-        Err(error) => log::debug!("marks not told to {address}: {error}"),
+        Err(error) => log::debug!("marks not sent to {address}: {error}"),
       }
     }
     Vec::new()
   }
 }
 
-/// What a mark holds: when it was written. Boxes forget it by that, also one that has just started.
+/// The value of a mark: the time at which it was written, from which every box computes its expiry.
 fn mark_value() -> Bytes {
   unix_ms().to_string().into()
 }
 
-/// For how long a mark has stood; nothing for one that this router did not write. Clocks of two boxes may differ by seconds.
+/// The age of a mark; `None` when the value is not a timestamp. The clocks of two boxes may differ by seconds.
 pub(crate) fn mark_age_ms(value: &[u8]) -> Option<u64> {
   let written_ms: u64 = std::str::from_utf8(value).ok()?.parse().ok()?;
   Some(unix_ms().saturating_sub(written_ms))
--- a/src/gateway/state/quarantine.rs
+++ b/src/gateway/state/quarantine.rs
@@ -1,4 +1,4 @@
-//! What a box keeps of requests that end endpoints: what it knows, and what it has still to share.
+//! A box's quarantine state: the known marks, and the changes still to be written to the store.
 
 use {
   crate::gateway::decisions::{QuarantineBook, QuarantineKey},
@@ -9,65 +9,64 @@
   tokio::sync::{Notify, mpsc, oneshot},
 };
 
-/// Claims that may wait for the store; more are refused.
-const MOST_CLAIMS: usize = 64;
-/// Marks that may wait for the store: those of four hundred requests that were held. More are left out.
-const MOST_UNWRITTEN: usize = 1_024;
+/// Probe claims that may wait for the store; further ones are rejected.
+const MAX_CLAIMS: usize = 64;
+/// Marks that may wait for the store; further ones are not shared.
+const MAX_UNWRITTEN: usize = 1_024;
 
-/// Who saw what is to be written.
+/// The box that recorded a mark.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum MarkOrigin {
   /// This box.
-  Own,
-  /// Another box, which does not reach the store.
-  Told,
+  Local,
+  /// Another box, which can't reach the store.
+  Peer,
 }
 
-/// A box wants to be the one that takes a trial.
+/// A pending claim of a probe.
 pub(crate) struct ProbeClaim {
-  /// The trial.
   pub(crate) key: QuarantineKey,
-  /// Told whether it is this box's.
+  /// Receives whether this box holds the probe.
   pub(crate) granted: oneshot::Sender<bool>,
 }
 
-/// The book, and the way to the store.
+/// The quarantine registry, and the queues of changes for the store.
 pub(crate) struct Quarantine {
   pub(crate) registry: RefCell<QuarantineBook>,
-  /// What is known and not yet in the store.
+  /// Marks that are not yet in the store.
   pub(crate) unwritten: RefCell<BTreeMap<QuarantineKey, MarkOrigin>>,
-  /// What no longer holds and may still be in the store.
+  /// Obsolete marks that may still be in the store.
   pub(crate) unremoved: RefCell<BTreeSet<QuarantineKey>>,
-  /// Told when there is something to write.
+  /// Notified when there is something to write.
   pub(crate) changed: Notify,
-  /// Told when that can't wait.
-  pub(crate) pressing: Notify,
+  /// Notified when a change must be written without batching.
+  pub(crate) urgent: Notify,
   claims: mpsc::Sender<ProbeClaim>,
-  claims_to_serve: RefCell<Option<mpsc::Receiver<ProbeClaim>>>,
+  claim_receiver: RefCell<Option<mpsc::Receiver<ProbeClaim>>>,
 }
 
 impl Default for Quarantine {
   fn default() -> Self {
-    let (claims, claims_to_serve) = mpsc::channel(MOST_CLAIMS);
+    let (claims, claim_receiver) = mpsc::channel(MAX_CLAIMS);
     Self {
       registry: RefCell::default(),
       changed: Notify::new(),
       claims,
-      claims_to_serve: RefCell::new(Some(claims_to_serve)),
-      pressing: Notify::new(),
+      claim_receiver: RefCell::new(Some(claim_receiver)),
       unremoved: RefCell::default(),
       unwritten: RefCell::default(),
+      urgent: Notify::new(),
     }
   }
 }
 
 impl Quarantine {
-  /// The claims, for the one task that serves them.
-  pub(crate) fn take_claims(&self) -> Option<mpsc::Receiver<ProbeClaim>> {
-    self.claims_to_serve.take()
+  /// The receiver of claims, for the task that serves them; `None` once taken.
+  pub(crate) fn take_claim_receiver(&self) -> Option<mpsc::Receiver<ProbeClaim>> {
+    self.claim_receiver.take()
   }
 
-  /// Asks for a trial; whether it is this box's.
+  /// Claims a probe; returns whether this box holds it.
   pub(crate) async fn claim(&self, key: QuarantineKey) -> bool {
     let (granted, is_granted) = oneshot::channel();
     if self.claims.try_send(ProbeClaim { granted, key }).is_err() {
@@ -76,44 +75,47 @@
     is_granted.await.unwrap_or(false)
   }
 
-  /// Has marks written to the store; what can't wait is written at once.
-  pub(crate) fn write(&self, keys: &[QuarantineKey], origin: MarkOrigin, is_pressing: bool) {
+  /// Queues marks for the store; urgent ones are written without batching.
+  pub(crate) fn write(&self, keys: &[QuarantineKey], origin: MarkOrigin, is_urgent: bool) {
     let mut unwritten = self.unwritten.borrow_mut();
     for key in keys {
-      if unwritten.len() >= MOST_UNWRITTEN {
-        log::warn!("E533 not shared: {} marks wait already", unwritten.len());
+      if unwritten.len() >= MAX_UNWRITTEN {
+        log::warn!(
+          "E533 quarantine mark not shared: {} marks are queued",
+          unwritten.len()
+        );
         break;
       }
       unwritten.insert(*key, origin);
     }
     drop(unwritten);
     self.changed.notify_one();
-    if is_pressing {
-      self.pressing.notify_one();
+    if is_urgent {
+      self.urgent.notify_one();
     }
   }
 
-  /// Has marks removed from the store.
+  /// Queues marks for removal from the store.
   pub(crate) fn remove(&self, keys: &[QuarantineKey]) {
     for key in keys {
       self.unwritten.borrow_mut().remove(key);
       self.unremoved.borrow_mut().insert(*key);
     }
     self.changed.notify_one();
-    self.pressing.notify_one();
+    self.urgent.notify_one();
   }
 
-  /// How many requests are known to have ended endpoints, and how many are held, as text.
-  pub(crate) fn figures(&self) -> String {
-    let book = self.registry.borrow();
+  /// The numbers of known and of quarantined fingerprints, as text.
+  pub(crate) fn metrics(&self) -> String {
+    let registry = self.registry.borrow();
     format!(
       "rillford_quarantine_known {}\nrillford_quarantine_held {}\n",
-      book.len(),
-      book.held()
+      registry.len(),
+      registry.held()
     )
   }
 
-  /// Whether the store has to hear of something.
+  /// Whether there is something to write to the store.
   pub(crate) fn has_changes(&self) -> bool {
     !self.unwritten.borrow().is_empty() || !self.unremoved.borrow().is_empty()
   }
