--- a/src/gateway/parts/notice.rs
+++ b/src/gateway/parts/notice.rs
@@ -67,7 +67,8 @@
 /// Says once of each name that the platform's page doesn't have: it may be a word that boxes ought to heed.
 fn note_unknown_names(gateway: &Gateway, entry: &EndpointEntry, answer: &response::Parts) {
   for name in answer.headers.keys() {
-    if !gateway.dialect.knows_in_answers(name) && gateway.unknown_headers.borrow_mut().note(name) {
+    if !gateway.dialect.knows_in_answers(name) && gateway.unknown_headers.borrow_mut().record(name)
+    {
       log::info!("E542 unknown name: {} has {name} in its answers", entry.id);
     }
   }
--- a/src/gateway/permits/acquisition.rs
+++ b/src/gateway/permits/acquisition.rs
@@ -217,7 +217,7 @@
       gateway
         .unresponsive_boxes
         .borrow_mut()
-        .note(address, now_ms);
+        .record_failure(address, now_ms);
       None
     }
   }
--- a/src/gateway/requests/event_source.rs
+++ b/src/gateway/requests/event_source.rs
@@ -98,7 +98,7 @@
     if !self.first_event_noted {
       self.first_event_noted = true;
       let took_ms = self.stream.gateway.now_ms() - self.stream.request.arrived_ms;
-      self.stream.gateway.counters.first_event_ms.note(took_ms);
+      self.stream.gateway.counters.first_event_ms.record(took_ms);
       log::info!(
         "E509 first event: {} after {took_ms} ms",
         self.stream.request.id()
--- a/src/gateway/requests/front.rs
+++ b/src/gateway/requests/front.rs
@@ -127,7 +127,7 @@
       counters.answered.inc();
       counters
         .response_head_ms
-        .note(gateway.now_ms() - arrived_ms);
+        .record(gateway.now_ms() - arrived_ms);
     }
     502 => counters.unknown.inc(),
     503 => counters.not_run.inc(),
--- a/src/gateway/state/change_log.rs
+++ b/src/gateway/state/change_log.rs
@@ -1,4 +1,4 @@
-//! The latest changes of the store, as this box saw them, for boxes that follow it.
+//! The latest changes of the store, for the followers of this box.
 
 use {
   crate::gateway::edge::{StoreChanges, StoreItem},
@@ -6,63 +6,64 @@
   tokio::sync::watch,
 };
 
-/// Changes that are kept; a box that is further behind reads the store.
-const MOST_CHANGES: usize = 1_024;
+/// Changes kept in the log; a follower that is further behind reads the store.
+const MAX_CHANGES: usize = 1_024;
 
 /// A bounded log of changes after a listing.
 #[derive(Debug)]
 pub struct ChangeLog {
   changes: RefCell<VecDeque<StoreItem>>,
-  /// What is known up to which revision; the log is whole after the first.
-  span: watch::Sender<Span>,
+  /// The revisions that the log covers.
+  range: watch::Sender<RevisionRange>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Span {
-  whole_after: u64,
-  known_to: u64,
+struct RevisionRange {
+  /// All changes after this revision are in the log.
+  complete_after: u64,
+  latest: u64,
 }
 
 impl Default for ChangeLog {
   fn default() -> Self {
     Self {
       changes: RefCell::default(),
-      span: watch::Sender::new(Span::default()),
+      range: watch::Sender::new(RevisionRange::default()),
     }
   }
 }
 
 impl ChangeLog {
-  /// Begins anew after a listing.
+  /// Clears the log after a listing at a revision.
   pub fn restart(&self, revision: u64) {
     self.changes.borrow_mut().clear();
-    self.span.send_replace(Span {
-      known_to: revision,
-      whole_after: revision,
+    self.range.send_replace(RevisionRange {
+      complete_after: revision,
+      latest: revision,
     });
   }
 
   /// Adds changes up to a revision.
   pub fn add(&self, items: &[StoreItem], revision: u64) {
     let mut changes = self.changes.borrow_mut();
-    let mut span = *self.span.borrow();
+    let mut range = *self.range.borrow();
     changes.extend(items.iter().cloned());
-    while changes.len() > MOST_CHANGES {
-      span.whole_after = changes
+    while changes.len() > MAX_CHANGES {
+      range.complete_after = changes
         .pop_front()
-        .map_or(span.whole_after, |oldest| oldest.revision);
+        .map_or(range.complete_after, |oldest| oldest.revision);
     }
-    span.known_to = span.known_to.max(revision);
+    range.latest = range.latest.max(revision);
     drop(changes);
-    self.span.send_replace(span);
+    self.range.send_replace(range);
   }
 
-  /// Up to which revision changes are known.
-  pub fn known_to(&self) -> u64 {
-    self.span.borrow().known_to
+  /// The latest known revision.
+  pub fn latest_revision(&self) -> u64 {
+    self.range.borrow().latest
   }
 
-  /// The changes after a revision.
+  /// The changes after a revision; `HistoryLost` when the log no longer has all of them.
   ///
   /// ```
   /// use rillford::gateway::{ChangeLog, StoreChanges, StoreItem, StoreKey};
@@ -74,8 +75,8 @@
   /// assert_eq!(log.after(9), StoreChanges::HistoryLost);
   /// ```
   pub fn after(&self, revision: u64) -> StoreChanges {
-    let span = *self.span.borrow();
-    if revision < span.whole_after {
+    let range = *self.range.borrow();
+    if revision < range.complete_after {
       return StoreChanges::HistoryLost;
     }
     let changes = self.changes.borrow();
@@ -85,16 +86,16 @@
         .filter(|item| item.revision > revision)
         .cloned()
         .collect(),
-      revision: span.known_to,
+      revision: range.latest,
     }
   }
 
-  /// Waits until something after a revision is known.
+  /// Waits for a change after a revision, or until the log no longer reaches back to it.
   pub async fn wait_after(&self, revision: u64) {
-    let mut span = self.span.subscribe();
-    // The sender lives as long as this log.
-    let _ = span
-      .wait_for(|span| span.known_to > revision || revision < span.whole_after)
+    let mut range = self.range.subscribe();
+    // Fails only when the sender is dropped, and `self` owns it.
+    let _ = range
+      .wait_for(|range| range.latest > revision || revision < range.complete_after)
       .await;
   }
 }
--- a/src/gateway/state/counters.rs
+++ b/src/gateway/state/counters.rs
@@ -1,4 +1,4 @@
-//! What a box counts, and the text in which it is read.
+//! Counters and latency histograms of a box, and their text format.
 
 use std::{
   cell::{Cell, RefCell},
@@ -8,23 +8,21 @@
 /// Upper bounds of the latency histograms' buckets.
 const BUCKETS_MS: [u64; 12] = [5, 10, 25, 50, 100, 200, 300, 500, 900, 1_500, 3_000, 10_000];
 
-/// A number that only grows.
+/// A monotonic counter.
 #[derive(Debug, Default)]
 pub(crate) struct Counter(Cell<u64>);
 
 impl Counter {
-  /// Counts one more.
   pub(crate) fn inc(&self) {
     self.add(1);
   }
 
-  /// Counts so many more.
   pub(crate) fn add(&self, count: u64) {
     self.0.set(self.0.get() + count);
   }
 }
 
-/// How often something took how long.
+/// A latency histogram.
 #[derive(Debug, Default)]
 pub(crate) struct Histogram {
   counts: RefCell<[u64; BUCKETS_MS.len() + 1]>,
@@ -32,14 +30,13 @@
 }
 
 impl Histogram {
-  /// Counts something that took so long.
-  pub(crate) fn note(&self, took_ms: u64) {
+  pub(crate) fn record(&self, took_ms: u64) {
     let bucket = BUCKETS_MS.partition_point(|bound_ms| *bound_ms < took_ms);
     self.counts.borrow_mut()[bucket] += 1;
     self.sum_ms.set(self.sum_ms.get() + took_ms);
   }
 
-  /// Writes the buckets, each with all that took no longer, then sum and count.
+  /// Writes the cumulative buckets, the sum and the count.
   fn write(&self, name: &str, text: &mut String) {
     let counts = self.counts.borrow();
     let mut total = 0;
@@ -54,7 +51,7 @@
   }
 }
 
-/// All that a box counts.
+/// All counters and histograms of a box.
 #[derive(Debug, Default)]
 pub(crate) struct Counters {
   pub(crate) requests: Counter,
@@ -66,23 +63,25 @@
   pub(crate) rejected: Counter,
   pub(crate) over_limit: Counter,
   pub(crate) interrupted_streams: Counter,
-  /// Requests that were held because endpoints had ended with them.
+  /// Requests rejected by quarantine.
   pub(crate) quarantined: Counter,
-  /// Parts that were lost with their endpoint.
+  /// Stages that were lost because their endpoint terminated.
   pub(crate) lost_with_endpoint: Counter,
-  /// Endpoints that said in an answer that they leave, and pauses that began by an endpoint's word.
+  /// Endpoints that signalled in a response that they are leaving.
   pub(crate) leaving_notices: Counter,
+  /// Backoffs that endpoints requested in a response.
   pub(crate) pause_notices: Counter,
-  /// Endpoints that came to name a limit.
+  /// Endpoints that began to advertise a limit.
   pub(crate) limit_notices: Counter,
-  /// Sends that found no place within their endpoint's limit.
+  /// Attempts that got no permit for their endpoint.
   pub(crate) without_permit: Counter,
-  /// Places that this box's requests took.
+  /// Permits used by this box's requests.
   pub(crate) permits_taken: Counter,
-  /// Places that this box gave out for all boxes, and questions for which it had none.
+  /// Permits granted to all boxes, as the coordinator.
   pub(crate) permits_granted: Counter,
+  /// Requests for permits rejected as the coordinator.
   pub(crate) permits_refused: Counter,
-  /// Parts and calls that were not sent because their endpoint came to leave or pause after it was chosen.
+  /// Stages and calls that were not sent because their endpoint began to leave or back off after it was chosen.
   pub(crate) not_sent: Counter,
   pub(crate) caller_disconnects: Counter,
   pub(crate) retries: Counter,
@@ -96,7 +95,7 @@
 }
 
 impl Counters {
-  /// The figures as text, a line each.
+  /// The metrics as text, one line each.
   pub(crate) fn text(&self) -> String {
     let counters = [
       ("rillford_requests_total", &self.requests),
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -1,4 +1,4 @@
-//! What a gateway box holds: the configuration in force, the endpoints, connections and budgets.
+//! The state of a gateway box: the configuration in force, the endpoints, connections and retry budgets.
 
 use {
   super::{
@@ -33,25 +33,25 @@
   tokio::sync::{Mutex, Notify, watch},
 };
 
-/// Boxes that are assumed while their list is not yet known: the smallest deployment has six.
-const LEAST_BOXES: usize = 6;
-/// Part of an endpoint's connections that may rest: the others are for waves, and for boxes that come.
-const RESTING_SHARE: f64 = 0.5;
-/// Connections that rest for one endpoint; a box has few requests at one endpoint at once.
-const MOST_RESTING: usize = 8;
-/// Weight of the newest first event in their moving mean.
-const NEWEST_START_WEIGHT: f64 = 0.1;
+/// Number of boxes assumed while fewer are known: that of the smallest deployment.
+const MIN_BOXES: usize = 6;
+/// Share of an endpoint's connections that may be idle; the rest is headroom for bursts and new boxes.
+const IDLE_SHARE: f64 = 0.5;
+/// Idle connections to one endpoint; a box has few concurrent requests at one endpoint.
+const MAX_IDLE: usize = 8;
+/// Weight of the newest sample in the moving mean of first-event latencies.
+const FIRST_EVENT_WEIGHT: f64 = 0.1;
 
-/// What a box does with new requests.
+/// The lifecycle phase of a box.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Phase {
-  /// It serves.
+  /// Accepts requests.
   Serving,
-  /// It serves what comes, and asks callers to go elsewhere.
+  /// Accepts requests, and asks callers to use another box.
   Leaving,
-  /// It closes connections that rest.
+  /// Closes idle connections.
   Closing,
-  /// It takes no new connections.
+  /// Accepts no new connections.
   Closed,
 }
 
@@ -73,53 +73,51 @@
   pub(crate) counters: Counters,
   pub(crate) phase: watch::Sender<Phase>,
   pub(crate) in_flight: Cell<usize>,
-  /// Callers' connections.
+  /// Open connections of callers.
   pub(crate) connections: Cell<usize>,
-  /// When the process ends, once it is leaving.
+  /// When the last responses are due, once the box is leaving.
   pub(crate) exit_ms: Cell<Option<u64>>,
   pub(crate) boxes: RefCell<BoxList>,
-  /// The latest changes of the store, for boxes that follow this one.
+  /// The latest changes of the store, for this box's followers.
   pub(crate) change_log: ChangeLog,
+  /// Time of the last contact with the store, direct or through another box.
   pub(crate) store_contact_ms: Cell<Option<u64>>,
-  /// Requests that end endpoints.
   pub(crate) quarantine: Quarantine,
-  /// What is expected of the engines' seats.
+  /// When engines are expected to have free batch slots.
   pub(crate) slot_forecast: RefCell<SeatForecast>,
-  /// The requests that look for a seat.
+  /// The requests that wait for a batch slot.
   pub(crate) slot_queue: RefCell<SeatQueue>,
-  /// Told when a request leaves that queue.
+  /// Notified when a request leaves that queue.
   pub(crate) slot_queue_changed: Notify,
-  /// Moving mean of the time from a seat to the first event.
+  /// Moving mean of the time from the reservation of a slot to the first event.
   pub(crate) mean_first_event_ms: Cell<Option<f64>>,
-  /// What the engines of each service listed as kept.
+  /// The cached prompts that the engines of each service listed.
   cached_prompts: RefCell<HashMap<Name, Rc<Mutex<KeptPrompts>>>>,
-  /// This box's lease in the store, and when it was last renewed.
   pub(crate) lease: Cell<Option<HeldLease>>,
-  /// Organisations' use, as far as this box counts it.
+  /// Organisations' usage over all boxes, on a coordinator.
   pub(crate) usage_table: RefCell<UseBook>,
-  /// Organisations' use, as far as others count it.
+  /// Organisations' usage at this box, and what coordinators report of the rest.
   pub(crate) local_usage: RefCell<UseLedger>,
-  /// The box that counts and answered last.
+  /// The coordinator of usage that answered last.
   pub(crate) last_coordinator: Cell<Option<SocketAddr>>,
-  /// Places at endpoints that this box gives out for all boxes.
+  /// Permits that this box grants as the coordinator of an endpoint.
   pub(crate) permit_table: RefCell<PermitBook>,
-  /// Places that it gives out by itself while it does not reach the box that does.
+  /// Permits that it grants itself while isolated from the coordinator.
   pub(crate) isolated_permits: RefCell<PermitBook>,
-  /// Boxes that did not answer a moment ago.
   pub(crate) unresponsive_boxes: RefCell<UnresponsiveBoxes>,
-  /// For calls to other boxes.
+  /// The client for calls to other boxes.
   pub(crate) box_calls: HttpClient,
-  /// Tells the starts of this box apart.
+  /// Identifies this run of the process.
   pub(crate) incarnation: u64,
-  /// Whether the store was listed to its end: before that some endpoints are not known.
+  /// Whether a listing of the store has completed; before that, endpoints may be missing.
   pub(crate) has_listed: Cell<bool>,
-  /// Whether a box is steward, as far as this one knows.
+  /// Whether some box is role leader, as far as this one knows.
   pub(crate) has_leader: Cell<bool>,
-  /// For lines on what endpoints say and nobody can read.
+  /// Throttles log lines on unreadable notices of endpoints.
   pub(crate) unreadable_log_throttle: LogThrottle,
-  /// For lines on limits whose figures change.
+  /// Throttles log lines on changed limits.
   pub(crate) limit_log_throttle: LogThrottle,
-  /// Names in endpoints' answers that the platform's page doesn't have.
+  /// Response headers of endpoints that the platform does not define.
   pub(crate) unknown_headers: RefCell<UnknownHeaders>,
   route_table: RefCell<Option<Rc<RouteTable>>>,
   retry_windows: RefCell<HashMap<Name, RetryWindow>>,
@@ -134,7 +132,7 @@
     policy: RoutePolicy,
     seed: u64,
   ) -> Self {
-    let book = new_book(&settings);
+    let registry = endpoint_registry(&settings);
     Self {
       box_calls: HttpClient::default(),
       boxes: RefCell::default(),
@@ -143,7 +141,7 @@
       connections: Cell::new(0),
       counters: Counters::default(),
       dialect,
-      endpoints: RefCell::new(book),
+      endpoints: RefCell::new(registry),
       exit_ms: Cell::new(None),
       has_leader: Cell::new(false),
       has_listed: Cell::new(false),
@@ -176,12 +174,12 @@
     }
   }
 
-  /// Time on this box's clock.
+  /// Milliseconds since the process started.
   pub(crate) fn now_ms(&self) -> u64 {
     u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
   }
 
-  /// A number from 0 to 1.
+  /// A random number in `[0, 1)`.
   pub(crate) fn draw(&self) -> f64 {
     self.random.borrow_mut().random()
   }
@@ -191,7 +189,7 @@
     self.route_table.borrow().clone()
   }
 
-  /// Puts a configuration in force, unless it is not newer than the one that is.
+  /// Applies a configuration if it is newer than the one in force; returns whether it did.
   pub(crate) fn apply_route_table(&self, table: RouteTable) -> bool {
     let mut current = self.route_table.borrow_mut();
     if current
@@ -211,34 +209,34 @@
     true
   }
 
-  /// Boxes among which what is shared is divided.
+  /// The number of boxes among which shared budgets are divided.
   pub(crate) fn box_count(&self) -> usize {
-    self.boxes.borrow().len().max(LEAST_BOXES)
+    self.boxes.borrow().len().max(MIN_BOXES)
   }
 
-  /// Whether this box counts organisations' use for others.
+  /// Whether this box is a coordinator of organisations' usage.
   pub(crate) fn is_coordinator(&self) -> bool {
     let identity = &self.settings.identity;
     let boxes = self.boxes.borrow();
     boxes.is_counting(&identity.name, &identity.hall)
   }
 
-  /// Whether this box decides on limits by its own count.
+  /// Whether this box decides on limits as a coordinator.
   pub(crate) fn coordinates_usage(&self) -> bool {
     self.settings.limits.way.is_told() && self.is_coordinator()
   }
 
-  /// Whether the store was heard so recently that what this box knows can be trusted.
+  /// Whether the last contact with the store is recent enough to trust this box's view of it.
   pub(crate) fn is_current(&self) -> bool {
     let bounds = &self.settings.bounds;
-    let most_ms = bounds.contact_ms.min(bounds.configuration_ms);
+    let max_age_ms = bounds.contact_ms.min(bounds.configuration_ms);
     self
       .store_contact_ms
       .get()
-      .is_some_and(|heard_ms| self.now_ms() < heard_ms + most_ms)
+      .is_some_and(|contact_ms| self.now_ms() < contact_ms + max_age_ms)
   }
 
-  /// Whether the balancer may send callers.
+  /// The readiness that the load balancer sees.
   pub(crate) fn is_ready(&self) -> bool {
     *self.phase.borrow() == Phase::Serving
       && self.route_table.borrow().is_some()
@@ -246,7 +244,7 @@
       && !self.endpoints.borrow().is_empty()
   }
 
-  /// The hall whose endpoints are preferred: the own one, or none.
+  /// The hall whose endpoints are preferred: the own one, or none (empty).
   pub(crate) fn preferred_hall(&self) -> &str {
     if self.settings.mechanisms.own_hall_first {
       &self.settings.identity.hall
@@ -255,7 +253,6 @@
     }
   }
 
-  /// Chooses an endpoint.
   pub(crate) fn choose(&self, wanted: Wanted) -> Option<Choice> {
     self
       .endpoints
@@ -263,7 +260,7 @@
       .choose(wanted, self.now_ms(), || self.draw())
   }
 
-  /// An endpoint is cold for so long from now on. It decides something where the configuration says what one of its service carries.
+  /// Records that an endpoint is cold for `cold_ms` from now. Has no effect when the configuration sets no cold start for its service.
   pub(crate) fn record_cold(&self, entry: &EndpointEntry, cold_ms: u64) {
     let Some(cold_start) = self.cold_start(&entry.service) else {
       return;
@@ -274,16 +271,16 @@
       per_s: cold_start.per_s,
       until_ms: noted_ms.saturating_add(cold_ms),
     };
-    let mut book = self.endpoints.borrow_mut();
-    let limits = book.limits_mut();
+    let mut endpoints = self.endpoints.borrow_mut();
+    let limits = endpoints.limits_mut();
     limits.note_cold(&entry.id, entry.born_ms, span);
   }
 
-  /// The endpoints of a hall whose drain has ended may have turned cold shortly before, and their entries tell so late.
+  /// Records the endpoints of a hall as cold. When its drain ends they may have just turned cold, and their entries lag behind.
   pub(crate) fn record_hall_cold(&self, hall: &str) {
     let entries: Vec<EndpointEntry> = {
-      let book = self.endpoints.borrow();
-      let of_hall = book.entries().filter(|entry| &*entry.hall == hall);
+      let endpoints = self.endpoints.borrow();
+      let of_hall = endpoints.entries().filter(|entry| &*entry.hall == hall);
       of_hall.cloned().collect()
     };
     for entry in entries {
@@ -293,30 +290,30 @@
     }
   }
 
-  /// What the endpoints of a service carry while they are cold.
+  /// The configured cold start of a service's endpoints.
   fn cold_start(&self, service: &str) -> Option<ColdStart> {
     let table = self.route_table.borrow();
     table.as_ref()?.service(service)?.cold_start
   }
 
-  /// Whether an endpoint that was chosen before may be sent work now.
+  /// Checks whether an endpoint that was chosen earlier may still be sent work.
   pub(crate) fn check(&self, chosen: &EndpointEntry) -> Result<(), Unavailable> {
     self.endpoints.borrow().check(chosen, self.now_ms())
   }
 
-  /// When a caller may come back whose request found no endpoint of a service that takes work: when the first pause ends, or after
-  /// `otherwise_ms` where it is not pauses that keep it waiting.
-  pub(crate) fn retry_after_ms(&self, service: &str, otherwise_ms: u64) -> u64 {
+  /// The retry-after delay of a request that found no available endpoint: until the first backoff of the service's endpoints ends, or
+  /// `default_ms` when no endpoint backs off.
+  pub(crate) fn retry_after_ms(&self, service: &str, default_ms: u64) -> u64 {
     let reopens_in_ms = self
       .endpoints
       .borrow()
       .reopens_in_ms(service, self.now_ms());
-    reopens_in_ms.map_or(otherwise_ms, |reopens_in_ms| {
+    reopens_in_ms.map_or(default_ms, |reopens_in_ms| {
       retry_after_pause_ms(reopens_in_ms, self.draw())
     })
   }
 
-  /// Books the end of an endpoint's part.
+  /// Records the outcome of a stage at an endpoint.
   pub(crate) fn finish_stage(&self, id: &str, size: u64, units: u64, end: PartEnd) {
     self
       .endpoints
@@ -327,45 +324,46 @@
     }
   }
 
-  /// Lets a connection rest whose answer came whole; `headers` are that answer's.
+  /// Returns a connection to the pool after a complete response, which had these `headers`.
   pub(crate) fn keep_alive(&self, connection: Connection, headers: &HeaderMap) {
-    let most = self.max_idle(&connection.endpoint);
-    self.pool.put(connection, headers, most, self.now_ms());
+    let max_idle = self.max_idle(&connection.endpoint);
+    self.pool.put(connection, headers, max_idle, self.now_ms());
   }
 
-  /// This box's share of the connections that an endpoint accepts, as far as they may rest.
+  /// This box's share of the idle connections to an endpoint.
   fn max_idle(&self, endpoint: &str) -> usize {
-    let book = self.endpoints.borrow();
+    let endpoints = self.endpoints.borrow();
     let table = self.route_table.borrow();
-    let service = book
+    let service = endpoints
       .entry(endpoint)
       .and_then(|entry| table.as_ref()?.service(&entry.service));
     let Some(service) = service else { return 0 };
     let boxes = self.box_count();
-    let share = f64::from(service.most_connections) * RESTING_SHARE / boxes as f64;
-    (share as usize).clamp(1, MOST_RESTING)
+    let share = f64::from(service.most_connections) * IDLE_SHARE / boxes as f64;
+    (share as usize).clamp(1, MAX_IDLE)
   }
 
-  /// An endpoint has owed an answer for too long; its resting connections may be as dead.
+  /// Backs off from an endpoint whose response is overdue, and closes its idle connections, which may be dead too.
   pub(crate) fn mark_overdue(&self, id: &str) {
-    log::info!("E514 overdue: {id} is left alone");
+    log::info!("E514 response overdue: backing off from {id}");
     self.endpoints.borrow_mut().overdue(id, self.now_ms());
     self.pool.close(id);
   }
 
-  /// An endpoint is at fault although it answers: it is left alone like a lost one.
+  /// Backs off from an endpoint that answers but is faulty.
   pub(crate) fn mark_faulty(&self, id: &str) {
-    log::info!("E513 left alone: {id} has a seat and refuses requests, or its exports are gone");
+    log::info!(
+      "E513 backing off from {id}: it granted a slot and rejects requests, or its exports are gone"
+    );
     self.endpoints.borrow_mut().blame(id, self.now_ms());
   }
 
-  /// How many endpoints of a service take work.
+  /// The number of a service's endpoints by availability.
   pub(crate) fn count_endpoints(&self, service: &str) -> EndpointCounts {
     self.endpoints.borrow().count(Some(service), self.now_ms())
   }
 
-  /// How many endpoints are known, leave, pause, name limits, and stand in drained halls, which halls these are, and how many
-  /// unknown names endpoints' answers have, as text.
+  /// The numbers of endpoints by state, of unknown response headers and of boxes, and the drained halls, as text.
   pub(crate) fn endpoint_metrics(&self) -> String {
     let EndpointCounts {
       drained,
@@ -374,29 +372,29 @@
       limited,
       pausing,
     } = self.endpoints.borrow().count(None, self.now_ms());
-    let unknown = self.unknown_headers.borrow().count();
+    let unknown_headers = self.unknown_headers.borrow().count();
     let mut text = format!(
       "rillford_endpoints {known}\nrillford_endpoints_leaving {leaving}\nrillford_endpoints_pausing {pausing}\n\
        rillford_endpoints_limited {limited}\nrillford_endpoints_drained {drained}\n\
-       rillford_unknown_answer_names {unknown}\nrillford_boxes {}\n",
+       rillford_unknown_answer_names {unknown_headers}\nrillford_boxes {}\n",
       self.boxes.borrow().len()
     );
     for hall in self.endpoints.borrow().drained_halls().names() {
-      // Writing to a string does not fail.
+      // Writing to a `String` cannot fail.
       let _ = writeln!(text, "rillford_hall_drained{{hall=\"{hall}\"}} 1");
     }
     text
   }
 
-  /// A first event came this long after its request had a seat.
+  /// Records the time from the reservation of a slot to the first event.
   pub(crate) fn record_first_event(&self, took_ms: u64) {
-    let before = self.mean_first_event_ms.get().unwrap_or(took_ms as f64);
+    let mean_ms = self.mean_first_event_ms.get().unwrap_or(took_ms as f64);
     self.mean_first_event_ms.set(Some(
-      before + NEWEST_START_WEIGHT * (took_ms as f64 - before),
+      mean_ms + FIRST_EVENT_WEIGHT * (took_ms as f64 - mean_ms),
     ));
   }
 
-  /// What the engines of a service listed as kept; locked while they are asked.
+  /// The cached prompts of a service's engines; locked while they are listed.
   pub(crate) fn cached_prompts(&self, service: &Name) -> Rc<Mutex<KeptPrompts>> {
     self
       .cached_prompts
@@ -406,7 +404,7 @@
       .clone()
   }
 
-  /// Counts a caller's request towards its service's repeats.
+  /// Adds a request to its service's retry budget.
   pub(crate) fn record_request(&self, service: &Name) {
     let now_ms = self.now_ms();
     self
@@ -417,7 +415,7 @@
       .note_request(now_ms);
   }
 
-  /// Whether a repeat could be taken now.
+  /// Whether the retry budget allows a retry now.
   pub(crate) fn has_retry_left(&self, service: &Name) -> bool {
     let boxes = self.box_count();
     let now_ms = self.now_ms();
@@ -430,7 +428,7 @@
       >= 1.0
   }
 
-  /// A repeat was taken from the budget, and no endpoint saw it.
+  /// Returns a retry that reached no endpoint to the budget.
   pub(crate) fn return_retry(&self, service: &Name) {
     let now_ms = self.now_ms();
     if let Some(window) = self.retry_windows.borrow_mut().get_mut(service) {
@@ -438,7 +436,7 @@
     }
   }
 
-  /// Takes a repeat from the budget that all boxes share.
+  /// Takes a retry from this box's share of the retry budget; returns whether one was left.
   pub(crate) fn take_retry(&self, service: &Name) -> bool {
     let boxes = self.box_count();
     let taken = self
@@ -454,22 +452,22 @@
   }
 }
 
-/// A book of endpoints that heeds what the settings say.
-fn new_book(settings: &GatewaySettings) -> EndpointBook {
+/// The endpoint registry, which honours notices and limits as the settings say.
+fn endpoint_registry(settings: &GatewaySettings) -> EndpointBook {
   let mechanisms = &settings.mechanisms;
-  let book = if mechanisms.endpoint_notices {
+  let registry = if mechanisms.endpoint_notices {
     EndpointBook::default()
   } else {
     EndpointBook::ignoring_notices()
   };
   if mechanisms.endpoint_limits {
-    book
+    registry
   } else {
-    book.ignoring_limits()
+    registry.ignoring_limits()
   }
 }
 
-/// Counts a request from its arrival until its answer has gone out.
+/// Counts a request as in flight until it is dropped.
 pub(crate) struct InFlight(Rc<Gateway>);
 
 impl InFlight {
--- a/src/gateway/state/log_throttle.rs
+++ b/src/gateway/state/log_throttle.rs
@@ -1,23 +1,23 @@
-//! A bound on lines that an endpoint's every answer could cause.
+//! Rate limit of log lines that any response of an endpoint could cause.
 
 use std::cell::Cell;
 
-/// Pause between two lines of one kind.
-const PAUSE_MS: u64 = 1_000;
+/// Shortest time between two log lines of one kind.
+const MIN_INTERVAL_MS: u64 = 1_000;
 
-/// Lets one line pass in each second.
+/// Allows one log line per interval.
 #[derive(Debug, Default)]
 pub(crate) struct LogThrottle {
-  quiet_until_ms: Cell<u64>,
+  muted_until_ms: Cell<u64>,
 }
 
 impl LogThrottle {
-  /// Whether a line may be written now; if so, the next one waits.
+  /// Whether a line may be logged now; if so, further ones are muted for an interval.
   pub(crate) fn should_log(&self, now_ms: u64) -> bool {
-    if now_ms < self.quiet_until_ms.get() {
+    if now_ms < self.muted_until_ms.get() {
       return false;
     }
-    self.quiet_until_ms.set(now_ms + PAUSE_MS);
+    self.muted_until_ms.set(now_ms + MIN_INTERVAL_MS);
     true
   }
 }
--- a/src/gateway/state/mod.rs
+++ b/src/gateway/state/mod.rs
@@ -1,4 +1,4 @@
-//! What a box holds while it runs, for all of its requests: configuration, endpoints, connections, budgets, counters.
+//! The state of a running box, shared by all of its requests: configuration, endpoints, connections, retry budgets, counters.
 //!
 //! Imports `settings`, `connections`, `decisions` and `edge`.
 
--- a/src/gateway/state/unresponsive_boxes.rs
+++ b/src/gateway/state/unresponsive_boxes.rs
@@ -1,24 +1,24 @@
-//! Boxes that did not answer a moment ago: each call to them would cost a request the time in which they don't.
+//! Boxes that recently failed to answer. Calls to them are skipped, since each would delay a request by a timeout.
 
 use std::{collections::HashMap, net::SocketAddr};
 
-/// For so long a box that did not answer is not asked.
-const UNHEARD_MS: u64 = 1_000;
+/// How long calls to a box are skipped after it failed to answer.
+const BACKOFF_MS: u64 = 1_000;
 
-/// The boxes that did not answer, each until it is asked again.
+/// The boxes that failed to answer, each with the end of its backoff.
 #[derive(Debug, Default)]
 pub(crate) struct UnresponsiveBoxes {
   until_ms: HashMap<SocketAddr, u64>,
 }
 
 impl UnresponsiveBoxes {
-  /// A box did not answer.
-  pub(crate) fn note(&mut self, address: SocketAddr, now_ms: u64) {
+  /// Starts the backoff of a box that did not answer.
+  pub(crate) fn record_failure(&mut self, address: SocketAddr, now_ms: u64) {
     self.until_ms.retain(|_, until_ms| now_ms < *until_ms);
-    self.until_ms.insert(address, now_ms + UNHEARD_MS);
+    self.until_ms.insert(address, now_ms + BACKOFF_MS);
   }
 
-  /// Whether a box did not answer a moment ago.
+  /// Whether calls to a box are skipped now.
   pub(crate) fn is_unresponsive(&self, address: SocketAddr, now_ms: u64) -> bool {
     self
       .until_ms
