--- a/src/gateway/roles/mod.rs
+++ b/src/gateway/roles/mod.rs
@@ -1,6 +1,7 @@
-//! The steward of the engines' roles: the one box that orders engines to read prompts or to write answers.
+//! Role assignment: one box, the role leader, assigns engines to prefill or decode.
 //!
-//! Imports `parts` and what lies below it. What to order is decided in `decisions`; the orders go out from here.
+//! Imports `parts` and the folders below it. `decisions` computes which engines change their role; the calls to the engines are
+//! made here.
 
 mod role_leader;
 
--- a/src/gateway/roles/role_leader.rs
+++ b/src/gateway/roles/role_leader.rs
@@ -1,4 +1,4 @@
-//! One box, the steward, gives engines their roles; its right to do so is a key under its lease.
+//! One box, the role leader, assigns the engines' roles. It is elected by a key in the store under its lease.
 
 use {
   crate::{
@@ -16,71 +16,71 @@
   tokio::time::sleep,
 };
 
-/// Pause between looks at the engines.
-const LOOK_PAUSE: Duration = Duration::from_millis(300);
-/// Spread of the boxes' tries to become steward.
-const TRY_SPREAD_MS: f64 = 250.0;
-/// A new steward waits this much longer than orders of two boxes must be apart.
+/// Interval between evaluations of the engines' roles.
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(300);
+/// Spread of the boxes' attempts to become leader.
+const ELECTION_SPREAD_MS: f64 = 250.0;
+/// Added to the required gap between commands of two leaders.
 const GAP_MARGIN_MS: u64 = 300;
-/// An order is sent this soon after the store has said that this box is steward, or not at all.
-const ORDER_LIFE_MS: u64 = 300;
-/// No order is given when the lease was renewed longer ago than this: it may be over.
+/// A command is sent within this time of the store's confirmation that this box is leader, or not at all.
+const CONFIRMATION_TTL_MS: u64 = 300;
+/// No command is sent when the lease was last renewed longer ago than this: it may have expired.
 const LEASE_FRESH_MS: u64 = 5_000;
-/// An order may be carried out this much later: until then its engine counts as ordered.
-const ORDER_PENDING_MS: u64 = 15_000;
-/// An engine changes its role for seconds, so a want of prefill engines has to last this long: a crashed one
-/// is back sooner.
-const WANT_PATIENCE_MS: u64 = 10_000;
+/// An engine may take this long to execute a command, and counts in its new role meanwhile.
+const COMMAND_PENDING_MS: u64 = 15_000;
+/// How long prefill engines must be lacking before a decode engine is reassigned. A role change takes seconds, and a crashed engine
+/// is back sooner than this.
+const SHORTAGE_TIMEOUT_MS: u64 = 10_000;
 
-/// Keeps the engines' roles until the process ends.
+/// Assigns the engines' roles while this box is leader, until the process exits.
 pub(crate) async fn manage_roles<S: Store>(gateway: Rc<Gateway>, store: S) {
-  let mut steward = RoleLeader {
+  let mut leader = RoleLeader {
     fence: None,
     gateway,
     pending: HashMap::new(),
     recent: RecentEngines::default(),
+    shortage_since_ms: HashMap::new(),
     since_ms: 0,
     store,
-    wanting_since_ms: HashMap::new(),
   };
   loop {
-    sleep(LOOK_PAUSE).await;
-    if *steward.gateway.phase.borrow() == Phase::Serving && steward.gateway.is_current() {
-      steward.look().await;
+    sleep(EVALUATION_INTERVAL).await;
+    if *leader.gateway.phase.borrow() == Phase::Serving && leader.gateway.is_current() {
+      leader.evaluate().await;
     }
   }
 }
 
-/// An order that an engine may still have to carry out.
+/// A command that an engine may still have to execute.
 #[derive(Clone, Copy, Debug)]
-struct PendingOrder {
-  /// The role that it takes.
+struct PendingCommand {
+  /// The engine's new role.
   role: Role,
-  /// When it was ordered, or found to need no order.
+  /// When the command was sent, or found to be unnecessary.
   since_ms: u64,
 }
 
 struct RoleLeader<S> {
   gateway: Rc<Gateway>,
   store: S,
-  /// This box's fencing token while it is steward.
+  /// This box's fencing token while it is leader.
   fence: Option<u64>,
-  /// When this box became steward.
+  /// When this box became leader.
   since_ms: u64,
-  /// Orders that may not have been carried out yet: their engines count in the new role.
-  pending: HashMap<Name, PendingOrder>,
-  /// Engines that were here lately; noted whether this box is steward or not.
+  /// Commands that may not have been executed yet: their engines count in the new role.
+  pending: HashMap<Name, PendingCommand>,
+  /// Engines that were present recently; recorded whether this box is leader or not.
   recent: RecentEngines,
-  /// Since when too few engines read prompts.
-  wanting_since_ms: HashMap<Name, u64>,
+  /// Since when each service has had too few prefill engines.
+  shortage_since_ms: HashMap<Name, u64>,
 }
 
 impl<S: Store> RoleLeader<S> {
-  /// One look at the engines: tries to become steward, or orders what is due.
-  async fn look(&mut self) {
-    self.note_engines();
+  /// One evaluation: attempts to become leader, or sends the commands that are due.
+  async fn evaluate(&mut self) {
+    self.record_engines();
     if self.fence.is_none() {
-      self.try_to_become_steward().await;
+      self.try_to_become_leader().await;
       return;
     }
     let now_ms = self.gateway.now_ms();
@@ -90,15 +90,15 @@
     }
     self
       .pending
-      .retain(|_, order| now_ms < order.since_ms + ORDER_PENDING_MS);
+      .retain(|_, command| now_ms < command.since_ms + COMMAND_PENDING_MS);
     for service in self.services() {
       if let Some(surplus) = self.surplus_of(&service, now_ms) {
-        self.order(surplus).await;
+        self.reassign(surplus).await;
       }
     }
   }
 
-  fn note_engines(&mut self) {
+  fn record_engines(&mut self) {
     let entries = self.current_entries();
     self.recent.note(&entries, self.gateway.now_ms());
   }
@@ -108,7 +108,7 @@
     self.gateway.endpoints.borrow().current_entries(now_ms)
   }
 
-  async fn try_to_become_steward(&mut self) {
+  async fn try_to_become_leader(&mut self) {
     if self.gateway.has_leader.get() || self.services().is_empty() {
       return;
     }
@@ -116,7 +116,7 @@
     if !self.gateway.boxes.borrow().is_candidate(name) {
       return;
     }
-    let spread_ms = (self.gateway.draw() * TRY_SPREAD_MS) as u64;
+    let spread_ms = (self.gateway.draw() * ELECTION_SPREAD_MS) as u64;
     sleep(Duration::from_millis(spread_ms)).await;
     let Some(held) = self.gateway.lease.get() else {
       return;
@@ -128,13 +128,13 @@
     let name = self.gateway.settings.identity.name.clone();
     match self.store.become_steward(&name, held.lease).await {
       Ok(Some(fence)) => {
-        log::info!("E420 steward of the engines' roles: fence {fence}");
+        log::info!("E420 elected role leader: fence {fence}");
         self.fence = Some(fence);
         self.since_ms = self.gateway.now_ms();
         self.gateway.has_leader.set(true);
       }
       Ok(None) => self.gateway.has_leader.set(true),
-      Err(error) => log::info!("E421 not steward: {error}"),
+      Err(error) => log::info!("E421 not elected role leader: {error}"),
     }
   }
 
@@ -153,17 +153,17 @@
     services
   }
 
-  /// The engines of a service that are to be ordered into another role now.
+  /// The engines of a service that have to change their role now.
   fn surplus_of(&mut self, service: &Name, now_ms: u64) -> Option<Surplus> {
     let engines = self.engines(service);
     let share = self.prefill_share(service, &engines);
     let missing = self.missing(service);
     let Some(mut surplus) = surplus(&engines, &missing, share) else {
-      self.wanting_since_ms.remove(service);
+      self.shortage_since_ms.remove(service);
       return None;
     };
-    let reading = with_role(&engines, Role::Prefill).count();
-    if !self.is_due(service, &surplus, reading, now_ms) {
+    let prefill = with_role(&engines, Role::Prefill).count();
+    if !self.is_due(service, &surplus, prefill, now_ms) {
       return None;
     }
     surplus
@@ -173,7 +173,7 @@
       return None;
     }
     log::info!(
-      "E425 roles of {service}: {reading} of {} engines read, {} more were here lately, a share of {share} is to: {} become {:?}",
+      "E425 roles of {service}: {prefill} of {} engines prefill, {} more were present recently, target share {share}: {} become {:?}",
       engines.len(),
       missing.len(),
       surplus.engines.len(),
@@ -182,7 +182,7 @@
     Some(surplus)
   }
 
-  /// The engines of a service that were here lately.
+  /// The engines of a service that were present recently and now are not.
   fn missing(&self, service: &Name) -> Vec<EndpointEntry> {
     if !self.gateway.settings.mechanisms.recent_engines {
       return Vec::new();
@@ -190,48 +190,48 @@
     self.recent.missing(service)
   }
 
-  /// The engines of a service that stay, each in the role that it has or is about to take.
+  /// The engines of a service that are not leaving, each in its role or in the one that it was commanded to take.
   fn engines(&self, service: &Name) -> Vec<EndpointEntry> {
     let entries = self.current_entries();
     staying_engines(&entries)
       .filter(|entry| entry.service == *service)
       .map(|entry| {
-        let order = self.pending.get(&entry.id);
+        let command = self.pending.get(&entry.id);
         EndpointEntry {
-          role: order.map_or(entry.role, |order| Some(order.role)),
+          role: command.map_or(entry.role, |command| Some(command.role)),
           ..entry.clone()
         }
       })
       .collect()
   }
 
-  /// Whether a surplus is to be ordered away now: one of decode engines only when at least half of the wanted
-  /// prefill engines are missing, and have been for long.
-  fn is_due(&mut self, service: &Name, surplus: &Surplus, reading: usize, now_ms: u64) -> bool {
+  /// Whether surplus engines change their role now: decode engines only when at least half of the target number of prefill engines
+  /// has been lacking for `SHORTAGE_TIMEOUT_MS`.
+  fn is_due(&mut self, service: &Name, surplus: &Surplus, prefill: usize, now_ms: u64) -> bool {
     if surplus.role == Role::Decode {
-      self.wanting_since_ms.remove(service);
+      self.shortage_since_ms.remove(service);
       return true;
     }
-    let wanted = reading + surplus.engines.len();
-    if reading * 2 > wanted {
-      self.wanting_since_ms.remove(service);
+    let target = prefill + surplus.engines.len();
+    if prefill * 2 > target {
+      self.shortage_since_ms.remove(service);
       return false;
     }
     let since_ms = *self
-      .wanting_since_ms
+      .shortage_since_ms
       .entry(service.clone())
       .or_insert(now_ms);
-    now_ms >= since_ms + WANT_PATIENCE_MS
+    now_ms >= since_ms + SHORTAGE_TIMEOUT_MS
   }
 
-  /// The share of a service's engines that is to read prompts: the policy's, or the settings'.
+  /// The target share of a service's engines in the prefill role: the policy's, or that of the settings.
   fn prefill_share(&self, service: &Name, engines: &[EndpointEntry]) -> f64 {
     let pool = self.pool_facts(service, engines);
     let share = self.gateway.policy.prefill_share(&pool);
     share.unwrap_or(self.gateway.settings.engines.prefill_share)
   }
 
-  /// What a policy is told of a service's engines. The load is this box's own, taken as usual for all boxes.
+  /// The input of a policy for a service. The load is extrapolated from this box's own to all boxes.
   fn pool_facts(&self, service: &Name, engines: &[EndpointEntry]) -> PoolFacts {
     let boxes = self.gateway.boxes.borrow().len().max(1) as u64;
     let book = self.gateway.endpoints.borrow();
@@ -254,14 +254,14 @@
     }
   }
 
-  /// Orders engines into their role, each with the store's fresh word that this box is steward.
-  async fn order(&mut self, surplus: Surplus) {
+  /// Commands engines into a role, each after the store has confirmed that this box is still leader.
+  async fn reassign(&mut self, surplus: Surplus) {
     for engine in surplus.engines {
       let Some(report) = self.report(&engine).await else {
         continue;
       };
       if report.order_under_way || report.role == Some(surplus.role) {
-        self.note_order(&engine, surplus.role);
+        self.record_command(&engine, surplus.role);
         continue;
       }
       let Some(fence) = self.confirmed_fence().await else {
@@ -278,76 +278,78 @@
     }
   }
 
-  /// What an engine says of its orders; nothing when it does not say.
+  /// An engine's report on its role and commands; `None` when it can't be read.
   async fn report(&self, engine: &EndpointEntry) -> Option<EngineReport> {
-    let answer = call_engine(
+    let response = call_engine(
       &self.gateway,
       engine,
       self.gateway.dialect.ask_report(),
       Purpose::Call,
     )
     .await;
-    let report = answer.map_err(|error| error.to_string()).and_then(|body| {
-      self
-        .gateway
-        .dialect
-        .report(&body)
-        .map_err(|error| error.to_string())
-    });
+    let report = response
+      .map_err(|error| error.to_string())
+      .and_then(|body| {
+        self
+          .gateway
+          .dialect
+          .report(&body)
+          .map_err(|error| error.to_string())
+      });
     report
-      .inspect_err(|error| log::info!("E424 role not ordered: {}: {error}", engine.id))
+      .inspect_err(|error| log::info!("E424 role not assigned: {}: {error}", engine.id))
       .ok()
   }
 
-  /// The fencing token, if the store says now that this box is steward.
+  /// The fencing token, if the store confirms that this box is leader and its lease is fresh.
   async fn confirmed_fence(&mut self) -> Option<u64> {
     let asked_ms = self.gateway.now_ms();
     self.gateway.counters.store_calls.inc();
-    let steward = self.store.steward().await;
+    let leader = self.store.steward().await;
     let name = &self.gateway.settings.identity.name;
-    match steward {
-      Ok(Some(steward)) if steward.holder == *name && Some(steward.fence) == self.fence => {
+    match leader {
+      Ok(Some(leader)) if leader.holder == *name && Some(leader.fence) == self.fence => {
         let answered_ms = self.gateway.now_ms();
-        let fresh = self
+        let is_fresh = self
           .gateway
           .lease
           .get()
           .is_some_and(|held| answered_ms < held.renewed_ms + LEASE_FRESH_MS);
-        (fresh && answered_ms < asked_ms + ORDER_LIFE_MS).then_some(steward.fence)
+        (is_fresh && answered_ms < asked_ms + CONFIRMATION_TTL_MS).then_some(leader.fence)
       }
       Ok(other) => {
-        log::info!("E422 no longer steward: {other:?}");
+        log::info!("E422 no longer role leader: {other:?}");
         self.fence = None;
         self.gateway.has_leader.set(other.is_some());
         None
       }
       Err(error) => {
-        log::info!("E421 not known to be steward: {error}");
+        log::info!("E421 role leadership not confirmed: {error}");
         None
       }
     }
   }
 
-  /// Counts an engine in the role that it has been ordered to take.
-  fn note_order(&mut self, engine: &EndpointEntry, role: Role) {
-    let order = PendingOrder {
+  /// Counts an engine in the role that it was commanded to take.
+  fn record_command(&mut self, engine: &EndpointEntry, role: Role) {
+    let command = PendingCommand {
       role,
       since_ms: self.gateway.now_ms(),
     };
-    self.pending.insert(engine.id.clone(), order);
+    self.pending.insert(engine.id.clone(), command);
   }
 
   async fn send(&mut self, engine: &EndpointEntry, change: &RoleChange) {
     let RoleChange { role, fence, .. } = change;
-    self.note_order(engine, *role);
+    self.record_command(engine, *role);
     let call = self.gateway.dialect.change_role(change);
     match call_engine(&self.gateway, engine, call, Purpose::Call).await {
       Ok(_) => log::info!(
-        "E423 role ordered: {} becomes {role:?}, fence {fence}",
+        "E423 role assigned: {} becomes {role:?}, fence {fence}",
         engine.id
       ),
       Err(error) => log::info!(
-        "E424 role not ordered: {} {role:?}, fence {fence}: {error}",
+        "E424 role not assigned: {} {role:?}, fence {fence}: {error}",
         engine.id
       ),
     }
