--- a/src/egress/endpoint_client.rs
+++ b/src/egress/endpoint_client.rs
@@ -58,7 +58,7 @@
         Some(OrderRefusal::Cancelled | OrderRefusal::NotServing) => Self::NeverBegan,
         Some(OrderRefusal::ExportGone | OrderRefusal::OldFence) | None => Self::PerhapsBegan,
       },
-      CallError::Broke(_) | CallError::TimedOut(_) | CallError::Answer(_) => Self::PerhapsBegan,
+      CallError::ConnectionLost(_) | CallError::TimedOut(_) | CallError::InvalidResponse(_) => Self::PerhapsBegan,
     }
   }
 }
--- a/src/gateway/connections/box_message.rs
+++ b/src/gateway/connections/box_message.rs
@@ -22,7 +22,7 @@
   let request = Request::post(format!("http://{address}{path}"))
     .body(Full::new(body.into()))
     .map_err(|error| CallError::NotSent(error.to_string()))?;
-  http.bytes(request, limit).await
+  http.fetch_bytes(request, limit).await
 }
 
 /// Reads a message of another box. Fails with the reason when it is too long, broke off, or is no such message.
--- a/src/gateway/limits/messages.rs
+++ b/src/gateway/limits/messages.rs
@@ -53,7 +53,7 @@
   limit: Duration,
 ) -> Result<UseAnswer, CallError> {
   let body = send_message(http, address, USE_PATH, message, limit).await?;
-  postcard::from_bytes(&body).map_err(|error| CallError::Answer(error.to_string()))
+  postcard::from_bytes(&body).map_err(|error| CallError::InvalidResponse(error.to_string()))
 }
 
 /// Tells another box that counts this one's totals.
--- a/src/gateway/permits/messages.rs
+++ b/src/gateway/permits/messages.rs
@@ -56,7 +56,7 @@
   limit: Duration,
 ) -> Result<PermitAnswer, CallError> {
   let answer = send_message(http, address, PERMITS_PATH, question, limit).await?;
-  postcard::from_bytes(&answer).map_err(|error| CallError::Answer(error.to_string()))
+  postcard::from_bytes(&answer).map_err(|error| CallError::InvalidResponse(error.to_string()))
 }
 
 /// Answers another box's question; with 409 where another box counts, as far as this one knows.
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -1,4 +1,4 @@
-//! A small pooled HTTP client over `hyper-util`, mostly for JSON: it calls endpoints, the platform, other boxes
+//! A pooled HTTP client over `hyper-util`, mostly for JSON: it calls endpoints, the platform, other boxes
 //! and, from the command line, a running box.
 
 use {
@@ -13,41 +13,38 @@
   },
   serde::{Serialize, de::DeserializeOwned},
   std::time::Duration,
-  tokio::time::timeout,
+  tokio::time,
 };
 
-/// Time for a connection to be made.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The longest answer that is read whole.
-const MOST_ANSWER_BYTES: usize = 4 * 1024 * 1024;
-/// How long a connection rests before it is closed.
-const POOL_IDLE: Duration = Duration::from_secs(20);
+/// The largest response body that is buffered in memory.
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Why a call came to nothing.
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-  /// No connection was made, or the request could not be built: the peer never saw the call.
+  /// No connection was made, or the request could not be built: the server did not receive the call.
   #[error("no connection: {0}")]
   NotSent(String),
-  /// The connection broke after the call may have been seen, or the answer is too long.
+  /// The connection broke after the server may have received the call, or the response is too large.
   #[error("connection broke: {0}")]
-  Broke(String),
-  /// No answer in time.
+  ConnectionLost(String),
+  /// No complete response within this many milliseconds.
   #[error("no answer within {0} ms")]
   TimedOut(u128),
-  /// The peer answered with an error status.
+  /// The server responded with an error status.
   #[error("status {status}: {text}")]
   Status {
-    /// The status.
     status: StatusCode,
     /// The start of the body.
     text: String,
-    /// For how long the peer wants to be left alone, if it says so.
+    /// The retry-after delay, if the server sent one.
     retry_after_ms: Option<u64>,
   },
-  /// The answer can't be read.
-  #[error("answer can't be read: {0}")]
-  Answer(String),
+  /// The response body could not be parsed.
+  #[error("invalid response: {0}")]
+  InvalidResponse(String),
 }
 
 /// A pooled HTTP/1 client.
@@ -62,7 +59,7 @@
     connector.set_nodelay(true);
     connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
     let inner = Client::builder(TokioExecutor::new())
-      .pool_idle_timeout(POOL_IDLE)
+      .pool_idle_timeout(POOL_IDLE_TIMEOUT)
       .pool_timer(TokioTimer::new())
       .retry_canceled_requests(false)
       .build(connector);
@@ -71,25 +68,25 @@
 }
 
 impl HttpClient {
-  /// Sends a request and answers with the response's head, body unread.
+  /// Sends a request and returns the response head, with the body unread.
   pub async fn send(&self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, CallError> {
     self.inner.request(request).await.map_err(|error| {
       let text = error_text(&error);
       if error.is_connect() {
         CallError::NotSent(text)
       } else {
-        CallError::Broke(text)
+        CallError::ConnectionLost(text)
       }
     })
   }
 
-  /// Posts JSON and answers with the response's head, body unread.
-  pub async fn post_stream<Q: Serialize>(
+  /// Posts JSON and returns the response head, with the body unread. Fails on an error status.
+  pub async fn post_stream<T: Serialize>(
     &self,
     uri: &str,
-    question: &Q,
+    body: &T,
   ) -> Result<Response<Incoming>, CallError> {
-    let request = json_request(Method::POST, uri, question)?;
+    let request = json_request(Method::POST, uri, body)?;
     let response = self.send(request).await?;
     if response.status().is_success() {
       return Ok(response);
@@ -97,67 +94,67 @@
     Err(status_error(response).await)
   }
 
-  /// Posts JSON and reads the whole JSON answer.
-  pub async fn post<Q: Serialize, A: DeserializeOwned>(
+  /// Posts JSON and parses the JSON response.
+  pub async fn post<T: Serialize, A: DeserializeOwned>(
     &self,
     uri: &str,
-    question: &Q,
-    limit: Duration,
+    body: &T,
+    timeout: Duration,
   ) -> Result<A, CallError> {
     self
-      .whole(json_request(Method::POST, uri, question)?, limit)
+      .fetch_json(json_request(Method::POST, uri, body)?, timeout)
       .await
   }
 
-  /// Reads the whole JSON answer to a GET.
-  pub async fn get<A: DeserializeOwned>(&self, uri: &str, limit: Duration) -> Result<A, CallError> {
+  /// Sends a GET request and parses the JSON response.
+  pub async fn get<A: DeserializeOwned>(&self, uri: &str, timeout: Duration) -> Result<A, CallError> {
     let request = Request::get(parse_uri(uri)?)
       .body(Full::default())
       .map_err(|error| CallError::NotSent(error.to_string()))?;
-    self.whole(request, limit).await
+    self.fetch_json(request, timeout).await
   }
 
-  /// Sends a request and reads the whole JSON answer of a success, all within a time.
-  pub async fn whole<A: DeserializeOwned>(
+  /// Sends a request and parses the JSON response. Fails on an error status, or when `timeout` has passed.
+  pub async fn fetch_json<A: DeserializeOwned>(
     &self,
     request: Request<Full<Bytes>>,
-    limit: Duration,
+    timeout: Duration,
   ) -> Result<A, CallError> {
-    let bytes = self.bytes(request, limit).await?;
-    serde_json::from_slice(&bytes).map_err(|error| CallError::Answer(error.to_string()))
+    let bytes = self.fetch_bytes(request, timeout).await?;
+    serde_json::from_slice(&bytes).map_err(|error| CallError::InvalidResponse(error.to_string()))
   }
 
-  /// Sends a request and reads the whole answer of a success, all within a time.
-  pub async fn bytes(
+  /// Sends a request and buffers the response body. Fails on an error status, or when `timeout` has passed.
+  pub async fn fetch_bytes(
     &self,
     request: Request<Full<Bytes>>,
-    limit: Duration,
+    timeout: Duration,
   ) -> Result<Bytes, CallError> {
-    let answer = async {
+    let body = async {
       let response = self.send(request).await?;
       if !response.status().is_success() {
         return Err(status_error(response).await);
       }
-      read_whole(response).await
+      read_body(response).await
     };
-    timeout(limit, answer)
+    time::timeout(timeout, body)
       .await
-      .unwrap_or_else(|_| Err(CallError::TimedOut(limit.as_millis())))
+      .unwrap_or_else(|_| Err(CallError::TimedOut(timeout.as_millis())))
   }
 }
 
-async fn read_whole(response: Response<Incoming>) -> Result<Bytes, CallError> {
-  Limited::new(response.into_body(), MOST_ANSWER_BYTES)
+async fn read_body(response: Response<Incoming>) -> Result<Bytes, CallError> {
+  Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
     .collect()
     .await
     .map(http_body_util::Collected::to_bytes)
-    .map_err(|error| CallError::Broke(error.to_string()))
+    .map_err(|error| CallError::ConnectionLost(error.to_string()))
 }
 
 async fn status_error(response: Response<Incoming>) -> CallError {
   let status = response.status();
   let retry_after_ms = retry_after_ms(response.headers()).unwrap_or_default();
-  let bytes = read_whole(response).await.unwrap_or_default();
+  let bytes = read_body(response).await.unwrap_or_default();
   CallError::Status {
     retry_after_ms,
     status,
@@ -171,12 +168,12 @@
     .map_err(|error| CallError::NotSent(format!("`{uri}`: {error}")))
 }
 
-fn json_request<Q: Serialize>(
+fn json_request<T: Serialize>(
   method: Method,
   uri: &str,
-  question: &Q,
+  body: &T,
 ) -> Result<Request<Full<Bytes>>, CallError> {
-  let body = serde_json::to_vec(question).map_err(|error| CallError::NotSent(error.to_string()))?;
+  let body = serde_json::to_vec(body).map_err(|error| CallError::NotSent(error.to_string()))?;
   Request::builder()
     .method(method)
     .uri(parse_uri(uri)?)
--- a/src/subcommand/admin_client.rs
+++ b/src/subcommand/admin_client.rs
@@ -61,7 +61,7 @@
       .request(call)
       .map_err(|error| failed(error.to_string()))?;
     runtime
-      .block_on(async { HttpClient::default().whole(request, LIMIT).await })
+      .block_on(async { HttpClient::default().fetch_json(request, LIMIT).await })
       .map_err(|error| failed(explain(&error)))
   }
 
--- a/src/subcommand/limits.rs
+++ b/src/subcommand/limits.rs
@@ -57,7 +57,7 @@
       .body(Full::default())
       .map_err(|error| failed(error.to_string()))?;
     let bytes = runtime
-      .block_on(async { HttpClient::default().bytes(request, LIMIT).await })
+      .block_on(async { HttpClient::default().fetch_bytes(request, LIMIT).await })
       .map_err(|error| failed(error.to_string()))?;
     Ok(String::from_utf8_lossy(&bytes).into_owned())
   }
--- a/tests/gateway/harness.rs
+++ b/tests/gateway/harness.rs
@@ -396,7 +396,7 @@
     let request = Request::get(format!("http://{}/metrics", self.metrics))
       .body(Full::default())
       .unwrap();
-    let Ok(figures) = HttpClient::default().bytes(request, PATIENCE).await else {
+    let Ok(figures) = HttpClient::default().fetch_bytes(request, PATIENCE).await else {
       return 0.0;
     };
     let text = String::from_utf8_lossy(&figures);
--- a/tests/gateway/relay.rs
+++ b/tests/gateway/relay.rs
@@ -180,7 +180,7 @@
   let uri = format!("http://{}/changes/{revision}", gateway.boxes);
   let request = Request::get(uri).body(Full::new(Bytes::new())).unwrap();
   let body = HttpClient::default()
-    .bytes(request, PATIENCE)
+    .fetch_bytes(request, PATIENCE)
     .await
     .unwrap();
   let (changes, _heard_ms_ago): (StoreChanges, Option<u64>) = postcard::from_bytes(&body).unwrap();
