--- a/emulator/src/engine/routes.rs
+++ b/emulator/src/engine/routes.rs
@@ -19,7 +19,7 @@
     endpoint_api::{
       AttemptsReply, BYTES_PER_TOKEN, CacheEventsReply, CancelReply, CancelRequest, DecodeChunk,
       DecodeRequest, FinishReason, HoldsReply, HoldsRequest, ImportAnswer, ImportRequest,
-      OrderRefusal, PrefillAnswer, PrefillRequest, RefusalReply, RoleRequest, prefix_blocks,
+      CommandRejection, PrefillAnswer, PrefillRequest, RejectionReply, RoleRequest, prefix_blocks,
     },
     ids::AttemptId,
   },
@@ -54,16 +54,16 @@
   }
 }
 
-fn refuse(status: StatusCode, refusal: OrderRefusal) -> Response {
-  (status, Json(RefusalReply { refusal })).into_response()
+fn refuse(status: StatusCode, refusal: CommandRejection) -> Response {
+  (status, Json(RejectionReply { refusal })).into_response()
 }
 
 fn full() -> Response {
-  refuse(StatusCode::TOO_MANY_REQUESTS, OrderRefusal::Full)
+  refuse(StatusCode::TOO_MANY_REQUESTS, CommandRejection::Full)
 }
 
 fn cancelled() -> Response {
-  refuse(StatusCode::CONFLICT, OrderRefusal::Cancelled)
+  refuse(StatusCode::CONFLICT, CommandRejection::Cancelled)
 }
 
 impl EngineStandIn {
@@ -82,7 +82,7 @@
       return Err(Box::new(cancelled()));
     }
     if inner.role != role {
-      let refusal = refuse(StatusCode::SERVICE_UNAVAILABLE, OrderRefusal::NotServing);
+      let refusal = refuse(StatusCode::SERVICE_UNAVAILABLE, CommandRejection::NotServing);
       return Err(Box::new(refusal));
     }
     if inner.faults.full || inner.attempts.len() >= self.options.seats as usize {
@@ -211,7 +211,7 @@
       inner.attempts.remove(&request.attempt);
       Json(export).into_response()
     }
-    None => refuse(StatusCode::GONE, OrderRefusal::ExportGone),
+    None => refuse(StatusCode::GONE, CommandRejection::ExportGone),
   }
 }
 
@@ -256,7 +256,7 @@
   let mut inner = engine.inner();
   let Some(export) = fetched else {
     inner.attempts.remove(&request.attempt);
-    return refuse(StatusCode::GONE, OrderRefusal::ExportGone);
+    return refuse(StatusCode::GONE, CommandRejection::ExportGone);
   };
   let kv_bytes = export.kv_bytes;
   match inner.attempts.get_mut(&request.attempt) {
@@ -273,10 +273,10 @@
   let (cancelled, export) = {
     let mut inner = engine.inner();
     let Some(held) = inner.attempts.get_mut(&request.attempt) else {
-      return refuse(StatusCode::GONE, OrderRefusal::ExportGone);
+      return refuse(StatusCode::GONE, CommandRejection::ExportGone);
     };
     let Some(export) = held.imported.clone() else {
-      return refuse(StatusCode::GONE, OrderRefusal::ExportGone);
+      return refuse(StatusCode::GONE, CommandRejection::ExportGone);
     };
     held.began = true;
     let cancelled = held.cancelled.clone();
@@ -464,7 +464,7 @@
   let mut inner = engine.inner();
   if engine.options.checks_fence && request.fence < inner.fence {
     inner.tally.old_fences += 1;
-    return refuse(StatusCode::CONFLICT, OrderRefusal::OldFence);
+    return refuse(StatusCode::CONFLICT, CommandRejection::OldFence);
   }
   inner.fence = inner.fence.max(request.fence);
   inner.tally.role_orders.push(request.fence);
--- a/src/egress/endpoint_client.rs
+++ b/src/egress/endpoint_client.rs
@@ -5,8 +5,8 @@
     decide::{Began, CancelAnswer, Event, Role, StageOutcome},
     endpoint_api::{
       AttemptsReply, CacheEventsReply, CancelReply, CancelRequest, DecodeRequest, HoldsReply,
-      HoldsRequest, ImportAnswer, ImportRequest, LoadReply, OrderRefusal, PrefillAnswer,
-      PrefillRequest, RefusalReply, RoleRequest,
+      HoldsRequest, ImportAnswer, ImportRequest, LoadReply, CommandRejection, PrefillAnswer,
+      PrefillRequest, RejectionReply, RoleRequest,
     },
     http_client::{CallError, HttpClient},
     ids::{AttemptId, Name},
@@ -54,9 +54,9 @@
     match error {
       CallError::NotSent(_) => Self::NeverBegan,
       CallError::Status { status, text, .. } => match refusal(status, &text) {
-        Some(OrderRefusal::Full) => Self::Full,
-        Some(OrderRefusal::Cancelled | OrderRefusal::NotServing) => Self::NeverBegan,
-        Some(OrderRefusal::ExportGone | OrderRefusal::OldFence) | None => Self::PerhapsBegan,
+        Some(CommandRejection::Full) => Self::Full,
+        Some(CommandRejection::Cancelled | CommandRejection::NotServing) => Self::NeverBegan,
+        Some(CommandRejection::ExportGone | CommandRejection::OldFence) | None => Self::PerhapsBegan,
       },
       CallError::ConnectionLost(_) | CallError::TimedOut(_) | CallError::InvalidResponse(_) => Self::PerhapsBegan,
     }
@@ -64,11 +64,11 @@
 }
 
 /// A refusal is believed only with its own body: any other error status says nothing.
-fn refusal(status: StatusCode, text: &str) -> Option<OrderRefusal> {
+fn refusal(status: StatusCode, text: &str) -> Option<CommandRejection> {
   if !status.is_client_error() && status != StatusCode::SERVICE_UNAVAILABLE {
     return None;
   }
-  serde_json::from_str::<RefusalReply>(text)
+  serde_json::from_str::<RejectionReply>(text)
     .ok()
     .map(|reply| reply.refusal)
 }
--- a/src/endpoint_api.rs
+++ b/src/endpoint_api.rs
@@ -175,7 +175,7 @@
 /// Why an endpoint refuses an order.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum OrderRefusal {
+pub enum CommandRejection {
   /// No room; nothing began.
   Full,
   /// The attempt was cancelled before the order came; nothing began.
@@ -190,9 +190,9 @@
 
 /// The body of a refusal.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct RefusalReply {
+pub struct RejectionReply {
   /// Why.
-  pub refusal: OrderRefusal,
+  pub refusal: CommandRejection,
 }
 
 /// Hashes of a prompt's leading blocks; each covers all text before it.
