--- a/src/peers/frame.rs
+++ b/src/peers/frame.rs
@@ -9,7 +9,7 @@
 pub const PROTOCOL_VERSION: u8 = 1;
 
 /// Larger frames are refused; a configuration document may be up to a megabyte.
-pub const MOST_FRAME_BYTES: usize = 2 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 2 * 1024 * 1024;
 
 /// One message on its way between boxes.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -32,7 +32,7 @@
   #[error("frame has version {0}, this box speaks {PROTOCOL_VERSION}")]
   Version(u8),
   /// It is too large.
-  #[error("frame of {0} bytes is larger than {MOST_FRAME_BYTES}")]
+  #[error("frame of {0} bytes is larger than {MAX_FRAME_BYTES}")]
   TooLarge(usize),
   /// It can't be read.
   #[error("frame can't be read: {0}")]
@@ -51,7 +51,7 @@
 pub fn encode(frame: &Frame) -> Result<Vec<u8>, FrameError> {
   let bytes = postcard::to_extend(frame, vec![PROTOCOL_VERSION])
     .map_err(|error| FrameError::Malformed(error.to_string()))?;
-  if bytes.len() > MOST_FRAME_BYTES {
+  if bytes.len() > MAX_FRAME_BYTES {
     return Err(FrameError::TooLarge(bytes.len()));
   }
   Ok(bytes)
@@ -59,7 +59,7 @@
 
 /// Reads a frame; trailing bytes make it malformed.
 pub fn decode(bytes: &[u8]) -> Result<Frame, FrameError> {
-  if bytes.len() > MOST_FRAME_BYTES {
+  if bytes.len() > MAX_FRAME_BYTES {
     return Err(FrameError::TooLarge(bytes.len()));
   }
   let (version, rest) = bytes.split_first().ok_or(FrameError::Empty)?;
--- a/src/peers/link.rs
+++ b/src/peers/link.rs
@@ -1,7 +1,7 @@
 //! One direction of a link: frames over a unidirectional QUIC stream, made anew when it breaks.
 
 use {
-  super::frame::{Frame, MOST_FRAME_BYTES, decode, encode},
+  super::frame::{Frame, MAX_FRAME_BYTES, decode, encode},
   super::keys::SharedClient,
   bytes::Bytes,
   futures_util::{SinkExt, StreamExt},
@@ -17,7 +17,7 @@
 
 fn codec() -> LengthDelimitedCodec {
   LengthDelimitedCodec::builder()
-    .max_frame_length(MOST_FRAME_BYTES)
+    .max_frame_length(MAX_FRAME_BYTES)
     .new_codec()
 }
 
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -7,4 +7,4 @@
 
 pub(crate) use self::desk::{PeersInput, PeersSetup, check_keys, run};
 
-pub use self::frame::{Frame, FrameError, MOST_FRAME_BYTES, PROTOCOL_VERSION, decode, encode};
+pub use self::frame::{Frame, FrameError, MAX_FRAME_BYTES, PROTOCOL_VERSION, decode, encode};
--- a/tests/contracts.rs
+++ b/tests/contracts.rs
@@ -13,7 +13,7 @@
     configuration::Store,
     decide::{Document, PeerMessage},
     observe::Stamp,
-    peers::{Frame, FrameError, MOST_FRAME_BYTES, decode, encode},
+    peers::{Frame, FrameError, MAX_FRAME_BYTES, decode, encode},
     settings::Settings,
     store::KeyValue,
   },
@@ -156,7 +156,7 @@
 #[rstest]
 #[case::empty(Vec::new(), FrameError::Empty)]
 #[case::other_version(vec![9, 1, 2], FrameError::Version(9))]
-#[case::too_large(vec![1; MOST_FRAME_BYTES + 1], FrameError::TooLarge(MOST_FRAME_BYTES + 1))]
+#[case::too_large(vec![1; MAX_FRAME_BYTES + 1], FrameError::TooLarge(MAX_FRAME_BYTES + 1))]
 fn refused_frames(#[case] bytes: Vec<u8>, #[case] wanted: FrameError) {
   assert_eq!(decode(&bytes), Err(wanted));
 }
