--- a/src/serve/start.rs
+++ b/src/serve/start.rs
@@ -18,7 +18,7 @@
     },
     peers::{self, PeersSetup},
     ring::{Receiver, Waker, ring},
-    settings::{EndpointKindWord, Settings},
+    settings::{EndpointKindValue, Settings},
     store::{self, KeyValue, StoreSetup},
   },
   arc_swap::ArcSwap,
@@ -228,7 +228,7 @@
   settings
     .endpoints
     .iter()
-    .filter(|endpoint| endpoint.kind == EndpointKindWord::Engine)
+    .filter(|endpoint| endpoint.kind == EndpointKindValue::Engine)
     .flat_map(|endpoint| endpoint.models.iter().cloned())
     .collect::<BTreeSet<_>>()
     .into_iter()
--- a/src/settings/document.rs
+++ b/src/settings/document.rs
@@ -2,7 +2,7 @@
 
 use {
   super::{
-    Administration, BoxSettings, EndpointKindWord, EndpointSettings, Limits, Listen, LogSettings,
+    Administration, BoxSettings, EndpointKindValue, EndpointSettings, Limits, Listen, LogSettings,
     Metrics, PeerKeys, Platform, Settings, SettingsError, Targets,
   },
   crate::{Error, Result},
@@ -147,7 +147,7 @@
         self.refuse(&place, "endpoint.seats", "must be at least 1");
       }
       match value.kind {
-        EndpointKindWord::Engine => {
+        EndpointKindValue::Engine => {
           if value.role.is_none() {
             self.refuse(
               span,
@@ -163,7 +163,7 @@
             );
           }
         }
-        EndpointKindWord::Service => {
+        EndpointKindValue::Service => {
           if value.service.is_none() {
             self.refuse(span, "endpoint.service", "a plain service needs its name");
           }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -7,7 +7,7 @@
 pub use self::{
   settings_error::SettingsError,
   types::{
-    Administration, BoxSettings, EndpointKindWord, EndpointSettings, Limits, Listen, LogFormat,
+    Administration, BoxSettings, EndpointKindValue, EndpointSettings, Limits, Listen, LogFormat,
     LogSettings, Metrics, PeerKeys, Platform, Settings, Targets,
   },
 };
--- a/src/settings/types.rs
+++ b/src/settings/types.rs
@@ -177,7 +177,7 @@
 /// What an endpoint is, as a word.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
-pub enum EndpointKindWord {
+pub enum EndpointKindValue {
   /// A model engine.
   Engine,
   /// An instance of a plain service.
@@ -193,7 +193,7 @@
   /// Its hall.
   pub hall: Name,
   /// What it is.
-  pub kind: EndpointKindWord,
+  pub kind: EndpointKindValue,
   /// Where it listens.
   pub url: Name,
   /// Requests it may hold at once.
@@ -223,12 +223,12 @@
   /// What `decide` goes by; the settings have been checked.
   pub fn spec(&self) -> EndpointSpec {
     let kind = match self.kind {
-      EndpointKindWord::Engine => EndpointKind::Engine {
+      EndpointKindValue::Engine => EndpointKind::Engine {
         checks_fence: self.checks_fence,
         models: self.models.clone(),
         role: self.role.unwrap_or(Role::Decode),
       },
-      EndpointKindWord::Service => EndpointKind::Service {
+      EndpointKindValue::Service => EndpointKind::Service {
         service: self.service.clone().unwrap_or_else(|| "".into()),
       },
     };
