--- a/emulator/src/demo.rs
+++ b/emulator/src/demo.rs
@@ -9,7 +9,7 @@
   },
   http::{Method, Request},
   http_body_util::Full,
-  rillford::{configuration::hash_key, decide::BoxEntry, store::KeyValue},
+  rillford::{configuration::hash_key, decide::BoxEntry, store::KeyValueClient},
   std::{
     env, io,
     path::{Path, PathBuf},
@@ -165,7 +165,7 @@
 
 /// Writes the first configuration and the box list, as the platform's operators would.
 async fn configure(stage: &Stage) -> io::Result<()> {
-  let service = KeyValue::new(
+  let service = KeyValueClient::new(
     &stage.key_value.url,
     Duration::from_secs(1),
     Arc::new(|| {}),
@@ -182,7 +182,7 @@
   for (key, text) in documents {
     let key = format!("rillford/configuration/{key}");
     service
-      .swap(&key, 0, &text, None)
+      .compare_and_swap(&key, 0, &text, None)
       .await
       .map_err(io::Error::other)?;
   }
--- a/src/admin/configuration.rs
+++ b/src/admin/configuration.rs
@@ -6,7 +6,7 @@
     configuration::{DocumentKey, parse_document},
     decide::Document,
     ids::Name,
-    store::{KeyValueError, Swap, stored_key},
+    store::{KeyValueError, SwapOutcome, stored_key},
   },
   axum::{
     Json,
@@ -143,11 +143,11 @@
   parse_document(&key, &text).map_err(|error| Problem::new(StatusCode::BAD_REQUEST, error))?;
   let swapped = desk
     .service
-    .swap(&stored_key(&key), expected, &text, None)
+    .compare_and_swap(&stored_key(&key), expected, &text, None)
     .await;
   let revision = match swapped {
-    Ok(Swap::Done(revision)) => revision,
-    Ok(Swap::Conflict(present)) => return Err(Problem::conflict(present)),
+    Ok(SwapOutcome::Done(revision)) => revision,
+    Ok(SwapOutcome::Conflict(present)) => return Err(Problem::conflict(present)),
     Err(error) => read_back(&desk, &key, expected, &text, &error).await?,
   };
   let text: Name = text.into();
--- a/src/admin/desk.rs
+++ b/src/admin/desk.rs
@@ -6,7 +6,7 @@
     ids::Name,
     observe::Timeline,
     ring::Sender,
-    store::KeyValue,
+    store::KeyValueClient,
   },
   arc_swap::ArcSwap,
   std::sync::Arc,
@@ -16,7 +16,7 @@
 pub(crate) struct Desk {
   pub(crate) keys_sha256: Vec<Name>,
   pub(crate) endpoints: Vec<Name>,
-  pub(crate) service: KeyValue,
+  pub(crate) service: KeyValueClient,
   pub(crate) status: Arc<ArcSwap<Status>>,
   pub(crate) timeline: Arc<Timeline>,
   pub(crate) to_decide: Sender<Event>,
--- a/src/serve/start.rs
+++ b/src/serve/start.rs
@@ -19,7 +19,7 @@
     peers::{self, PeersSetup},
     ring::{Receiver, Waker, ring},
     settings::{EndpointKindValue, Settings},
-    store::{self, KeyValue, StoreSetup},
+    store::{self, KeyValueClient, StoreSetup},
   },
   arc_swap::ArcSwap,
   std::{
@@ -171,7 +171,7 @@
         .map(|endpoint| endpoint.name.clone())
         .collect(),
       keys_sha256: settings.administration.keys_sha256.clone(),
-      service: KeyValue::new(&settings.platform.key_value, limit, counted),
+      service: KeyValueClient::new(&settings.platform.key_value, limit, counted),
       status: status.clone(),
       timeline,
       to_decide: from_operators.clone(),
--- a/src/store/claims.rs
+++ b/src/store/claims.rs
@@ -1,7 +1,7 @@
 //! Claims on not-repeatable requests: written once, never taken over, swept in bulk by the hour.
 
 use {
-  super::key_value::{KeyValue, Swap},
+  super::key_value_client::{KeyValueClient, SwapOutcome},
   crate::{configuration::hash_key, decide::ClaimOutcome, ids::Name, observe::unix_ms},
   std::time::Duration,
   tokio::time::{Instant, sleep},
@@ -34,7 +34,7 @@
 
 /// Claims a key with a random token; an ambiguous answer is settled by reading back.
 pub(super) async fn claim(
-  service: &KeyValue,
+  service: &KeyValueClient,
   organisation: &Name,
   idempotency_key: &Name,
   token: &str,
@@ -44,8 +44,8 @@
   let bucket = claim_bucket(unix_ms(), &key);
   let written = service.create_both((&key, token), (&bucket, &key)).await;
   match written {
-    Ok(Swap::Done(_)) => ClaimOutcome::Held,
-    Ok(Swap::Conflict(_)) => ClaimOutcome::Taken,
+    Ok(SwapOutcome::Done(_)) => ClaimOutcome::Held,
+    Ok(SwapOutcome::Conflict(_)) => ClaimOutcome::Taken,
     Err(error) => {
       log::info!("claim: {error}");
       read_back(service, &key, token, limit).await
@@ -54,7 +54,7 @@
 }
 
 /// A write without an answer may take effect late: absence settles nothing, presence does.
-async fn read_back(service: &KeyValue, key: &str, token: &str, limit: Duration) -> ClaimOutcome {
+async fn read_back(service: &KeyValueClient, key: &str, token: &str, limit: Duration) -> ClaimOutcome {
   let until = Instant::now() + limit;
   let mut pause = FIRST_PAUSE;
   loop {
@@ -69,7 +69,7 @@
 
 /// Releases our own claim on proof that nothing ran; done again until it is settled.
 pub(super) async fn release(
-  service: &KeyValue,
+  service: &KeyValueClient,
   organisation: &Name,
   idempotency_key: &Name,
   token: &str,
@@ -101,7 +101,7 @@
 }
 
 /// Deletes the claims of hours that lie beyond the retention.
-pub(super) async fn sweep(service: &KeyValue) {
+pub(super) async fn sweep(service: &KeyValueClient) {
   let Ok((listed, _)) = service.list(BUCKET_PREFIX).await else {
     return;
   };
--- a/src/store/configuration.rs
+++ b/src/store/configuration.rs
@@ -1,7 +1,7 @@
 //! Following the configuration: two boxes of a hall watch, the rest hear it from their peers.
 
 use {
-  super::key_value::{KeyValue, Stored, Watch},
+  super::key_value_client::{KeyValueClient, StoredValue, Watch},
   crate::{decide::Document, ids::Name},
   std::time::Duration,
   tokio::time::{Instant, timeout_at},
@@ -18,7 +18,7 @@
   format!("{CONFIGURATION_PREFIX}{key}")
 }
 
-fn document(stored: Stored) -> Option<Document> {
+fn document(stored: StoredValue) -> Option<Document> {
   let key = stored.key.strip_prefix(CONFIGURATION_PREFIX)?;
   Some(Document {
     key: key.into(),
@@ -27,12 +27,12 @@
   })
 }
 
-fn documents(stored: Vec<Stored>) -> Vec<Document> {
+fn documents(stored: Vec<StoredValue>) -> Vec<Document> {
   stored.into_iter().filter_map(document).collect()
 }
 
 /// Reads all documents, and the revision to watch from.
-pub(super) async fn read_all(service: &KeyValue) -> Option<(Vec<Document>, u64)> {
+pub(super) async fn read_all(service: &KeyValueClient) -> Option<(Vec<Document>, u64)> {
   match service.list(CONFIGURATION_PREFIX).await {
     Ok((stored, revision)) => Some((documents(stored), revision + 1)),
     Err(error) => {
@@ -50,7 +50,7 @@
 
 impl Follower {
   /// Reads all documents and watches for changes after that.
-  pub(super) async fn open(service: &KeyValue) -> Option<(Vec<Document>, Self)> {
+  pub(super) async fn open(service: &KeyValueClient) -> Option<(Vec<Document>, Self)> {
     let (all, from) = read_all(service).await?;
     let watch = service.watch(CONFIGURATION_PREFIX, from).await.ok()?;
     let until = Instant::now() + WATCH_RENEWAL;
--- a/src/store/desk.rs
+++ b/src/store/desk.rs
@@ -4,7 +4,7 @@
   super::{
     claims,
     configuration::{Follower, is_watcher, read_all},
-    key_value::KeyValue,
+    key_value_client::KeyValueClient,
     lease,
   },
   crate::{
@@ -76,7 +76,7 @@
   settings: Platform,
   started: Instant,
   observer: Observer,
-  service: KeyValue,
+  service: KeyValueClient,
   store: Mutex<Store>,
   keys: Arc<ArcSwap<KeyTable>>,
   phase: Arc<SharedPhase>,
@@ -92,7 +92,7 @@
   let counter = setup.observer.clone();
   let counted = Arc::new(move || counter.tell(Observation::PlatformCall));
   let office = Arc::new(Office {
-    service: KeyValue::new(&setup.settings.key_value, call_limit, counted),
+    service: KeyValueClient::new(&setup.settings.key_value, call_limit, counted),
     identity: setup.identity,
     keys: setup.keys,
     observer: setup.observer,
--- a/src/store/key_value.rs
+++ b/src/store/key_value_client.rs
@@ -30,7 +30,7 @@
 
 /// A value with its revision.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Stored {
+pub struct StoredValue {
   /// The key.
   pub key: String,
   /// The value.
@@ -41,7 +41,7 @@
 
 /// The result of a compare-and-swap.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Swap {
+pub enum SwapOutcome {
   /// It was done, at this revision.
   Done(u64),
   /// Another value is there; 0 if none is.
@@ -153,7 +153,7 @@
   BASE64.encode(bytes)
 }
 
-impl From<Pair> for Stored {
+impl From<Pair> for StoredValue {
   fn from(pair: Pair) -> Self {
     Self {
       key: plain(&pair.key),
@@ -165,14 +165,14 @@
 
 /// A client of the key-value service. Each call is reported to `counted`.
 #[derive(Clone)]
-pub struct KeyValue {
+pub struct KeyValueClient {
   http: HttpClient,
   url: Name,
   limit: Duration,
   counted: Arc<dyn Fn() + Send + Sync>,
 }
 
-impl KeyValue {
+impl KeyValueClient {
   /// A client for the service at a URL; each call may take `limit`.
   pub fn new(url: &str, limit: Duration, counted: Arc<dyn Fn() + Send + Sync>) -> Self {
     Self {
@@ -207,41 +207,41 @@
   }
 
   /// Reads one key.
-  pub async fn get(&self, key: &str) -> Result<Option<Stored>, KeyValueError> {
+  pub async fn get(&self, key: &str) -> Result<Option<StoredValue>, KeyValueError> {
     let question = json!({ "key": coded(key) });
     let reply = self
       .call::<_, RangeReply>("reading a key", "/v3/kv/range", &question)
       .await?;
-    Ok(reply.kvs.into_iter().next().map(Stored::from))
+    Ok(reply.kvs.into_iter().next().map(StoredValue::from))
   }
 
   /// Reads one key as it was at an earlier revision.
-  pub async fn get_at(&self, key: &str, revision: u64) -> Result<Option<Stored>, KeyValueError> {
+  pub async fn get_at(&self, key: &str, revision: u64) -> Result<Option<StoredValue>, KeyValueError> {
     let question = json!({ "key": coded(key), "revision": revision.to_string() });
     let reply = self
       .call::<_, RangeReply>("reading a key's past", "/v3/kv/range", &question)
       .await?;
-    Ok(reply.kvs.into_iter().next().map(Stored::from))
+    Ok(reply.kvs.into_iter().next().map(StoredValue::from))
   }
 
   /// Reads all keys with a prefix, and the revision of the reading.
-  pub async fn list(&self, prefix: &str) -> Result<(Vec<Stored>, u64), KeyValueError> {
+  pub async fn list(&self, prefix: &str) -> Result<(Vec<StoredValue>, u64), KeyValueError> {
     let question = json!({ "key": coded(prefix), "range_end": range_end(prefix) });
     let reply = self
       .call::<_, RangeReply>("reading keys", "/v3/kv/range", &question)
       .await?;
-    let stored = reply.kvs.into_iter().map(Stored::from).collect();
+    let stored = reply.kvs.into_iter().map(StoredValue::from).collect();
     Ok((stored, reply.header.revision))
   }
 
   /// Writes a key if its revision is still the expected one; 0 expects that it is absent.
-  pub async fn swap(
+  pub async fn compare_and_swap(
     &self,
     key: &str,
     expected: u64,
     value: &str,
     lease: Option<&str>,
-  ) -> Result<Swap, KeyValueError> {
+  ) -> Result<SwapOutcome, KeyValueError> {
     let mut put = json!({ "key": coded(key), "value": coded(value) });
     if let Some(lease) = lease {
       put["lease"] = json!(lease);
@@ -256,7 +256,7 @@
     &self,
     first: (&str, &str),
     second: (&str, &str),
-  ) -> Result<Swap, KeyValueError> {
+  ) -> Result<SwapOutcome, KeyValueError> {
     let put = |(key, value)| json!({ "request_put": { "key": coded(key), "value": coded(value) } });
     self
       .transact(first.0, 0, json!([put(first), put(second)]))
@@ -264,7 +264,7 @@
   }
 
   /// Deletes a key if its revision is still the expected one.
-  pub async fn remove(&self, key: &str, expected: u64) -> Result<Swap, KeyValueError> {
+  pub async fn remove(&self, key: &str, expected: u64) -> Result<SwapOutcome, KeyValueError> {
     let delete = json!({ "request_delete_range": { "key": coded(key) } });
     self.transact(key, expected, json!([delete])).await
   }
@@ -274,7 +274,7 @@
     key: &str,
     expected: u64,
     success: serde_json::Value,
-  ) -> Result<Swap, KeyValueError> {
+  ) -> Result<SwapOutcome, KeyValueError> {
     let question = json!({
       "compare": [{
         "key": coded(key),
@@ -289,7 +289,7 @@
       .call::<_, TxnReply>("writing a key", "/v3/kv/txn", &question)
       .await?;
     if reply.succeeded {
-      return Ok(Swap::Done(reply.header.revision));
+      return Ok(SwapOutcome::Done(reply.header.revision));
     }
     let present = reply
       .responses
@@ -298,7 +298,7 @@
       .flat_map(|range| range.kvs)
       .map(|pair| pair.mod_revision)
       .next();
-    Ok(Swap::Conflict(present.unwrap_or(0)))
+    Ok(SwapOutcome::Conflict(present.unwrap_or(0)))
   }
 
   /// Deletes all keys with a prefix.
@@ -360,7 +360,7 @@
 
 impl Watch {
   /// The next changes; none when the watch has ended and must be made anew after a whole reading.
-  pub async fn next(&mut self) -> Option<Vec<Stored>> {
+  pub async fn next(&mut self) -> Option<Vec<StoredValue>> {
     loop {
       if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
         let line = self.buffer.split_to(end);
--- a/tests/contracts.rs
+++ b/tests/contracts.rs
@@ -15,7 +15,7 @@
     observe::Stamp,
     peers::{Frame, FrameError, MAX_FRAME_BYTES, decode, encode},
     settings::Settings,
-    store::KeyValue,
+    store::KeyValueClient,
   },
   rstest::rstest,
   std::{sync::Arc, time::Duration},
@@ -490,7 +490,7 @@
 async fn lapsed_lease_is_not_extended_by_the_id_of_a_later_one() {
   let (router, _faults) = KeyValueStandIn::default().door();
   let host = Host::start(router).unwrap();
-  let service = KeyValue::new(&host.url(), PATIENCE, Arc::new(|| {}));
+  let service = KeyValueClient::new(&host.url(), PATIENCE, Arc::new(|| {}));
   let lapsed = service.grant_lease(Duration::from_secs(1)).await.unwrap();
   let over = eventually(PATIENCE, async || {
     tokio::time::sleep(Duration::from_millis(1_100)).await;
