--- a/src/egress/answer_reader.rs
+++ b/src/egress/answer_reader.rs
@@ -85,6 +85,6 @@
     .unwrap_or_else(PoisonError::into_inner)
     .take();
   if let Some(pace) = pace {
-    office.observer.tell(pace.completed(&office.targets));
+    office.observer.send(pace.completed(&office.targets));
   }
 }
--- a/src/observe/hybrid_clock.rs
+++ b/src/observe/hybrid_clock.rs
@@ -1,4 +1,4 @@
-//! A hybrid logical clock: wall time where clocks agree, and cause before effect where they don't.
+//! A hybrid logical clock: close to wall time, and never earlier for an effect than for its cause.
 
 use {
   serde::{Deserialize, Serialize},
@@ -10,12 +10,12 @@
 
 const COUNTER_BITS: u32 = 16;
 
-/// A stamp: milliseconds of the Unix epoch above, a counter below.
+/// A timestamp: milliseconds since the Unix epoch in the high bits, a counter in the low 16 bits.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Stamp(pub u64);
 
 impl Stamp {
-  /// The wall time of the stamp.
+  /// The wall-clock part.
   ///
   /// ```
   /// use rillford::observe::HybridClock;
@@ -27,17 +27,17 @@
   }
 }
 
-/// A clock that never goes back and is later than all that it has heard of.
+/// A monotonic clock that is later than every timestamp it has received.
 #[derive(Debug, Default)]
 pub struct HybridClock(AtomicU64);
 
 impl HybridClock {
-  /// A stamp for an event now.
+  /// Issues a timestamp for a local event.
   pub fn tick(&self) -> Stamp {
     self.tick_at(unix_ms())
   }
 
-  /// A stamp for an event at a wall time.
+  /// Issues a timestamp for a local event at a given wall time.
   ///
   /// ```
   /// use rillford::observe::HybridClock;
@@ -55,13 +55,13 @@
     Stamp(next(last))
   }
 
-  /// A stamp of another process was heard: later events get later stamps.
-  pub fn heard(&self, stamp: Stamp) {
-    self.0.fetch_max(stamp.0, Ordering::SeqCst);
+  /// Advances the clock past a timestamp received from another process.
+  pub fn update(&self, received: Stamp) {
+    self.0.fetch_max(received.0, Ordering::SeqCst);
   }
 }
 
-/// Milliseconds of the Unix epoch.
+/// Milliseconds since the Unix epoch.
 pub(crate) fn unix_ms() -> u64 {
   SystemTime::now()
     .duration_since(UNIX_EPOCH)
--- a/src/observe/mod.rs
+++ b/src/observe/mod.rs
@@ -4,7 +4,7 @@
 mod logging;
 mod metrics;
 mod observer;
-mod stamped_note;
+mod stamped_event;
 mod timeline;
 
 pub(crate) use self::{
@@ -16,6 +16,6 @@
 
 pub use self::{
   hybrid_clock::{HybridClock, Stamp},
-  stamped_note::StampedNote,
+  stamped_event::StampedEvent,
   timeline::{EventPage, Timeline, chrome_trace, merge},
 };
--- a/src/observe/observer.rs
+++ b/src/observe/observer.rs
@@ -1,7 +1,7 @@
 //! The observe duty: stamps events at their source, then logs, counts and keeps them on its own thread.
 
 use {
-  super::{HybridClock, MetricSink, StampedNote, Timeline},
+  super::{HybridClock, MetricSink, StampedEvent, Timeline},
   crate::{
     decide::{Note, NoteKind, Status},
     ids::Name,
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Observation {
   /// An event.
-  Note(StampedNote),
+  Event(StampedEvent),
   /// A whole answer's latencies.
   Completed {
     first_token: Duration,
@@ -59,8 +59,8 @@
     &self.clock
   }
 
-  pub(crate) fn note(&self, note: Note) {
-    let stamped = StampedNote {
+  pub(crate) fn record(&self, note: Note) {
+    let stamped = StampedEvent {
       box_name: self.box_name.clone(),
       detail: note.detail,
       kind: note.kind,
@@ -68,18 +68,18 @@
       stamp: self.clock.tick(),
       subject: note.subject,
     };
-    self.tell(Observation::Note(stamped));
+    self.send(Observation::Event(stamped));
   }
 
   /// Observations never hold up the work: a full ring drops them, and the drops are counted.
-  pub(crate) fn tell(&self, observation: Observation) {
+  pub(crate) fn send(&self, observation: Observation) {
     if self.sender.push(observation).is_err() {
       self.dropped.fetch_add(1, Ordering::Relaxed);
     }
   }
 
-  pub(crate) fn say(&self, kind: NoteKind, subject: &str, detail: &str) {
-    self.note(Note::new(kind, subject, detail));
+  pub(crate) fn record_event(&self, kind: NoteKind, subject: &str, detail: &str) {
+    self.record(Note::new(kind, subject, detail));
   }
 }
 
@@ -95,7 +95,7 @@
       continue;
     };
     match observation {
-      Observation::Note(note) => {
+      Observation::Event(note) => {
         write_log(&note);
         metrics.note(note.kind, &note.detail);
         timeline.push(note);
@@ -111,7 +111,7 @@
   }
 }
 
-fn write_log(note: &StampedNote) {
+fn write_log(note: &StampedEvent) {
   let text = note.kind.text();
   let line = format!("E{} {text}: {} {}", note.number, note.subject, note.detail);
   let line = line.trim_end();
--- a/src/observe/stamped_note.rs
+++ b/src/observe/stamped_event.rs
@@ -8,7 +8,7 @@
 
 /// One event on the time line.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct StampedNote {
+pub struct StampedEvent {
   /// When, and after what.
   pub stamp: Stamp,
   /// The box.
@@ -23,7 +23,7 @@
   pub detail: Name,
 }
 
-impl StampedNote {
+impl StampedEvent {
   /// The event as a line of text.
   pub fn line(&self) -> String {
     format!(
--- a/src/observe/timeline.rs
+++ b/src/observe/timeline.rs
@@ -1,7 +1,7 @@
 //! The bounded ring of a box's events, and the merge over boxes.
 
 use {
-  super::StampedNote,
+  super::StampedEvent,
   serde::{Deserialize, Serialize},
   serde_json::json,
   std::{collections::VecDeque, sync::Mutex, sync::PoisonError},
@@ -14,7 +14,7 @@
 #[derive(Debug, Default)]
 struct Ring {
   first: u64,
-  notes: VecDeque<StampedNote>,
+  notes: VecDeque<StampedEvent>,
 }
 
 /// The events of one box, the oldest dropped first.
@@ -29,12 +29,12 @@
   /// Events that were dropped before they could be read.
   pub lost: u64,
   /// The events.
-  pub events: Vec<StampedNote>,
+  pub events: Vec<StampedEvent>,
 }
 
 impl Timeline {
   /// Adds an event.
-  pub fn push(&self, note: StampedNote) {
+  pub fn push(&self, note: StampedEvent) {
     let mut ring = self.0.lock().unwrap_or_else(PoisonError::into_inner);
     if ring.notes.len() == CAPACITY {
       ring.notes.pop_front();
@@ -64,7 +64,7 @@
 }
 
 /// Events of several boxes in one order in which cause stands before effect.
-pub fn merge(pages: Vec<EventPage>) -> Vec<StampedNote> {
+pub fn merge(pages: Vec<EventPage>) -> Vec<StampedEvent> {
   let mut events = pages
     .into_iter()
     .flat_map(|page| page.events)
@@ -74,7 +74,7 @@
 }
 
 /// Events as a Chrome trace: a row a box, an instant an event.
-pub fn chrome_trace(events: &[StampedNote]) -> serde_json::Value {
+pub fn chrome_trace(events: &[StampedEvent]) -> serde_json::Value {
   let rows = events
     .iter()
     .map(|event| {
--- a/src/peers/desk.rs
+++ b/src/peers/desk.rs
@@ -200,7 +200,7 @@
   while let Ok(stream) = connection.accept_uni().await {
     let mut frames = FrameSource::new(stream);
     while let Some(frame) = frames.next().await {
-      observer.clock().heard(frame.stamp);
+      observer.clock().update(frame.stamp);
       match frame.message {
         PeerMessage::Documents(documents) => to_platform.send(documents).await,
         message => to_decide.send(Event::Peer(frame.from, message)).await,
--- a/src/serve/decide_loop.rs
+++ b/src/serve/decide_loop.rs
@@ -134,7 +134,7 @@
 
   fn hand_out(&mut self, action: Action) {
     match action {
-      Action::Note(note) => self.observer.note(note),
+      Action::Note(note) => self.observer.record(note),
       Action::Send(to, message) => self.to_peers.put(PeersInput::Send(to, message)),
       Action::Claim(request, organisation, key) => {
         let input = StoreInput::Claim(request, organisation, key);
@@ -161,7 +161,7 @@
 
   fn show(&mut self) {
     let status = Arc::new(self.machine.status());
-    self.observer.tell(Observation::Status(status.clone()));
+    self.observer.send(Observation::Status(status.clone()));
     self.status.store(status);
   }
 }
--- a/src/serve/start.rs
+++ b/src/serve/start.rs
@@ -88,7 +88,7 @@
   let (to_platform, platform_inputs) = ring(RING_SLOTS, platform_waker.clone());
   let (to_platform_documents, documents) = ring(RING_SLOTS, platform_waker);
 
-  observer.say(
+  observer.record_event(
     NoteKind::BoxStarted,
     &identity.name,
     env!("CARGO_PKG_VERSION"),
@@ -162,7 +162,7 @@
   })?;
   start_runtime("administration", {
     let counter = observer.clone();
-    let counted = Arc::new(move || counter.tell(Observation::PlatformCall));
+    let counted = Arc::new(move || counter.send(Observation::PlatformCall));
     let limit = Duration::from_millis(settings.platform.call_ms);
     let desk = admin::Desk {
       endpoints: settings
@@ -210,7 +210,7 @@
       log::error!("signals: {error}");
     }
     stop(&phase, &status, &from_operators, balancer_lag).await;
-    observer.note(Note::new(NoteKind::BoxStopped, identity.name.clone(), ""));
+    observer.record(Note::new(NoteKind::BoxStopped, identity.name.clone(), ""));
   });
   Ok(())
 }
--- a/src/store/desk.rs
+++ b/src/store/desk.rs
@@ -90,7 +90,7 @@
 pub(crate) async fn run(setup: StoreSetup) {
   let call_limit = Duration::from_millis(setup.settings.call_ms);
   let counter = setup.observer.clone();
-  let counted = Arc::new(move || counter.tell(Observation::PlatformCall));
+  let counted = Arc::new(move || counter.send(Observation::PlatformCall));
   let office = Arc::new(Office {
     service: KeyValueClient::new(&setup.settings.key_value, call_limit, counted),
     identity: setup.identity,
@@ -172,7 +172,7 @@
           Ok(news) => changed |= news,
           Err(error) => {
             let note = Note::new(NoteKind::ConfigurationRefused, key, error.to_string());
-            self.observer.note(note);
+            self.observer.record(note);
           }
         }
       }
@@ -254,7 +254,7 @@
       } else {
         NoteKind::PlatformDown
       };
-      self.observer.say(kind, "key-value service", "");
+      self.observer.record_event(kind, "key-value service", "");
     }
   }
 
@@ -286,10 +286,10 @@
       match (&held, before) {
         (Some(_), false) => self
           .observer
-          .say(NoteKind::StewardTaken, &self.identity.hall, ""),
+          .record_event(NoteKind::StewardTaken, &self.identity.hall, ""),
         (None, true) => self
           .observer
-          .say(NoteKind::StewardLost, &self.identity.hall, ""),
+          .record_event(NoteKind::StewardLost, &self.identity.hall, ""),
         _ => {}
       }
       if let Some(held) = &held {
