--- a/src/egress/office.rs
+++ b/src/egress/context.rs
@@ -1,4 +1,4 @@
-//! What the tasks of egress share.
+//! State shared by all egress tasks.
 
 use {
   super::endpoint_client::EndpointClient,
@@ -13,8 +13,8 @@
   tokio::time::Instant,
 };
 
-/// What the tasks share.
-pub(super) struct Office {
+/// State shared by all egress tasks.
+pub(super) struct EgressContext {
   pub(super) clients: BTreeMap<Name, EndpointClient>,
   pub(super) limits: Limits,
   pub(super) targets: Targets,
@@ -23,7 +23,7 @@
   pub(super) to_decide: Sender<Event>,
 }
 
-impl Office {
+impl EgressContext {
   pub(super) fn client(&self, endpoint: &Name) -> Option<EndpointClient> {
     self.clients.get(endpoint).cloned()
   }
@@ -37,10 +37,11 @@
     self.to_decide.send(Event::Stage(report)).await;
   }
 
-  pub(super) fn stall(&self) -> Duration {
+  pub(super) fn stall_timeout(&self) -> Duration {
     Duration::from_millis(self.limits.stall_ms)
   }
 
+  /// Milliseconds since this box started.
   pub(super) fn now_ms(&self) -> u64 {
     u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
   }
--- a/src/egress/endpoint_client.rs
+++ b/src/egress/endpoint_client.rs
@@ -1,11 +1,11 @@
-//! Calls to endpoints, typed; failures are told apart by whether the work may have begun.
+//! Typed calls to one endpoint. Failures are classified by whether the work may have begun.
 
 use {
   crate::{
     decide::{Began, CancelAnswer, Event, Role, StageOutcome},
     endpoint_api::{
-      AttemptsReply, CacheEventsReply, CancelReply, CancelRequest, DecodeRequest, HoldsReply,
-      HoldsRequest, ImportAnswer, ImportRequest, LoadReply, CommandRejection, PrefillAnswer,
+      AttemptsReply, CacheEventsReply, CancelReply, CancelRequest, CommandRejection, DecodeRequest,
+      HoldsReply, HoldsRequest, ImportAnswer, ImportRequest, LoadReply, PrefillAnswer,
       PrefillRequest, RejectionReply, RoleRequest,
     },
     http_client::{CallError, HttpClient},
@@ -18,23 +18,23 @@
   std::time::Duration,
 };
 
-/// Longest life of a role order; shorter than the margin of the shortest lease.
-const ROLE_ORDER_LIFE: Duration = Duration::from_millis(500);
+/// Timeout of a role command; shorter than the safety margin of the shortest lease.
+const ROLE_COMMAND_TIMEOUT: Duration = Duration::from_millis(500);
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why an order failed.
+/// Why a command failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum OrderFailure {
-  /// The endpoint has no room; nothing began.
+pub(super) enum CommandFailure {
+  /// The endpoint has no free capacity; the work did not begin.
   Full,
-  /// Nothing began.
+  /// The work did not begin.
   NeverBegan,
   /// The work may have begun.
   PerhapsBegan,
 }
 
-impl OrderFailure {
-  /// What `decide` is told.
+impl CommandFailure {
+  /// The outcome to report to `decide`; `offset` is the number of response bytes delivered.
   pub(super) fn outcome(self, offset: u64) -> StageOutcome {
     let began = match self {
       Self::Full => return StageOutcome::Full,
@@ -49,22 +49,26 @@
   }
 }
 
-impl From<CallError> for OrderFailure {
+impl From<CallError> for CommandFailure {
   fn from(error: CallError) -> Self {
     match error {
       CallError::NotSent(_) => Self::NeverBegan,
-      CallError::Status { status, text, .. } => match refusal(status, &text) {
+      CallError::Status { status, text, .. } => match parse_rejection(status, &text) {
         Some(CommandRejection::Full) => Self::Full,
         Some(CommandRejection::Cancelled | CommandRejection::NotServing) => Self::NeverBegan,
-        Some(CommandRejection::ExportGone | CommandRejection::OldFence) | None => Self::PerhapsBegan,
+        Some(CommandRejection::ExportGone | CommandRejection::OldFence) | None => {
+          Self::PerhapsBegan
+        }
       },
-      CallError::ConnectionLost(_) | CallError::TimedOut(_) | CallError::InvalidResponse(_) => Self::PerhapsBegan,
+      CallError::ConnectionLost(_) | CallError::TimedOut(_) | CallError::InvalidResponse(_) => {
+        Self::PerhapsBegan
+      }
     }
   }
 }
 
-/// A refusal is believed only with its own body: any other error status says nothing.
-fn refusal(status: StatusCode, text: &str) -> Option<CommandRejection> {
+/// Parses a rejection. An error status without a valid rejection body does not prove that the work did not begin.
+fn parse_rejection(status: StatusCode, text: &str) -> Option<CommandRejection> {
   if !status.is_client_error() && status != StatusCode::SERVICE_UNAVAILABLE {
     return None;
   }
@@ -73,7 +77,7 @@
     .map(|reply| reply.refusal)
 }
 
-/// The client of one endpoint.
+/// A client for one endpoint.
 #[derive(Clone)]
 pub(super) struct EndpointClient {
   pub(super) http: HttpClient,
@@ -87,60 +91,60 @@
     format!("{}{path}", self.url)
   }
 
-  /// What a failed order means; an endpoint that turns orders away may want none for a while.
-  fn refused(&self, error: CallError) -> OrderFailure {
+  /// Classifies a failed command, and reports the backoff that the endpoint may have asked for.
+  fn failure(&self, error: CallError) -> CommandFailure {
     if let CallError::Status {
       status,
-      retry_after_ms: Some(wanted_ms),
+      retry_after_ms: Some(backoff_ms),
       ..
     } = &error
     {
-      self.hear_pause(*status, *wanted_ms);
+      self.report_backoff(*status, *backoff_ms);
     }
     error.into()
   }
 
-  /// The endpoint answers with a status, and with for how long it wants to be left alone.
-  pub(super) fn hear_pause(&self, status: StatusCode, wanted_ms: u64) {
-    let turns_away = matches!(
+  /// Reports a `Retry-After` delay to `decide` if the status is a rejection.
+  pub(super) fn report_backoff(&self, status: StatusCode, backoff_ms: u64) {
+    let is_rejection = matches!(
       status,
       StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
     );
-    if !turns_away {
+    if !is_rejection {
       return;
     }
-    let pauses = Event::EndpointPauses(self.name.clone(), wanted_ms);
-    // With a full ring the next refusal tells it.
-    let _ = self.to_decide.push(pauses);
+    let event = Event::EndpointPauses(self.name.clone(), backoff_ms);
+    // If the ring is full, the next rejection reports the delay again.
+    let _ = self.to_decide.push(event);
   }
 
   pub(super) async fn prefill(
     &self,
     request: &PrefillRequest,
-    limit: Duration,
-  ) -> Result<PrefillAnswer, OrderFailure> {
+    timeout: Duration,
+  ) -> Result<PrefillAnswer, CommandFailure> {
     let uri = self.uri("/v1/prefill");
-    let answer = self.http.post(&uri, request, limit).await;
-    answer.map_err(|error| self.refused(error))
+    let response = self.http.post(&uri, request, timeout).await;
+    response.map_err(|error| self.failure(error))
   }
 
   pub(super) async fn import(
     &self,
     request: &ImportRequest,
-    limit: Duration,
-  ) -> Result<ImportAnswer, OrderFailure> {
+    timeout: Duration,
+  ) -> Result<ImportAnswer, CommandFailure> {
     let uri = self.uri("/v1/import");
-    let answer = self.http.post(&uri, request, limit).await;
-    answer.map_err(|error| self.refused(error))
+    let response = self.http.post(&uri, request, timeout).await;
+    response.map_err(|error| self.failure(error))
   }
 
   pub(super) async fn decode(
     &self,
     request: &DecodeRequest,
-  ) -> Result<Response<Incoming>, OrderFailure> {
+  ) -> Result<Response<Incoming>, CommandFailure> {
     let uri = self.uri("/v1/decode");
-    let answer = self.http.post_stream(&uri, request).await;
-    answer.map_err(|error| self.refused(error))
+    let response = self.http.post_stream(&uri, request).await;
+    response.map_err(|error| self.failure(error))
   }
 
   pub(super) async fn cancel(&self, attempt: AttemptId) -> CancelAnswer {
@@ -160,7 +164,7 @@
     let uri = self.uri("/v1/role");
     self
       .http
-      .post::<_, serde_json::Value>(&uri, &request, ROLE_ORDER_LIFE)
+      .post::<_, serde_json::Value>(&uri, &request, ROLE_COMMAND_TIMEOUT)
       .await
       .is_ok()
   }
@@ -180,11 +184,12 @@
     self.http.get(&uri, CONTROL_TIMEOUT).await.ok()
   }
 
-  async fn control<Q: Serialize, A: serde::de::DeserializeOwned>(
+  /// Sends a short management call; `None` on any failure.
+  async fn control<T: Serialize, R: serde::de::DeserializeOwned>(
     &self,
     path: &str,
-    request: &Q,
-  ) -> Option<A> {
+    request: &T,
+  ) -> Option<R> {
     self
       .http
       .post(&self.uri(path), request, CONTROL_TIMEOUT)
--- a/src/egress/joiner.rs
+++ b/src/egress/joiner.rs
@@ -1,4 +1,4 @@
-//! Joining the chunks of an answer by offset: late, doubled and reordered ones do no harm.
+//! Reassembles a response from chunks by byte offset, tolerating late, duplicate and reordered chunks.
 
 use {
   crate::{
@@ -8,97 +8,99 @@
   std::collections::BTreeMap,
 };
 
-const MOST_HELD_CHUNKS: usize = 64;
+const MAX_BUFFERED_CHUNKS: usize = 64;
 
-/// What a chunk came to.
+/// The result of adding a chunk.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Piece {
+pub enum Joined {
   /// Text to deliver now.
   Text(String),
-  /// Nothing new, or not yet.
+  /// Nothing to deliver: the chunk is a duplicate, or bytes before it are missing.
   Nothing,
-  /// The chunk can't be part of this answer; the stream is broken.
-  Wrong,
+  /// The chunk contradicts the text delivered so far or exceeds the buffer; the stream is unusable.
+  Invalid,
 }
 
-/// The answer of one request, over all its attempts.
+/// Reassembles the response to one request, over all its attempts.
+///
+/// Offsets count bytes from the start of the whole response.
 ///
 /// ```
-/// use rillford::{egress::{Joiner, Piece}, endpoint_api::DecodeChunk, ids::AttemptId};
+/// use rillford::{egress::{Joined, Joiner}, endpoint_api::DecodeChunk, ids::AttemptId};
 /// let attempt: AttemptId = "north-1/1/1/1".parse().unwrap();
 /// let chunk = |offset, text: &str| DecodeChunk {
 ///   attempt: attempt.clone(), offset, text: text.into(), tokens: 1, finish: None,
 /// };
 /// let mut joiner = Joiner::default();
-/// joiner.begin(&attempt);
-/// assert_eq!(joiner.take(chunk(2, "cd")), Piece::Nothing);
-/// assert_eq!(joiner.take(chunk(0, "ab")), Piece::Text("abcd".into()));
-/// assert_eq!(joiner.take(chunk(0, "ab")), Piece::Nothing);
+/// joiner.start_attempt(&attempt);
+/// assert_eq!(joiner.push(chunk(2, "cd")), Joined::Nothing);
+/// assert_eq!(joiner.push(chunk(0, "ab")), Joined::Text("abcd".into()));
+/// assert_eq!(joiner.push(chunk(0, "ab")), Joined::Nothing);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Joiner {
   attempt: Option<AttemptId>,
   text: String,
   tokens: u64,
-  held: BTreeMap<u64, DecodeChunk>,
+  buffered: BTreeMap<u64, DecodeChunk>,
   finish: Option<FinishReason>,
-  ends_at: Option<u64>,
+  end_offset: Option<u64>,
 }
 
 impl Joiner {
-  /// Only this attempt's chunks count from now on.
-  pub fn begin(&mut self, attempt: &AttemptId) {
+  /// Accepts chunks of this attempt only from now on; keeps the text delivered by earlier attempts.
+  pub fn start_attempt(&mut self, attempt: &AttemptId) {
     self.attempt = Some(attempt.clone());
-    self.held.clear();
-    self.ends_at = None;
+    self.buffered.clear();
+    self.end_offset = None;
     self.finish = None;
   }
 
-  /// No attempt's chunks count until the next begins.
-  pub fn abandon(&mut self) {
+  /// Ignores all chunks until the next attempt starts.
+  pub fn abandon_attempt(&mut self) {
     self.attempt = None;
   }
 
-  /// Takes in a chunk.
-  pub fn take(&mut self, chunk: DecodeChunk) -> Piece {
+  /// Adds a chunk.
+  pub fn push(&mut self, chunk: DecodeChunk) -> Joined {
     if self.attempt.as_ref() != Some(&chunk.attempt) {
-      return Piece::Nothing;
+      return Joined::Nothing;
     }
-    if chunk.offset > self.offset() && self.held.len() >= MOST_HELD_CHUNKS {
-      return Piece::Wrong;
+    if chunk.offset > self.offset() && self.buffered.len() >= MAX_BUFFERED_CHUNKS {
+      return Joined::Invalid;
     }
-    self.held.insert(chunk.offset, chunk);
+    self.buffered.insert(chunk.offset, chunk);
     let mut delivered = String::new();
     while let Some(chunk) = self.next_chunk() {
       match self.append(&chunk) {
         Some(text) => delivered.push_str(&text),
-        None => return Piece::Wrong,
+        None => return Joined::Invalid,
       }
     }
-    if self.ends_at.is_some_and(|end| end < self.offset()) {
-      return Piece::Wrong;
+    if self.end_offset.is_some_and(|end| end < self.offset()) {
+      return Joined::Invalid;
     }
     if delivered.is_empty() {
-      Piece::Nothing
+      Joined::Nothing
     } else {
-      Piece::Text(delivered)
+      Joined::Text(delivered)
     }
   }
 
   fn next_chunk(&mut self) -> Option<DecodeChunk> {
-    let first = self.held.first_entry()?;
+    let first = self.buffered.first_entry()?;
     if *first.key() > self.text.len() as u64 {
       return None;
     }
     Some(first.remove())
   }
 
-  /// Appends what is new of a chunk; none if its text contradicts what was delivered.
+  /// Appends the part of a chunk that is not delivered yet; `None` if the chunk contradicts delivered text.
   fn append(&mut self, chunk: &DecodeChunk) -> Option<String> {
     let known = usize::try_from(self.offset() - chunk.offset).ok()?;
     if let Some(finish) = chunk.finish {
       self.finish = Some(finish);
-      self.ends_at = Some(chunk.offset + chunk.text.len() as u64);
+      self.end_offset = Some(chunk.offset + chunk.text.len() as u64);
     }
     let Some(new) = chunk.text.get(known..) else {
       return (known >= chunk.text.len()).then(String::new);
@@ -120,7 +122,7 @@
     self.text.len() as u64
   }
 
-  /// The text delivered.
+  /// Text delivered.
   pub fn text(&self) -> &str {
     &self.text
   }
@@ -130,9 +132,9 @@
     self.tokens
   }
 
-  /// Why the answer ended, once all of it was delivered.
+  /// The finish reason, once all text up to the finish marker was delivered.
   pub fn finished(&self) -> Option<FinishReason> {
-    (self.ends_at == Some(self.offset()))
+    (self.end_offset == Some(self.offset()))
       .then_some(self.finish)
       .flatten()
   }
--- a/src/egress/mod.rs
+++ b/src/egress/mod.rs
@@ -1,18 +1,18 @@
-//! The egress filter: orders become calls to endpoints, and their streams go to ingress.
+//! The egress worker: turns commands from `decide` into calls to endpoints and streams responses to ingress.
 
-mod answer_reader;
-mod calls;
-mod desk;
+mod active_request;
+mod chunk_stream;
+mod context;
 mod endpoint_client;
-mod errand;
 mod joiner;
-mod office;
-mod pace;
-mod streams;
+mod latency_recorder;
+mod response_reader;
+mod service_call;
+mod worker;
 
 pub(crate) use self::{
-  calls::end_to_end,
-  desk::{EgressInput, EgressSetup, run},
+  service_call::end_to_end_headers,
+  worker::{EgressInput, EgressSetup, run},
 };
 
-pub use self::joiner::{Joiner, Piece};
+pub use self::joiner::{Joined, Joiner};
--- /dev/null
+++ b/src/egress/response_reader.rs
@@ -0,0 +1,98 @@
+//! Reads a decode engine's response stream and forwards its text to the caller.
+
+use {
+  super::{
+    active_request::ActiveRequest, chunk_stream::ChunkStream, context::EgressContext,
+    endpoint_client::CommandFailure, joiner::Joined,
+  },
+  crate::{
+    chunk::{Chunk, Usage},
+    decide::StageOutcome,
+    endpoint_api::FinishReason,
+    ids::{AttemptId, Name},
+  },
+  std::sync::PoisonError,
+};
+
+/// Reads a decode stream until its finish marker; returns the number of completion tokens.
+///
+/// A stream that ends before all text up to the finish marker was delivered is a failure.
+pub(super) async fn read_response(
+  context: &EgressContext,
+  request: &ActiveRequest,
+  mut stream: ChunkStream,
+  attempt: &AttemptId,
+  endpoint: &Name,
+) -> Result<u64, CommandFailure> {
+  let mut first = true;
+  loop {
+    let Some(chunk) = stream.next().await? else {
+      return Err(CommandFailure::PerhapsBegan);
+    };
+    let tokens = chunk.tokens;
+    let joined = request.joiner().push(chunk);
+    match joined {
+      Joined::Invalid => return Err(CommandFailure::PerhapsBegan),
+      Joined::Nothing => {}
+      Joined::Text(text) => {
+        if std::mem::take(&mut first) {
+          let outcome = StageOutcome::FirstChunk;
+          context
+            .report(attempt.clone(), endpoint.clone(), outcome)
+            .await;
+        }
+        if let Some(latencies) = request
+          .latencies
+          .lock()
+          .unwrap_or_else(PoisonError::into_inner)
+          .as_mut()
+        {
+          latencies.record_chunk(tokens);
+        }
+        if request
+          .payload
+          .chunks
+          .send(Chunk::Text(text))
+          .await
+          .is_err()
+        {
+          return Err(CommandFailure::PerhapsBegan);
+        }
+      }
+    }
+    let finished = {
+      let joiner = request.joiner();
+      joiner.finished().map(|finish| (finish, joiner.tokens()))
+    };
+    if let Some((finish, completion_tokens)) = finished {
+      finish_response(context, request, finish, completion_tokens).await;
+      return Ok(completion_tokens);
+    }
+  }
+}
+
+async fn finish_response(
+  context: &EgressContext,
+  request: &ActiveRequest,
+  finish: FinishReason,
+  completion_tokens: u64,
+) {
+  let usage = Usage {
+    completion_tokens,
+    finish,
+    prompt_tokens: *request
+      .prompt_tokens
+      .lock()
+      .unwrap_or_else(PoisonError::into_inner),
+  };
+  // If the caller has disconnected, ingress notifies `decide`.
+  let _ = request.payload.chunks.send(Chunk::Usage(usage)).await;
+  let latencies = request
+    .latencies
+    .lock()
+    .unwrap_or_else(PoisonError::into_inner)
+    .take();
+  if let Some(latencies) = latencies {
+    context.observer.send(latencies.finish(&context.targets));
+  }
+}
--- a/src/egress/calls.rs
+++ b/src/egress/service_call.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services, passed through.
+//! Proxies calls to plain services, without retries of its own.
 
 use {
   super::endpoint_client::EndpointClient,
@@ -27,8 +27,8 @@
   HeaderName::from_static("keep-alive"),
 ];
 
-/// Drops the headers that are for one connection only.
-pub(crate) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+/// The headers without hop-by-hop ones, including those that `Connection` names.
+pub(crate) fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
   let named = headers
     .get_all(header::CONNECTION)
     .iter()
@@ -43,42 +43,47 @@
     .collect()
 }
 
-/// What is sent to a plain service.
+/// A call to a plain service.
 pub(super) struct ServiceCall<'a> {
   pub(super) method: &'a Method,
   pub(super) path: &'a str,
   pub(super) headers: &'a HeaderMap,
   pub(super) body: &'a Bytes,
-  /// Time for the first byte of the answer.
-  pub(super) limit: Duration,
+  /// Time until the response head must have arrived.
+  pub(super) head_timeout: Duration,
 }
 
-/// Calls a plain service and passes its answer on.
-pub(super) async fn call(
+/// Calls a plain service and relays its response to the caller.
+///
+/// `on_head` runs when the response head arrives; `stall_timeout` bounds each silence in the body.
+pub(super) async fn call_service(
   client: &EndpointClient,
   payload: &Payload,
   call: ServiceCall<'_>,
-  stall: Duration,
-  mut began: impl FnMut(),
+  stall_timeout: Duration,
+  mut on_head: impl FnMut(),
 ) -> StageOutcome {
-  let request = match build(client, &call) {
+  let request = match build_request(client, &call) {
     Ok(request) => request,
     Err(_) => return broke(Began::Never, 0),
   };
-  let sent = timeout(call.limit, client.http.send(request)).await;
+  let sent = timeout(call.head_timeout, client.http.send(request)).await;
   let response = match sent {
     Ok(Ok(response)) => response,
     Ok(Err(CallError::NotSent(_))) => return broke(Began::Never, 0),
     Ok(Err(_)) | Err(_) => return broke(Began::Perhaps, 0),
   };
-  if let Ok(Some(wanted_ms)) = retry_after_ms(response.headers()) {
-    client.hear_pause(response.status(), wanted_ms);
+  if let Ok(Some(backoff_ms)) = retry_after_ms(response.headers()) {
+    client.report_backoff(response.status(), backoff_ms);
   }
-  began();
-  pass_on(response, payload, stall).await
+  on_head();
+  relay_response(response, payload, stall_timeout).await
 }
 
-fn build(client: &EndpointClient, call: &ServiceCall) -> Result<Request<Full<Bytes>>, http::Error> {
+fn build_request(
+  client: &EndpointClient,
+  call: &ServiceCall,
+) -> Result<Request<Full<Bytes>>, http::Error> {
   let mut request = Request::builder()
     .method(call.method.clone())
     .uri(format!("{}{}", client.url, call.path))
@@ -89,9 +94,13 @@
   Ok(request)
 }
 
-async fn pass_on(response: Response<Incoming>, payload: &Payload, stall: Duration) -> StageOutcome {
+async fn relay_response(
+  response: Response<Incoming>,
+  payload: &Payload,
+  stall_timeout: Duration,
+) -> StageOutcome {
   let (head, mut body) = response.into_parts();
-  let headers = end_to_end(&head.headers);
+  let headers = end_to_end_headers(&head.headers);
   let mut offset = 0;
   if payload
     .chunks
@@ -102,7 +111,7 @@
     return broke(Began::Perhaps, offset);
   }
   loop {
-    let frame = match timeout(stall, body.frame()).await {
+    let frame = match timeout(stall_timeout, body.frame()).await {
       Ok(None) => return StageOutcome::Finished { tokens: 0 },
       Ok(Some(Ok(frame))) => frame,
       Ok(Some(Err(_))) | Err(_) => return broke(Began::Perhaps, offset),
@@ -125,7 +134,7 @@
   }
 }
 
-/// The URL of an endpoint as shared text.
-pub(super) fn trimmed(url: &str) -> Arc<str> {
+/// An endpoint's URL without trailing slashes, so that a path can be appended.
+pub(super) fn base_url(url: &str) -> Arc<str> {
   url.trim_end_matches('/').into()
 }
--- a/src/egress/desk.rs
+++ b/src/egress/worker.rs
@@ -1,14 +1,14 @@
-//! The egress duty: takes orders from `decide`, runs each as a task of its own, reports back.
+//! The egress worker: runs each command from `decide` in its own task and reports the outcome back.
 
 use {
   super::{
-    answer_reader::read_answer,
-    calls::{ServiceCall, call, trimmed},
-    endpoint_client::{EndpointClient, OrderFailure},
-    errand::Errand,
-    office::Office,
-    pace::Pace,
-    streams::ChunkStream,
+    active_request::ActiveRequest,
+    chunk_stream::ChunkStream,
+    context::EgressContext,
+    endpoint_client::{CommandFailure, EndpointClient},
+    latency_recorder::LatencyRecorder,
+    response_reader::read_response,
+    service_call::{ServiceCall, base_url, call_service},
   },
   crate::{
     chunk::{Body, Payload},
@@ -35,19 +35,20 @@
   },
 };
 
-const ORDER_SLACK: Duration = Duration::from_secs(2);
-const LEAST_PREFILL: Duration = Duration::from_secs(8);
+/// Time that a prefill call may take beyond its deadline, for the network and the response.
+const PREFILL_MARGIN: Duration = Duration::from_secs(2);
+const MIN_PREFILL_DEADLINE: Duration = Duration::from_secs(8);
 
-/// What egress is told.
+/// An input to the egress worker.
 #[derive(Debug)]
 pub(crate) enum EgressInput {
-  /// A request's body, from ingress; comes before any order for it.
+  /// A request body from ingress. It is queued before any command for the request.
   Payload(Payload),
-  /// An order, from `decide`.
-  Order(Action),
+  /// A command from `decide`.
+  Command(Action),
 }
 
-/// What the egress duty starts with.
+/// Configuration and channels of the egress worker.
 pub(crate) struct EgressSetup {
   pub(crate) endpoints: Vec<EndpointSettings>,
   pub(crate) limits: Limits,
@@ -56,7 +57,7 @@
   pub(crate) started: Instant,
   pub(crate) to_decide: Sender<Event>,
   pub(crate) payloads: Receiver<EgressInput>,
-  pub(crate) orders: Receiver<EgressInput>,
+  pub(crate) commands: Receiver<EgressInput>,
   pub(crate) notify: Arc<Notify>,
 }
 
@@ -66,14 +67,15 @@
   endpoint: Name,
 }
 
-struct Desk {
-  office: Arc<Office>,
-  errands: HashMap<RequestId, Arc<Errand>>,
+struct Worker {
+  context: Arc<EgressContext>,
+  requests: HashMap<RequestId, Arc<ActiveRequest>>,
   tasks: HashMap<TaskKey, AbortHandle>,
+  /// Position in each engine's cache events.
   cursors: Arc<Mutex<BTreeMap<Name, u64>>>,
 }
 
-/// Runs the egress duty until the process ends.
+/// Runs the egress worker until the process exits.
 pub(crate) async fn run(setup: EgressSetup) {
   let http = HttpClient::default();
   let clients = setup
@@ -84,12 +86,12 @@
         http: http.clone(),
         name: endpoint.name.clone(),
         to_decide: setup.to_decide.clone(),
-        url: trimmed(&endpoint.url),
+        url: base_url(&endpoint.url),
       };
       (endpoint.name.clone(), client)
     })
     .collect();
-  let office = Office {
+  let context = EgressContext {
     clients,
     limits: setup.limits,
     observer: setup.observer,
@@ -97,59 +99,59 @@
     targets: setup.targets,
     to_decide: setup.to_decide,
   };
-  let mut desk = Desk {
+  let mut worker = Worker {
+    context: Arc::new(context),
     cursors: Arc::default(),
-    errands: HashMap::new(),
-    office: Arc::new(office),
+    requests: HashMap::new(),
     tasks: HashMap::new(),
   };
-  let (mut payloads, mut orders) = (setup.payloads, setup.orders);
+  let (mut payloads, mut commands) = (setup.payloads, setup.commands);
   loop {
-    // Orders are taken only after all payloads that were there before them.
-    let order = orders.pop();
+    // A command runs after all payloads that were queued before it, so that its request is known.
+    let command = commands.pop();
     while let Some(EgressInput::Payload(payload)) = payloads.pop() {
-      desk.keep(payload);
+      worker.add_request(payload);
     }
-    match order {
-      Some(EgressInput::Order(action)) => desk.order(action),
-      Some(EgressInput::Payload(payload)) => desk.keep(payload),
+    match command {
+      Some(EgressInput::Command(action)) => worker.run_command(action),
+      Some(EgressInput::Payload(payload)) => worker.add_request(payload),
       None => setup.notify.notified().await,
     }
   }
 }
 
-impl Desk {
-  fn keep(&mut self, payload: Payload) {
-    let errand = Errand {
+impl Worker {
+  fn add_request(&mut self, payload: Payload) {
+    let request = ActiveRequest {
       joiner: Mutex::default(),
-      pace: Mutex::new(Some(Pace::new(payload.arrived))),
+      latencies: Mutex::new(Some(LatencyRecorder::new(payload.arrived))),
       prompt_tokens: Mutex::default(),
       payload,
     };
     self
-      .errands
-      .insert(errand.payload.request, Arc::new(errand));
+      .requests
+      .insert(request.payload.request, Arc::new(request));
   }
 
-  fn order(&mut self, action: Action) {
+  fn run_command(&mut self, action: Action) {
     match action {
-      Action::Prefill(order) => self.prefill(order),
-      Action::Import(order) => self.import(order),
-      Action::Decode(order) => self.decode(order),
-      Action::Call(order) => self.call(order),
+      Action::Prefill(command) => self.prefill(command),
+      Action::Import(command) => self.import(command),
+      Action::Decode(command) => self.decode(command),
+      Action::Call(command) => self.call(command),
       Action::Cancel(attempt, endpoint) => self.cancel(attempt, endpoint),
       Action::GiveUp(attempt, endpoint) => self.give_up(attempt, endpoint),
-      Action::ExtendHolds(order) => self.extend_holds(order),
+      Action::ExtendHolds(command) => self.extend_holds(command),
       Action::PollLoad(endpoint) => self.poll_load(endpoint),
       Action::ListAttempts(endpoint) => self.list_attempts(endpoint),
-      Action::OrderRole(order) => self.change_role(order),
-      Action::End(request, _) => self.forget(request),
+      Action::OrderRole(command) => self.change_role(command),
+      Action::End(request, _) => self.remove_request(request),
       Action::Claim(..) | Action::ReleaseClaim(..) | Action::Send(..) | Action::Note(_) => {}
     }
   }
 
-  fn forget(&mut self, request: RequestId) {
-    self.errands.remove(&request);
+  fn remove_request(&mut self, request: RequestId) {
+    self.requests.remove(&request);
     self.tasks.retain(|key, task| {
       let keep = key.attempt.request() != request && !task.is_finished();
       if key.attempt.request() == request {
@@ -159,49 +161,49 @@
     });
   }
 
-  /// Runs an order as a task that ends with a report.
-  fn spawn<F>(&mut self, attempt: AttemptId, endpoint: Name, work: F)
+  /// Spawns a task that runs a command and reports its outcome.
+  fn spawn<F>(&mut self, attempt: AttemptId, endpoint: Name, command: F)
   where
     F: Future<Output = StageOutcome> + Send + 'static,
   {
-    let office = self.office.clone();
+    let context = self.context.clone();
     let key = TaskKey {
       attempt: attempt.clone(),
       endpoint: endpoint.clone(),
     };
     let task = tokio::spawn(async move {
-      let outcome = work.await;
-      office.report(attempt, endpoint, outcome).await;
+      let outcome = command.await;
+      context.report(attempt, endpoint, outcome).await;
     });
     self.tasks.insert(key, task.abort_handle());
   }
 
-  /// The errand and the client of an order; without them the order never leaves.
+  /// The request and the client for a command; if either is unknown, the command is not sent.
   fn prepare(
     &mut self,
     attempt: &AttemptId,
     endpoint: &Name,
-  ) -> Option<(Arc<Errand>, EndpointClient)> {
-    let errand = self.errands.get(&attempt.request()).cloned();
-    let client = self.office.client(endpoint);
-    if let (Some(errand), Some(client)) = (errand, client) {
-      return Some((errand, client));
+  ) -> Option<(Arc<ActiveRequest>, EndpointClient)> {
+    let active = self.requests.get(&attempt.request()).cloned();
+    let client = self.context.client(endpoint);
+    if let (Some(active), Some(client)) = (active, client) {
+      return Some((active, client));
     }
     self.spawn(attempt.clone(), endpoint.clone(), async {
-      OrderFailure::NeverBegan.outcome(0)
+      CommandFailure::NeverBegan.outcome(0)
     });
     None
   }
 
-  fn prefill(&mut self, order: PrefillOrder) {
+  fn prefill(&mut self, command: PrefillOrder) {
     let PrefillOrder {
       attempt,
       engine,
       priority,
       hold_ms,
       deadline_ms,
-    } = order;
-    let Some((errand, client)) = self.prepare(&attempt, &engine) else {
+    } = command;
+    let Some((active, client)) = self.prepare(&attempt, &engine) else {
       return;
     };
     self.spawn(attempt.clone(), engine, async move {
@@ -209,12 +211,12 @@
         model,
         prompt,
         max_tokens,
-      } = &errand.payload.body
+      } = &active.payload.body
       else {
-        return OrderFailure::NeverBegan.outcome(0);
+        return CommandFailure::NeverBegan.outcome(0);
       };
       let request = PrefillRequest {
-        answered: errand.joiner().text().into(),
+        answered: active.joiner().text().into(),
         attempt,
         deadline_ms,
         hold_ms,
@@ -223,25 +225,25 @@
         priority,
         prompt: prompt.clone(),
       };
-      let limit = Duration::from_millis(deadline_ms).max(LEAST_PREFILL) + ORDER_SLACK;
-      match client.prefill(&request, limit).await {
-        Ok(answer) => {
-          *errand
+      let timeout = Duration::from_millis(deadline_ms).max(MIN_PREFILL_DEADLINE) + PREFILL_MARGIN;
+      match client.prefill(&request, timeout).await {
+        Ok(response) => {
+          *active
             .prompt_tokens
             .lock()
-            .unwrap_or_else(PoisonError::into_inner) = answer.prompt_tokens;
+            .unwrap_or_else(PoisonError::into_inner) = response.prompt_tokens;
           StageOutcome::Prefilled {
-            cached_tokens: answer.cached_tokens,
-            kv_bytes: answer.kv_bytes,
-            prompt_tokens: answer.prompt_tokens,
+            cached_tokens: response.cached_tokens,
+            kv_bytes: response.kv_bytes,
+            prompt_tokens: response.prompt_tokens,
           }
         }
-        Err(failure) => failure.outcome(errand.offset()),
+        Err(failure) => failure.outcome(active.offset()),
       }
     });
   }
 
-  fn import(&mut self, order: ImportOrder) {
+  fn import(&mut self, command: ImportOrder) {
     let ImportOrder {
       attempt,
       source,
@@ -249,14 +251,14 @@
       hold_ms,
       link_wait_ms,
       ..
-    } = order;
-    let Some((errand, client)) = self.prepare(&attempt, &engine) else {
+    } = command;
+    let Some((active, client)) = self.prepare(&attempt, &engine) else {
       return;
     };
-    let Some(source) = self.office.client(&source) else {
+    let Some(source) = self.context.client(&source) else {
       return;
     };
-    let office = self.office.clone();
+    let context = self.context.clone();
     self.spawn(attempt.clone(), engine, async move {
       sleep(Duration::from_millis(link_wait_ms)).await;
       let request = ImportRequest {
@@ -264,92 +266,92 @@
         hold_ms,
         source_url: source.url,
       };
-      match client.import(&request, office.stall()).await {
+      match client.import(&request, context.stall_timeout()).await {
         Ok(_) => StageOutcome::Imported,
-        Err(failure) => failure.outcome(errand.offset()),
+        Err(failure) => failure.outcome(active.offset()),
       }
     });
   }
 
-  fn decode(&mut self, order: DecodeOrder) {
+  fn decode(&mut self, command: DecodeOrder) {
     let DecodeOrder {
       attempt,
       engine,
       offset,
-    } = order;
-    let Some((errand, client)) = self.prepare(&attempt, &engine) else {
+    } = command;
+    let Some((active, client)) = self.prepare(&attempt, &engine) else {
       return;
     };
-    errand.joiner().begin(&attempt);
-    let office = self.office.clone();
-    let reporter = (attempt.clone(), engine.clone());
+    active.joiner().start_attempt(&attempt);
+    let context = self.context.clone();
+    let (attempt_id, endpoint) = (attempt.clone(), engine.clone());
     self.spawn(attempt.clone(), engine, async move {
       let request = DecodeRequest {
         attempt,
-        max_tokens: match &errand.payload.body {
+        max_tokens: match &active.payload.body {
           Body::Completion { max_tokens, .. } => *max_tokens,
           Body::Call { .. } => 0,
         },
         offset,
       };
-      let opened = timeout(office.stall(), client.decode(&request)).await;
+      let opened = timeout(context.stall_timeout(), client.decode(&request)).await;
       let outcome = match opened {
         Ok(Ok(response)) => {
-          let stream = ChunkStream::new(response, office.stall());
-          read_answer(&office, &errand, stream, &reporter.0, &reporter.1).await
+          let stream = ChunkStream::new(response, context.stall_timeout());
+          read_response(&context, &active, stream, &attempt_id, &endpoint).await
         }
         Ok(Err(failure)) => Err(failure),
-        Err(_) => Err(OrderFailure::PerhapsBegan),
+        Err(_) => Err(CommandFailure::PerhapsBegan),
       };
       match outcome {
         Ok(tokens) => StageOutcome::Finished { tokens },
         Err(failure) => {
-          errand.joiner().abandon();
-          failure.outcome(errand.offset())
+          active.joiner().abandon_attempt();
+          failure.outcome(active.offset())
         }
       }
     });
   }
 
-  fn call(&mut self, order: ServiceOrder) {
+  fn call(&mut self, command: ServiceOrder) {
     let ServiceOrder {
       attempt,
       deadline_ms,
       endpoint,
-    } = order;
-    let Some((errand, client)) = self.prepare(&attempt, &endpoint) else {
+    } = command;
+    let Some((active, client)) = self.prepare(&attempt, &endpoint) else {
       return;
     };
-    let office = self.office.clone();
-    let reporter = (attempt.clone(), endpoint.clone());
+    let context = self.context.clone();
+    let (attempt_id, endpoint_name) = (attempt.clone(), endpoint.clone());
     self.spawn(attempt, endpoint, async move {
       let Body::Call {
         method,
         path,
         headers,
         body,
-      } = &errand.payload.body
+      } = &active.payload.body
       else {
-        return OrderFailure::NeverBegan.outcome(0);
+        return CommandFailure::NeverBegan.outcome(0);
       };
-      let what = ServiceCall {
+      let service_call = ServiceCall {
         body,
+        head_timeout: Duration::from_millis(deadline_ms).max(context.stall_timeout()),
         headers,
-        limit: Duration::from_millis(deadline_ms).max(office.stall()),
         method,
         path,
       };
-      let began = || {
+      let on_head = || {
         let report = StageReport {
-          attempt: reporter.0.clone(),
-          endpoint: reporter.1.clone(),
+          attempt: attempt_id.clone(),
+          endpoint: endpoint_name.clone(),
           outcome: StageOutcome::FirstChunk,
         };
-        office.to_decide.push(Event::Stage(report)).ok();
+        context.to_decide.push(Event::Stage(report)).ok();
       };
       tokio::select! {
-        outcome = call(&client, &errand.payload, what, office.stall(), began) => outcome,
-        () = errand.payload.chunks.closed() => StageOutcome::Broke {
+        outcome = call_service(&client, &active.payload, service_call, context.stall_timeout(), on_head) => outcome,
+        () = active.payload.chunks.closed() => StageOutcome::Broke {
           began: Began::Perhaps,
           offset: 0,
           resumable: false,
@@ -366,14 +368,14 @@
     if let Some(task) = self.tasks.remove(&key) {
       task.abort();
     }
-    let Some(client) = self.office.client(&endpoint) else {
+    let Some(client) = self.context.client(&endpoint) else {
       return;
     };
-    let office = self.office.clone();
+    let context = self.context.clone();
     tokio::spawn(async move {
       let answer = client.cancel(attempt.clone()).await;
       let event = Event::CancelSettled(attempt, endpoint, answer);
-      office.to_decide.send(event).await;
+      context.to_decide.send(event).await;
     });
   }
 
@@ -385,49 +387,49 @@
     if let Some(task) = self.tasks.remove(&key) {
       task.abort();
     }
-    let Some(errand) = self.errands.get(&attempt.request()).cloned() else {
+    let Some(active) = self.requests.get(&attempt.request()).cloned() else {
       return;
     };
-    errand.joiner().abandon();
-    let outcome = OrderFailure::PerhapsBegan.outcome(errand.offset());
+    active.joiner().abandon_attempt();
+    let outcome = CommandFailure::PerhapsBegan.outcome(active.offset());
     self.spawn(attempt, endpoint, async move { outcome });
   }
 
-  fn extend_holds(&mut self, order: HoldOrder) {
+  fn extend_holds(&mut self, command: HoldOrder) {
     let HoldOrder {
       engine: endpoint,
       attempts,
       hold_ms,
-    } = order;
-    let Some(client) = self.office.client(&endpoint) else {
+    } = command;
+    let Some(client) = self.context.client(&endpoint) else {
       return;
     };
-    let office = self.office.clone();
+    let context = self.context.clone();
     tokio::spawn(async move {
       let request = HoldsRequest { attempts, hold_ms };
       let event = match client.extend_holds(&request).await {
         Some(_) => Event::HoldsExtended(endpoint),
         None => Event::HoldsMissed(endpoint),
       };
-      office.to_decide.send(event).await;
+      context.to_decide.send(event).await;
     });
   }
 
   fn poll_load(&mut self, endpoint: Name) {
-    let Some(client) = self.office.client(&endpoint) else {
+    let Some(client) = self.context.client(&endpoint) else {
       return;
     };
-    let office = self.office.clone();
+    let context = self.context.clone();
     let cursors = self.cursors.clone();
     tokio::spawn(async move {
-      let asked_ms = office.now_ms();
+      let sent_ms = context.now_ms();
       let Some(reply) = client.load().await else {
-        office.to_decide.send(Event::ReportMissed(endpoint)).await;
+        context.to_decide.send(Event::ReportMissed(endpoint)).await;
         return;
       };
       let has_cache = reply.role.is_some();
       let report = LoadReport {
-        age_ms: reply.age_ms + office.now_ms().saturating_sub(asked_ms),
+        age_ms: reply.age_ms + context.now_ms().saturating_sub(sent_ms),
         endpoint: endpoint.clone(),
         incarnation: reply.incarnation,
         leaving: reply.leaving,
@@ -436,42 +438,42 @@
         seats: reply.seats,
         used_seats: reply.used_seats,
       };
-      office.to_decide.send(Event::LoadReported(report)).await;
+      context.to_decide.send(Event::LoadReported(report)).await;
       if has_cache {
-        read_cache_events(&office, &client, endpoint, &cursors).await;
+        read_cache_events(&context, &client, endpoint, &cursors).await;
       }
     });
   }
 
   fn list_attempts(&mut self, endpoint: Name) {
-    let Some(client) = self.office.client(&endpoint) else {
+    let Some(client) = self.context.client(&endpoint) else {
       return;
     };
-    let office = self.office.clone();
+    let context = self.context.clone();
     tokio::spawn(async move {
       if let Some(reply) = client.attempts().await {
         let event = Event::Listed(endpoint, reply.attempts);
-        office.to_decide.send(event).await;
+        context.to_decide.send(event).await;
       }
     });
   }
 
-  /// The lease is checked on the monotonic clock directly before the order is sent.
-  fn change_role(&mut self, order: RoleOrder) {
-    let Some(client) = self.office.client(&order.engine) else {
+  /// Checks that the lease is still valid directly before the command is sent.
+  fn change_role(&mut self, command: RoleOrder) {
+    let Some(client) = self.context.client(&command.engine) else {
       return;
     };
-    let office = self.office.clone();
+    let context = self.context.clone();
     tokio::spawn(async move {
-      if office.now_ms() < order.valid_until_ms {
-        client.change_role(order.role, order.fence).await;
+      if context.now_ms() < command.valid_until_ms {
+        client.change_role(command.role, command.fence).await;
       }
     });
   }
 }
 
 async fn read_cache_events(
-  office: &Office,
+  context: &EgressContext,
   client: &EndpointClient,
   endpoint: Name,
   cursors: &Mutex<BTreeMap<Name, u64>>,
@@ -491,6 +493,6 @@
     .insert(endpoint.clone(), reply.next);
   if !reply.blocks.is_empty() {
     let event = Event::CacheReported(endpoint, reply.blocks);
-    office.to_decide.send(event).await;
+    context.to_decide.send(event).await;
   }
 }
