--- a/src/ingress/caller_guard.rs
+++ b/src/ingress/caller_guard.rs
@@ -1,24 +1,24 @@
-//! Noticing that a caller has gone, wherever its request stands.
+//! Detects that a caller has disconnected before its request has finished.
 
 use {
-  super::Desk,
+  super::IngressState,
   crate::{decide::Event, ids::RequestId},
   std::sync::Arc,
 };
 
-/// Lives as long as the caller waits; its end before the request's tells `decide`.
+/// Dropped when the caller disconnects or the response is complete. Notifies `decide` of a disconnect.
 pub(super) struct CallerGuard {
-  desk: Arc<Desk>,
+  state: Arc<IngressState>,
   request: RequestId,
-  ended: bool,
+  is_finished: bool,
 }
 
 impl CallerGuard {
-  pub(super) fn new(desk: Arc<Desk>, request: RequestId) -> Self {
+  pub(super) fn new(state: Arc<IngressState>, request: RequestId) -> Self {
     Self {
-      desk,
-      ended: false,
+      is_finished: false,
       request,
+      state,
     }
   }
 
@@ -26,18 +26,18 @@
     self.request
   }
 
-  /// The request has ended: the caller may go.
-  pub(super) fn ended(&mut self) {
-    self.ended = true;
+  /// Marks the request as finished: a disconnect from now on is normal.
+  pub(super) fn disarm(&mut self) {
+    self.is_finished = true;
   }
 }
 
 impl Drop for CallerGuard {
   fn drop(&mut self) {
-    self.desk.forget(self.request);
-    if !self.ended {
-      // Room for one such event per request is kept free by the desk.
-      let _ = self.desk.to_decide.push(Event::CallerGone(self.request));
+    self.state.remove_pending(self.request);
+    if !self.is_finished {
+      // `IngressState::admit` keeps a ring slot free for this event of each request.
+      let _ = self.state.to_decide.push(Event::CallerGone(self.request));
     }
   }
 }
--- a/src/ingress/caller_headers.rs
+++ b/src/ingress/caller_headers.rs
@@ -1,20 +1,20 @@
-//! What is read from the headers of every request.
+//! Parses the headers that every request may carry.
 
 use {
-  super::{Desk, outcome::mistake},
+  super::{IngressState, outcome::invalid_request},
   crate::{bearer_key::BearerKey, ids::Name},
   axum::response::Response,
   http::{HeaderMap, StatusCode},
 };
 
-const DEADLINE: &str = "x-rillford-deadline-ms";
+const DEADLINE_MS: &str = "x-rillford-deadline-ms";
 const NOT_REPEATABLE: &str = "x-rillford-not-repeatable";
 const TASK: &str = "x-rillford-task";
 
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
-const MOST_NAME_BYTES: usize = 256;
+const MAX_VALUE_BYTES: usize = 256;
 
-/// What is read from every request's headers.
+/// The parsed headers of a request.
 pub(super) struct CallerHeaders {
   pub(super) organisation: Name,
   pub(super) task: Name,
@@ -23,14 +23,18 @@
   pub(super) deadline_ms: Option<u64>,
 }
 
-/// Reads and checks the headers that every request may carry.
-pub(super) fn read_headers(
-  desk: &Desk,
+/// Authenticates the caller and parses its headers; an error is the response to send.
+pub(super) fn parse_headers(
+  state: &IngressState,
   headers: &HeaderMap,
 ) -> Result<CallerHeaders, Box<Response>> {
-  let organisation = organisation(desk, headers).ok_or_else(|| {
+  let organisation = organisation(state, headers).ok_or_else(|| {
     let message = "the Authorization header must carry your organisation's bearer key";
-    Box::new(mistake(StatusCode::UNAUTHORIZED, "wrong_key", message))
+    Box::new(invalid_request(
+      StatusCode::UNAUTHORIZED,
+      "wrong_key",
+      message,
+    ))
   })?;
   Ok(CallerHeaders {
     deadline_ms: deadline(headers)?,
@@ -41,14 +45,18 @@
   })
 }
 
-fn organisation(desk: &Desk, headers: &HeaderMap) -> Option<Name> {
+fn organisation(state: &IngressState, headers: &HeaderMap) -> Option<Name> {
   let key = BearerKey::read(headers).given()?;
-  desk.keys.load().organisation(key).cloned()
+  state.keys.load().organisation(key).cloned()
 }
 
-fn wrong_header(name: &str, message: &str) -> Box<Response> {
+fn invalid_header(name: &str, message: &str) -> Box<Response> {
   let message = format!("header {name}: {message}");
-  Box::new(mistake(StatusCode::BAD_REQUEST, "wrong_header", message))
+  Box::new(invalid_request(
+    StatusCode::BAD_REQUEST,
+    "wrong_header",
+    message,
+  ))
 }
 
 fn short_text(headers: &HeaderMap, name: &str) -> Result<Option<Name>, Box<Response>> {
@@ -56,8 +64,8 @@
     return Ok(None);
   };
   match value.to_str() {
-    Ok(text) if !text.is_empty() && text.len() <= MOST_NAME_BYTES => Ok(Some(text.into())),
-    _ => Err(wrong_header(
+    Ok(text) if !text.is_empty() && text.len() <= MAX_VALUE_BYTES => Ok(Some(text.into())),
+    _ => Err(invalid_header(
       name,
       "must be 1 to 256 visible ASCII characters",
     )),
@@ -65,7 +73,7 @@
 }
 
 fn deadline(headers: &HeaderMap) -> Result<Option<u64>, Box<Response>> {
-  let Some(value) = headers.get(DEADLINE) else {
+  let Some(value) = headers.get(DEADLINE_MS) else {
     return Ok(None);
   };
   let parsed = value
@@ -75,7 +83,12 @@
   parsed
     .filter(|deadline_ms| *deadline_ms > 0)
     .map(Some)
-    .ok_or_else(|| wrong_header(DEADLINE, "must be a whole number of milliseconds above 0"))
+    .ok_or_else(|| {
+      invalid_header(
+        DEADLINE_MS,
+        "must be a whole number of milliseconds above 0",
+      )
+    })
 }
 
 fn not_repeatable(headers: &HeaderMap) -> Result<bool, Box<Response>> {
@@ -85,6 +98,6 @@
   match value.as_bytes() {
     b"true" => Ok(true),
     b"false" => Ok(false),
-    _ => Err(wrong_header(NOT_REPEATABLE, "must be `true` or `false`")),
+    _ => Err(invalid_header(NOT_REPEATABLE, "must be `true` or `false`")),
   }
 }
--- a/src/ingress/completion_api.rs
+++ b/src/ingress/completion_api.rs
@@ -1,17 +1,17 @@
-//! The OpenAI-compatible completion messages, as far as they are served.
+//! The supported subset of the OpenAI-compatible completion API.
 
 use {
   crate::{endpoint_api::FinishReason, ids::Name},
   serde::{Deserialize, Serialize},
 };
 
-/// Which of the two completion calls was made.
+/// Which completion API the caller used.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Style {
+pub(super) enum CompletionApi {
   /// `/v1/chat/completions`.
   Chat,
   /// `/v1/completions`.
-  Plain,
+  Text,
 }
 
 /// One message of a chat.
@@ -21,7 +21,7 @@
   pub(super) content: Name,
 }
 
-/// `POST /v1/chat/completions`. Fields that are not served are ignored, as clients expect.
+/// `POST /v1/chat/completions`. Unsupported fields are ignored, as clients expect.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct ChatRequest {
   pub(super) model: Name,
@@ -34,7 +34,7 @@
 
 /// `POST /v1/completions`.
 #[derive(Clone, Debug, Deserialize)]
-pub(super) struct PlainRequest {
+pub(super) struct TextRequest {
   pub(super) model: Name,
   pub(super) prompt: Name,
   pub(super) max_tokens: Option<u64>,
@@ -43,7 +43,7 @@
 }
 
 impl ChatRequest {
-  /// The chat as one prompt text.
+  /// The messages rendered as one prompt.
   pub(super) fn prompt(&self) -> Name {
     self
       .messages
@@ -54,7 +54,7 @@
   }
 }
 
-/// Text of a chat answer.
+/// A message, or a part of one, in a chat response.
 #[derive(Debug, Default, Serialize)]
 pub(super) struct MessageText {
   #[serde(skip_serializing_if = "Option::is_none")]
@@ -63,7 +63,7 @@
   pub(super) content: Option<String>,
 }
 
-/// One choice of an answer; there is always one.
+/// A choice of a response; there is always exactly one.
 #[derive(Debug, Default, Serialize)]
 pub(super) struct Choice {
   pub(super) index: u32,
@@ -76,7 +76,7 @@
   pub(super) finish_reason: Option<FinishReason>,
 }
 
-/// What an answer took.
+/// Token counts of a response.
 #[derive(Debug, Serialize)]
 pub(super) struct UsageBody {
   pub(super) prompt_tokens: u64,
@@ -84,7 +84,7 @@
   pub(super) total_tokens: u64,
 }
 
-/// A whole answer, or one event of a streamed one.
+/// A complete response, or one event of a streamed response.
 #[derive(Debug, Serialize)]
 pub(super) struct CompletionBody {
   pub(super) id: Name,
--- a/src/ingress/completions.rs
+++ b/src/ingress/completions.rs
@@ -1,13 +1,13 @@
-//! The handlers for completions.
+//! Handlers for the completion APIs.
 
 use {
   super::{
-    Desk,
-    answer::{self, Letterhead},
-    caller_headers::{CallerHeaders, read_headers},
-    completion_api::{ChatRequest, PlainRequest, Style},
-    desk::Asked,
-    outcome::mistake,
+    IngressState,
+    caller_headers::{CallerHeaders, parse_headers},
+    completion_api::{ChatRequest, CompletionApi, TextRequest},
+    outcome::invalid_request,
+    response::{self, CompletionMetadata},
+    state::RequestAttributes,
   },
   crate::{
     chunk::Body,
@@ -29,71 +29,74 @@
 };
 
 const DEFAULT_MAX_TOKENS: u64 = 512;
-const MOST_MAX_TOKENS: u64 = 65_536;
+const MAX_TOKENS_LIMIT: u64 = 65_536;
 const MS_PER_S: u64 = 1_000;
 
-/// A completion, whichever call it came by.
+/// A completion request through either API.
 struct Completion {
-  style: Style,
+  api: CompletionApi,
   model: Name,
   prompt: Name,
   max_tokens: u64,
   stream: bool,
 }
 
-pub(super) async fn chat(State(desk): State<Arc<Desk>>, request: Request) -> Response {
-  let read = |request: ChatRequest| Completion {
+pub(super) async fn chat(State(state): State<Arc<IngressState>>, request: Request) -> Response {
+  let convert = |request: ChatRequest| Completion {
     max_tokens: request.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
     model: request.model.clone(),
     prompt: request.prompt(),
     stream: request.stream,
-    style: Style::Chat,
+    api: CompletionApi::Chat,
   };
-  handle(desk, request, read).await
+  handle(state, request, convert).await
 }
 
-pub(super) async fn plain(State(desk): State<Arc<Desk>>, request: Request) -> Response {
-  let read = |request: PlainRequest| Completion {
+pub(super) async fn text(State(state): State<Arc<IngressState>>, request: Request) -> Response {
+  let convert = |request: TextRequest| Completion {
     max_tokens: request.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
     model: request.model,
     prompt: request.prompt,
     stream: request.stream,
-    style: Style::Plain,
+    api: CompletionApi::Text,
   };
-  handle(desk, request, read).await
+  handle(state, request, convert).await
 }
 
 async fn handle<T: DeserializeOwned>(
-  desk: Arc<Desk>,
+  state: Arc<IngressState>,
   request: Request,
-  read: impl FnOnce(T) -> Completion,
+  convert: impl FnOnce(T) -> Completion,
 ) -> Response {
-  let headers = match read_headers(&desk, request.headers()) {
+  let headers = match parse_headers(&state, request.headers()) {
     Ok(headers) => headers,
-    Err(refusal) => return *refusal,
+    Err(rejection) => return *rejection,
   };
-  let bytes = match read_body(&desk, request).await {
+  let bytes = match read_body(&state, request).await {
     Ok(bytes) => bytes,
-    Err(refusal) => return *refusal,
+    Err(rejection) => return *rejection,
   };
   let completion = match serde_json::from_slice::<T>(&bytes) {
-    Ok(parsed) => read(parsed),
+    Ok(parsed) => convert(parsed),
     Err(error) => {
       let message = format!("body: {error}");
-      return mistake(StatusCode::BAD_REQUEST, "wrong_body", message);
+      return invalid_request(StatusCode::BAD_REQUEST, "wrong_body", message);
     }
   };
-  if let Some(refusal) = check(&desk, &completion) {
-    return refusal;
+  if let Some(rejection) = validate(&state, &completion) {
+    return rejection;
   }
-  serve(&desk, headers, completion).await
+  serve(&state, headers, completion).await
 }
 
-/// Reads a body within its bounds of size and time.
-pub(super) async fn read_body(desk: &Desk, request: Request) -> Result<Bytes, Box<Response>> {
-  let limit = desk.limits.body_bytes;
+/// Reads a request body within its size limit and timeout; an error is the response to send.
+pub(super) async fn read_body(
+  state: &IngressState,
+  request: Request,
+) -> Result<Bytes, Box<Response>> {
+  let limit = state.limits.body_bytes;
   let read = to_bytes(request.into_body(), limit);
-  match timeout(Duration::from_millis(desk.limits.body_ms), read).await {
+  match timeout(Duration::from_millis(state.limits.body_ms), read).await {
     Ok(Ok(bytes)) => Ok(bytes),
     Ok(Err(error)) => {
       let (status, message) = if is_length_limit(&error) {
@@ -104,12 +107,12 @@
       } else {
         (StatusCode::BAD_REQUEST, format!("body: {error}"))
       };
-      Err(Box::new(mistake(status, "wrong_body", message)))
+      Err(Box::new(invalid_request(status, "wrong_body", message)))
     }
     Err(_) => {
-      let message = format!("body: not received within {} ms", desk.limits.body_ms);
-      let refusal = mistake(StatusCode::REQUEST_TIMEOUT, "slow_body", message);
-      Err(Box::new(refusal))
+      let message = format!("body: not received within {} ms", state.limits.body_ms);
+      let rejection = invalid_request(StatusCode::REQUEST_TIMEOUT, "slow_body", message);
+      Err(Box::new(rejection))
     }
   }
 }
@@ -125,25 +128,42 @@
   false
 }
 
-fn check(desk: &Desk, completion: &Completion) -> Option<Response> {
-  if !desk.models.contains(&completion.model) {
+/// The response to an invalid completion request; `None` if the request is valid.
+fn validate(state: &IngressState, completion: &Completion) -> Option<Response> {
+  if !state.models.contains(&completion.model) {
     let message = format!("model `{}` is not served here", completion.model);
-    return Some(mistake(StatusCode::NOT_FOUND, "no_such_model", message));
+    return Some(invalid_request(
+      StatusCode::NOT_FOUND,
+      "no_such_model",
+      message,
+    ));
   }
   if completion.prompt.is_empty() {
     let message = "the prompt is empty";
-    return Some(mistake(StatusCode::BAD_REQUEST, "wrong_body", message));
+    return Some(invalid_request(
+      StatusCode::BAD_REQUEST,
+      "wrong_body",
+      message,
+    ));
   }
-  if !(1..=MOST_MAX_TOKENS).contains(&completion.max_tokens) {
-    let message = format!("max_tokens must lie between 1 and {MOST_MAX_TOKENS}");
-    return Some(mistake(StatusCode::BAD_REQUEST, "wrong_body", message));
+  if !(1..=MAX_TOKENS_LIMIT).contains(&completion.max_tokens) {
+    let message = format!("max_tokens must lie between 1 and {MAX_TOKENS_LIMIT}");
+    return Some(invalid_request(
+      StatusCode::BAD_REQUEST,
+      "wrong_body",
+      message,
+    ));
   }
   None
 }
 
-async fn serve(desk: &Arc<Desk>, headers: CallerHeaders, completion: Completion) -> Response {
+async fn serve(
+  state: &Arc<IngressState>,
+  headers: CallerHeaders,
+  completion: Completion,
+) -> Response {
   let prompt_tokens = (completion.prompt.len() as u64).div_ceil(BYTES_PER_TOKEN);
-  let asked = Asked {
+  let attributes = RequestAttributes {
     deadline_ms: headers.deadline_ms,
     idempotency_key: headers.idempotency_key,
     not_repeatable: headers.not_repeatable,
@@ -161,20 +181,20 @@
     model: completion.model.clone(),
     prompt: completion.prompt,
   };
-  let ticket = match desk.admit(asked, body) {
-    Ok(ticket) => ticket,
-    Err(refusal) => return *refusal,
+  let pending = match state.admit(attributes, body) {
+    Ok(pending) => pending,
+    Err(rejection) => return *rejection,
   };
   let created_ms = unix_ms();
-  let letterhead = Letterhead {
+  let metadata = CompletionMetadata {
+    api: completion.api,
     created: created_ms / MS_PER_S,
-    id: format!("cmpl-{created_ms:x}-{:x}", ticket.guard.request().0).into(),
+    id: format!("cmpl-{created_ms:x}-{:x}", pending.guard.request().0).into(),
     model: completion.model,
-    style: completion.style,
   };
   if completion.stream {
-    answer::streamed(ticket, letterhead).await
+    response::streamed(pending, metadata).await
   } else {
-    answer::whole(ticket, letterhead).await
+    response::buffered(pending, metadata).await
   }
 }
--- a/src/ingress/mod.rs
+++ b/src/ingress/mod.rs
@@ -1,17 +1,17 @@
-//! The ingress filter: callers' requests become arrivals, and answers go back to their callers.
+//! The ingress worker: accepts callers' requests, hands them to `decide`, and returns responses.
 
-mod answer;
 mod caller_guard;
 mod caller_headers;
 mod completion_api;
 mod completions;
-mod desk;
-mod duty;
 mod outcome;
+mod response;
 mod router;
 mod services;
+mod state;
+mod worker;
 
 pub(crate) use self::{
-  desk::{Desk, Phase, SharedPhase},
-  duty::{IngressSetup, run},
+  state::{IngressState, Phase, SharedPhase},
+  worker::{IngressSetup, run},
 };
--- a/src/ingress/outcome.rs
+++ b/src/ingress/outcome.rs
@@ -1,4 +1,4 @@
-//! What a caller is told of an ending that is no answer: status, `Retry-After`, machine-readable body.
+//! Error responses to callers: status, `Retry-After` and a machine-readable body.
 
 use {
   crate::decide::{Doubt, Ending, Refusal},
@@ -12,23 +12,23 @@
 
 const MS_PER_S: u64 = 1_000;
 
-/// The outcome, as callers' programs go by it.
+/// Whether a failed request may have run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Outcome {
-  /// The work truly did not run.
+  /// The work did not run.
   NotRun,
   /// The work may have run.
   Unknown,
 }
 
-/// The body of an ending that is no answer.
+/// The body of an error response.
 #[derive(Debug, Serialize)]
 pub(crate) struct OutcomeBody {
   pub(crate) error: OutcomeError,
 }
 
-/// What happened, in the form that OpenAI clients expect.
+/// The error, in the form that OpenAI clients expect.
 #[derive(Debug, Serialize)]
 pub(crate) struct OutcomeError {
   pub(crate) outcome: Outcome,
@@ -39,7 +39,7 @@
   pub(crate) retry_after_ms: Option<u64>,
 }
 
-fn refusal_status(reason: Refusal) -> StatusCode {
+fn rejection_status(reason: Refusal) -> StatusCode {
   match reason {
     Refusal::OrganisationLimit => StatusCode::TOO_MANY_REQUESTS,
     Refusal::AlreadyClaimed => StatusCode::CONFLICT,
@@ -56,56 +56,58 @@
   }
 }
 
-fn refusal_text(reason: Refusal) -> &'static str {
+fn rejection_text(reason: Refusal) -> &'static str {
   match reason {
     Refusal::OrganisationLimit => "your organisation has too many requests in progress",
     Refusal::QueueFull => "the queue is full",
-    Refusal::Shed => "shed for work that ranks higher",
+    Refusal::Shed => "shed in favour of higher-priority work",
     Refusal::TooLate => "the first token would come after the deadline",
     Refusal::NoEndpoint => "no live endpoint serves this",
-    Refusal::ClaimUnavailable => "the claim for this key can't be made now",
-    Refusal::AlreadyClaimed => "a request with this key was taken on before; see its own answer",
-    Refusal::NeverBegan => "each endpoint tried confirmed that the work never began",
-    Refusal::RetryBudget => "the work never began, and no retry is left",
+    Refusal::ClaimUnavailable => "the idempotency key could not be claimed",
+    Refusal::AlreadyClaimed => {
+      "a request with this idempotency key was accepted before; see its response"
+    }
+    Refusal::NeverBegan => "every endpoint tried confirmed that the work did not begin",
+    Refusal::RetryBudget => "the work did not begin, and the retry budget is used up",
     Refusal::Stopping => "this box is stopping",
     Refusal::Busy => "this box is busy",
     Refusal::NotReady => "this box has no configuration yet",
   }
 }
 
-fn doubt_text(reason: Doubt) -> &'static str {
+fn unknown_text(reason: Doubt) -> &'static str {
   match reason {
     Doubt::EndpointFailed => "an endpoint failed after the work may have begun",
-    Doubt::TimedOut => "the work may have begun and did not end in time",
-    Doubt::AnswerBroken => "the answer broke off and could not be resumed",
+    Doubt::TimedOut => "the work may have begun and did not finish in time",
+    Doubt::AnswerBroken => "the response was interrupted and could not be resumed",
   }
 }
 
-/// The word for an enum's variant as `serde` writes it.
-fn code<T: Serialize>(value: T) -> String {
+/// The name of an enum variant as `serde` writes it.
+fn error_code<T: Serialize>(value: T) -> String {
   serde_json::to_value(value)
     .ok()
     .and_then(|value| value.as_str().map(ToString::to_string))
     .unwrap_or_default()
 }
 
-/// The body for an ending; none for endings that have no body of their own.
-pub(crate) fn outcome_body(ending: Ending) -> Option<OutcomeBody> {
-  let error = match ending {
+/// The error body for an outcome; `None` for outcomes that are not reported to the caller.
+pub(crate) fn outcome_body(outcome: Ending) -> Option<OutcomeBody> {
+  let error = match outcome {
     Ending::Answered | Ending::Abandoned => return None,
     Ending::NotRun {
       reason,
       retry_after_ms,
     } => OutcomeError {
-      code: code(reason),
-      message: format!("not run: {}", refusal_text(reason)),
+      code: error_code(reason),
+      message: format!("not run: {}", rejection_text(reason)),
       outcome: Outcome::NotRun,
       retry_after_ms: (reason != Refusal::AlreadyClaimed).then_some(retry_after_ms),
       r#type: "not_run",
     },
     Ending::Unknown { reason } => OutcomeError {
-      code: code(reason),
-      message: format!("unknown: {}", doubt_text(reason)),
+      code: error_code(reason),
+      message: format!("unknown: {}", unknown_text(reason)),
       outcome: Outcome::Unknown,
       retry_after_ms: None,
       r#type: "unknown",
@@ -114,16 +116,16 @@
   Some(OutcomeBody { error })
 }
 
-/// The response for an ending before the first byte.
-pub(crate) fn outcome_response(ending: Ending) -> Response {
-  let status = match ending {
-    Ending::NotRun { reason, .. } => refusal_status(reason),
+/// The error response for a request that failed before the first response byte.
+pub(crate) fn outcome_response(outcome: Ending) -> Response {
+  let status = match outcome {
+    Ending::NotRun { reason, .. } => rejection_status(reason),
     Ending::Unknown {
       reason: Doubt::TimedOut,
     } => StatusCode::GATEWAY_TIMEOUT,
     Ending::Unknown { .. } | Ending::Answered | Ending::Abandoned => StatusCode::BAD_GATEWAY,
   };
-  let Some(body) = outcome_body(ending) else {
+  let Some(body) = outcome_body(outcome) else {
     return status.into_response();
   };
   let retry_after_ms = body.error.retry_after_ms;
@@ -137,8 +139,12 @@
   response
 }
 
-/// A refusal for a caller's own mistake: the work did not run, and coming back unchanged won't help.
-pub(crate) fn mistake(status: StatusCode, code: &str, message: impl Into<String>) -> Response {
+/// The response to an invalid request: the work did not run, and a retry without changes fails again.
+pub(crate) fn invalid_request(
+  status: StatusCode,
+  code: &str,
+  message: impl Into<String>,
+) -> Response {
   let error = OutcomeError {
     code: code.into(),
     message: message.into(),
--- a/src/ingress/response.rs
+++ b/src/ingress/response.rs
@@ -1,10 +1,10 @@
-//! Writing completions back: whole as JSON, or streamed as server-sent events.
+//! Responses to callers: completions, buffered as JSON or streamed as server-sent events, and relayed service responses.
 
 use {
   super::{
-    completion_api::{Choice, CompletionBody, MessageText, Style, UsageBody},
-    desk::Ticket,
+    completion_api::{Choice, CompletionApi, CompletionBody, MessageText, UsageBody},
     outcome::{outcome_body, outcome_response},
+    state::PendingResponse,
   },
   crate::{
     chunk::{Chunk, Usage},
@@ -23,31 +23,33 @@
   std::convert::Infallible,
 };
 
+/// The event that ends a stream, as OpenAI clients expect it.
 const DONE: &str = "data: [DONE]\n\n";
-const LOST: Ending = Ending::Unknown {
+/// The outcome when `decide` reports none.
+const OUTCOME_MISSING: Ending = Ending::Unknown {
   reason: Doubt::AnswerBroken,
 };
 
-/// What is the same in each piece of one answer.
+/// The fields that are the same in all events of one completion response.
 #[derive(Clone)]
-pub(super) struct Letterhead {
+pub(super) struct CompletionMetadata {
   pub(super) id: Name,
   pub(super) created: u64,
   pub(super) model: Name,
-  pub(super) style: Style,
+  pub(super) api: CompletionApi,
 }
 
-impl Letterhead {
+impl CompletionMetadata {
   fn body(&self, streamed: bool, choice: Choice, usage: Option<Usage>) -> CompletionBody {
     CompletionBody {
       choices: vec![choice],
       created: self.created,
       id: self.id.clone(),
       model: self.model.clone(),
-      object: match (self.style, streamed) {
-        (Style::Chat, true) => "chat.completion.chunk",
-        (Style::Chat, false) => "chat.completion",
-        (Style::Plain, _) => "text_completion",
+      object: match (self.api, streamed) {
+        (CompletionApi::Chat, true) => "chat.completion.chunk",
+        (CompletionApi::Chat, false) => "chat.completion",
+        (CompletionApi::Text, _) => "text_completion",
       },
       usage: usage.map(|usage| UsageBody {
         completion_tokens: usage.completion_tokens,
@@ -57,16 +59,16 @@
     }
   }
 
-  fn piece(&self, text: String) -> Bytes {
-    let choice = match self.style {
-      Style::Chat => Choice {
+  fn text_event(&self, text: String) -> Bytes {
+    let choice = match self.api {
+      CompletionApi::Chat => Choice {
         delta: Some(MessageText {
           content: Some(text),
           role: None,
         }),
         ..Choice::default()
       },
-      Style::Plain => Choice {
+      CompletionApi::Text => Choice {
         text: Some(text),
         ..Choice::default()
       },
@@ -74,15 +76,15 @@
     event(&self.body(true, choice, None))
   }
 
-  fn last(&self, usage: Option<Usage>) -> Bytes {
+  fn final_event(&self, usage: Option<Usage>) -> Bytes {
     let finish_reason = Some(usage.map_or(FinishReason::Stop, |usage| usage.finish));
-    let choice = match self.style {
-      Style::Chat => Choice {
+    let choice = match self.api {
+      CompletionApi::Chat => Choice {
         delta: Some(MessageText::default()),
         finish_reason,
         ..Choice::default()
       },
-      Style::Plain => Choice {
+      CompletionApi::Text => Choice {
         finish_reason,
         text: Some(String::new()),
         ..Choice::default()
@@ -93,10 +95,10 @@
     bytes.into()
   }
 
-  fn whole(&self, text: String, usage: Option<Usage>) -> Response {
+  fn full_response(&self, text: String, usage: Option<Usage>) -> Response {
     let finish_reason = Some(usage.map_or(FinishReason::Stop, |usage| usage.finish));
-    let choice = match self.style {
-      Style::Chat => Choice {
+    let choice = match self.api {
+      CompletionApi::Chat => Choice {
         finish_reason,
         message: Some(MessageText {
           content: Some(text),
@@ -104,7 +106,7 @@
         }),
         ..Choice::default()
       },
-      Style::Plain => Choice {
+      CompletionApi::Text => Choice {
         finish_reason,
         text: Some(text),
         ..Choice::default()
@@ -123,8 +125,8 @@
   bytes.into()
 }
 
-fn error_event(ending: Ending) -> Bytes {
-  let Some(body) = outcome_body(ending) else {
+fn error_event(outcome: Ending) -> Bytes {
+  let Some(body) = outcome_body(outcome) else {
     return Bytes::new();
   };
   let mut bytes = b"event: error\n".to_vec();
@@ -132,118 +134,126 @@
   bytes.into()
 }
 
-/// What comes next on a ticket.
+/// The next item of a pending response.
 enum Next {
   Chunk(Chunk),
-  Ended(Ending),
+  Finished(Ending),
 }
 
-impl Ticket {
-  /// The next piece, or the ending once all pieces before it were taken.
+impl PendingResponse {
+  /// The next chunk, or the outcome once all chunks were returned.
   async fn next(&mut self) -> Next {
     tokio::select! {
       biased;
       chunk = self.chunks.recv(), if !self.chunks.is_closed() || !self.chunks.is_empty() => {
         match chunk {
           Some(chunk) => Next::Chunk(chunk),
-          None => self.ended().await,
+          None => self.wait_outcome().await,
         }
       }
-      ending = &mut self.ending => {
-        self.guard.ended();
-        let ending = ending.unwrap_or(LOST);
-        // Pieces were sent before the ending: they are still in the channel.
+      outcome = &mut self.outcome => {
+        self.guard.disarm();
+        let outcome = outcome.unwrap_or(OUTCOME_MISSING);
+        // Chunks sent before the outcome may still be in the channel.
         match self.chunks.try_recv() {
-          Ok(chunk) => self.put_back(chunk, ending),
-          Err(_) => Next::Ended(ending),
+          Ok(chunk) => self.defer_outcome(chunk, outcome),
+          Err(_) => Next::Finished(outcome),
         }
       }
     }
   }
 
-  async fn ended(&mut self) -> Next {
-    let ending = (&mut self.ending).await.unwrap_or(LOST);
-    self.guard.ended();
-    Next::Ended(ending)
+  async fn wait_outcome(&mut self) -> Next {
+    let outcome = (&mut self.outcome).await.unwrap_or(OUTCOME_MISSING);
+    self.guard.disarm();
+    Next::Finished(outcome)
   }
 
-  fn put_back(&mut self, chunk: Chunk, ending: Ending) -> Next {
+  /// Returns a chunk first and keeps the outcome for a later call.
+  fn defer_outcome(&mut self, chunk: Chunk, outcome: Ending) -> Next {
     let (sender, receiver) = tokio::sync::oneshot::channel();
-    let _ = sender.send(ending);
-    self.ending = receiver;
+    let _ = sender.send(outcome);
+    self.outcome = receiver;
     Next::Chunk(chunk)
   }
 }
 
-/// Answers with the whole completion once it has ended.
-pub(super) async fn whole(mut ticket: Ticket, letterhead: Letterhead) -> Response {
+/// Responds with the full completion once it has finished.
+pub(super) async fn buffered(
+  mut pending: PendingResponse,
+  metadata: CompletionMetadata,
+) -> Response {
   let mut text = String::new();
   let mut usage = None;
   loop {
-    match ticket.next().await {
+    match pending.next().await {
       Next::Chunk(Chunk::Text(piece)) => text.push_str(&piece),
       Next::Chunk(Chunk::Usage(total)) => usage = Some(total),
       Next::Chunk(Chunk::Head(..) | Chunk::Body(_)) => {}
-      Next::Ended(Ending::Answered) => return letterhead.whole(text, usage),
-      Next::Ended(ending) => return outcome_response(ending),
+      Next::Finished(Ending::Answered) => return metadata.full_response(text, usage),
+      Next::Finished(outcome) => return outcome_response(outcome),
     }
   }
 }
 
-struct Flow {
-  ticket: Ticket,
-  letterhead: Letterhead,
+/// The event stream of a completion.
+struct EventStream {
+  pending: PendingResponse,
+  metadata: CompletionMetadata,
   usage: Option<Usage>,
   first: Option<Bytes>,
-  ended: bool,
+  is_finished: bool,
 }
 
-/// Answers with events as they come; an ending before the first byte has its own status.
-pub(super) async fn streamed(mut ticket: Ticket, letterhead: Letterhead) -> Response {
+/// Responds with server-sent events. A failure before the first event gets its own status code.
+pub(super) async fn streamed(
+  mut pending: PendingResponse,
+  metadata: CompletionMetadata,
+) -> Response {
   let mut usage = None;
   let first = loop {
-    match ticket.next().await {
-      Next::Chunk(Chunk::Text(text)) => break letterhead.piece(text),
+    match pending.next().await {
+      Next::Chunk(Chunk::Text(text)) => break metadata.text_event(text),
       Next::Chunk(Chunk::Usage(total)) => usage = Some(total),
       Next::Chunk(Chunk::Head(..) | Chunk::Body(_)) => {}
-      Next::Ended(Ending::Answered) => {
-        return events(HttpBody::from(letterhead.last(usage)));
+      Next::Finished(Ending::Answered) => {
+        return events(HttpBody::from(metadata.final_event(usage)));
       }
-      Next::Ended(ending) => return outcome_response(ending),
+      Next::Finished(outcome) => return outcome_response(outcome),
     }
   };
-  let flow = Flow {
-    ended: false,
+  let event_stream = EventStream {
     first: Some(first),
-    letterhead,
-    ticket,
+    is_finished: false,
+    metadata,
+    pending,
     usage,
   };
-  let pieces = stream::unfold(flow, |mut flow| async move {
-    let bytes = flow.next().await?;
-    Some((Ok::<_, Infallible>(bytes), flow))
+  let body = stream::unfold(event_stream, |mut event_stream| async move {
+    let bytes = event_stream.next().await?;
+    Some((Ok::<_, Infallible>(bytes), event_stream))
   });
-  events(HttpBody::from_stream(pieces))
+  events(HttpBody::from_stream(body))
 }
 
-impl Flow {
+impl EventStream {
   async fn next(&mut self) -> Option<Bytes> {
     if let Some(first) = self.first.take() {
       return Some(first);
     }
-    if self.ended {
+    if self.is_finished {
       return None;
     }
     loop {
-      match self.ticket.next().await {
-        Next::Chunk(Chunk::Text(text)) => return Some(self.letterhead.piece(text)),
+      match self.pending.next().await {
+        Next::Chunk(Chunk::Text(text)) => return Some(self.metadata.text_event(text)),
         Next::Chunk(Chunk::Usage(total)) => self.usage = Some(total),
         Next::Chunk(Chunk::Head(..) | Chunk::Body(_)) => {}
-        Next::Ended(ending) => {
-          self.ended = true;
-          return Some(match ending {
-            Ending::Answered => self.letterhead.last(self.usage),
-            broken => error_event(broken),
+        Next::Finished(outcome) => {
+          self.is_finished = true;
+          return Some(match outcome {
+            Ending::Answered => self.metadata.final_event(self.usage),
+            failed => error_event(failed),
           });
         }
       }
@@ -259,51 +269,52 @@
   (headers, body).into_response()
 }
 
-struct Passing {
-  ticket: Ticket,
-  ended: bool,
+/// The body of a relayed service response.
+struct RelayedBody {
+  pending: PendingResponse,
+  is_finished: bool,
 }
 
-/// Passes a plain service's answer on; one that breaks off breaks the caller's connection too.
-pub(super) async fn passed(mut ticket: Ticket) -> Response {
+/// Relays a plain service's response. If it is truncated, the caller's connection is closed without a normal end.
+pub(super) async fn relayed(mut pending: PendingResponse) -> Response {
   let (status, headers) = loop {
-    match ticket.next().await {
+    match pending.next().await {
       Next::Chunk(Chunk::Head(status, headers)) => break (status, headers),
       Next::Chunk(_) => {}
-      Next::Ended(ending) => return outcome_response(ending),
+      Next::Finished(outcome) => return outcome_response(outcome),
     }
   };
-  let passing = Passing {
-    ended: false,
-    ticket,
+  let relayed = RelayedBody {
+    is_finished: false,
+    pending,
   };
-  let pieces = stream::unfold(passing, |mut passing| async move {
-    let piece = passing.next().await?;
-    Some((piece, passing))
+  let body = stream::unfold(relayed, |mut relayed| async move {
+    let data = relayed.next().await?;
+    Some((data, relayed))
   });
-  let mut response = Response::new(HttpBody::from_stream(pieces));
+  let mut response = Response::new(HttpBody::from_stream(body));
   *response.status_mut() = status;
   *response.headers_mut() = headers;
   response
 }
 
-/// The service's answer broke off.
+/// The service's response was truncated.
 #[derive(Debug, thiserror::Error)]
-#[error("the service's answer broke off")]
-struct BrokeOff;
+#[error("the service's response was truncated")]
+struct TruncatedResponse;
 
-impl Passing {
-  async fn next(&mut self) -> Option<Result<Bytes, BrokeOff>> {
-    if self.ended {
+impl RelayedBody {
+  async fn next(&mut self) -> Option<Result<Bytes, TruncatedResponse>> {
+    if self.is_finished {
       return None;
     }
     loop {
-      match self.ticket.next().await {
+      match self.pending.next().await {
         Next::Chunk(Chunk::Body(bytes)) => return Some(Ok(bytes)),
         Next::Chunk(_) => {}
-        Next::Ended(ending) => {
-          self.ended = true;
-          return (ending != Ending::Answered).then_some(Err(BrokeOff));
+        Next::Finished(outcome) => {
+          self.is_finished = true;
+          return (outcome != Ending::Answered).then_some(Err(TruncatedResponse));
         }
       }
     }
--- a/src/ingress/router.rs
+++ b/src/ingress/router.rs
@@ -1,8 +1,9 @@
-//! The callers' routes.
+//! HTTP routes for callers.
 
 use {
   super::{
-    Desk, caller_headers::read_headers, completions, desk::Phase, outcome::mistake, services,
+    IngressState, caller_headers::parse_headers, completions, outcome::invalid_request, services,
+    state::Phase,
   },
   crate::ids::Name,
   axum::{
@@ -16,24 +17,23 @@
   std::sync::Arc,
 };
 
-/// The routes for callers.
-pub(super) fn router(desk: Arc<Desk>) -> Router {
-  let limit = DefaultBodyLimit::max(desk.limits.body_bytes);
+pub(super) fn router(state: Arc<IngressState>) -> Router {
+  let body_limit = DefaultBodyLimit::max(state.limits.body_bytes);
   Router::new()
     .route("/health", get(health))
     .route("/v1/models", get(models))
     .route("/v1/chat/completions", post(completions::chat))
-    .route("/v1/completions", post(completions::plain))
+    .route("/v1/completions", post(completions::text))
     .route("/services/{service}", any(services::root))
     .route("/services/{service}/", any(services::root))
-    .route("/services/{service}/{*path}", any(services::below))
-    .fallback(|| async { mistake(StatusCode::NOT_FOUND, "no_such_path", "no such path") })
-    .layer(limit)
-    .with_state(desk)
+    .route("/services/{service}/{*path}", any(services::path))
+    .fallback(|| async { invalid_request(StatusCode::NOT_FOUND, "no_such_path", "no such path") })
+    .layer(body_limit)
+    .with_state(state)
 }
 
-async fn health(State(desk): State<Arc<Desk>>) -> Response {
-  match desk.phase.get() {
+async fn health(State(state): State<Arc<IngressState>>) -> Response {
+  match state.phase.get() {
     Phase::Ready => (StatusCode::OK, "ready\n").into_response(),
     Phase::Unready => (StatusCode::SERVICE_UNAVAILABLE, "no configuration\n").into_response(),
     Phase::Leaving | Phase::Closed => {
@@ -55,11 +55,11 @@
   data: Vec<Model>,
 }
 
-async fn models(State(desk): State<Arc<Desk>>, headers: HeaderMap) -> Response {
-  if let Err(refusal) = read_headers(&desk, &headers) {
-    return *refusal;
+async fn models(State(state): State<Arc<IngressState>>, headers: HeaderMap) -> Response {
+  if let Err(rejection) = parse_headers(&state, &headers) {
+    return *rejection;
   }
-  let data = desk
+  let data = state
     .models
     .iter()
     .map(|id| Model {
--- a/src/ingress/services.rs
+++ b/src/ingress/services.rs
@@ -1,11 +1,14 @@
-//! The handlers for plain services.
+//! Handlers for plain services.
 
 use {
-  super::{Desk, answer, caller_headers::read_headers, completions::read_body, desk::Asked},
+  super::{
+    IngressState, caller_headers::parse_headers, completions::read_body, response,
+    state::RequestAttributes,
+  },
   crate::{
     chunk::Body,
     decide::{ServiceWork, Work},
-    egress::end_to_end,
+    egress::end_to_end_headers,
   },
   axum::{
     extract::{Path, Request, State},
@@ -18,22 +21,22 @@
 const PREFIX: &str = "/services/";
 
 pub(super) async fn root(
-  State(desk): State<Arc<Desk>>,
+  State(state): State<Arc<IngressState>>,
   Path(service): Path<String>,
   request: Request,
 ) -> Response {
-  handle(desk, &service, request).await
+  handle(state, &service, request).await
 }
 
-pub(super) async fn below(
-  State(desk): State<Arc<Desk>>,
+pub(super) async fn path(
+  State(state): State<Arc<IngressState>>,
   Path((service, _)): Path<(String, String)>,
   request: Request,
 ) -> Response {
-  handle(desk, &service, request).await
+  handle(state, &service, request).await
 }
 
-/// The path below the service, as the caller wrote it, with its query.
+/// The path after the service name with the query, not decoded.
 fn inner_path(request: &Request) -> String {
   let whole = request
     .uri()
@@ -41,11 +44,11 @@
     .map_or("/", http::uri::PathAndQuery::as_str);
   let rest = whole.strip_prefix(PREFIX).unwrap_or_default();
   let start = rest.find(['/', '?']).unwrap_or(rest.len());
-  let below = &rest[start..];
-  if below.starts_with('/') {
-    below.into()
+  let path = &rest[start..];
+  if path.starts_with('/') {
+    path.into()
   } else {
-    format!("/{below}")
+    format!("/{path}")
   }
 }
 
@@ -60,21 +63,21 @@
   .contains(method)
 }
 
-async fn handle(desk: Arc<Desk>, service: &str, request: Request) -> Response {
-  let caller = match read_headers(&desk, request.headers()) {
+async fn handle(state: Arc<IngressState>, service: &str, request: Request) -> Response {
+  let caller = match parse_headers(&state, request.headers()) {
     Ok(headers) => headers,
-    Err(refusal) => return *refusal,
+    Err(rejection) => return *rejection,
   };
   let method = request.method().clone();
   let path = inner_path(&request);
-  // The bearer key is between the caller and rillford.
-  let mut headers = end_to_end(request.headers());
+  // The bearer key authenticates the caller to this box only.
+  let mut headers = end_to_end_headers(request.headers());
   headers.remove(header::AUTHORIZATION);
-  let body = match read_body(&desk, request).await {
+  let body = match read_body(&state, request).await {
     Ok(bytes) => bytes,
-    Err(refusal) => return *refusal,
+    Err(rejection) => return *rejection,
   };
-  let asked = Asked {
+  let attributes = RequestAttributes {
     deadline_ms: caller.deadline_ms,
     idempotency_key: caller.idempotency_key,
     not_repeatable: caller.not_repeatable,
@@ -91,8 +94,8 @@
     method,
     path: path.into(),
   };
-  match desk.admit(asked, body) {
-    Ok(ticket) => answer::passed(ticket).await,
-    Err(refusal) => *refusal,
+  match state.admit(attributes, body) {
+    Ok(pending) => response::relayed(pending).await,
+    Err(rejection) => *rejection,
   }
 }
--- a/src/ingress/state.rs
+++ b/src/ingress/state.rs
@@ -1,4 +1,4 @@
-//! What the handlers of ingress share: requests are numbered, handed on, and wait for their endings.
+//! State shared by the ingress handlers: numbers requests, admits them, and tracks those without an outcome.
 
 use {
   super::{caller_guard::CallerGuard, outcome::outcome_response},
@@ -26,24 +26,23 @@
   },
 };
 
-/// Room in the ring that arrivals leave free for each request's one possible farewell.
 const BUSY_RETRY_MS: u64 = 500;
 const STOPPING_RETRY_MS: u64 = 100;
 
-/// How far the box is in its life.
+/// The lifecycle of a box; it only advances.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Phase {
-  /// Has no configuration yet.
+  /// No configuration is in force yet; requests are rejected.
   Unready,
-  /// Takes requests.
+  /// Accepts requests.
   Ready,
-  /// Fails its health check but goes on accepting, until the balancer has noticed.
+  /// The health check fails but requests are still accepted, until the load balancer has noticed.
   Leaving,
-  /// Takes no more requests.
+  /// Rejects all requests.
   Closed,
 }
 
-/// The phase, shared between duties.
+/// The phase, shared between workers.
 #[derive(Debug, Default)]
 pub(crate) struct SharedPhase(AtomicU8);
 
@@ -57,7 +56,7 @@
     }
   }
 
-  /// Moves on; a phase is never gone back to.
+  /// Advances to a phase; an earlier phase than the current one is ignored.
   pub(crate) fn advance(&self, phase: Phase) {
     let number = match phase {
       Phase::Unready => 0,
@@ -69,27 +68,28 @@
   }
 }
 
-/// What the handlers share.
-pub(crate) struct Desk {
+/// State shared by the handlers.
+pub(crate) struct IngressState {
   pub(crate) keys: Arc<ArcSwap<KeyTable>>,
   pub(crate) limits: Limits,
   pub(crate) models: Vec<Name>,
   pub(crate) phase: Arc<SharedPhase>,
   pub(crate) to_decide: Sender<Event>,
   pub(crate) to_egress: Sender<EgressInput>,
-  pub(crate) next: AtomicU64,
-  pub(crate) waiting: Mutex<HashMap<RequestId, oneshot::Sender<Ending>>>,
+  pub(crate) next_request: AtomicU64,
+  /// Requests without an outcome yet.
+  pub(crate) pending: Mutex<HashMap<RequestId, oneshot::Sender<Ending>>>,
 }
 
-/// A request on its way, as a handler holds it.
-pub(super) struct Ticket {
+/// An admitted request whose response is pending, as its handler holds it.
+pub(super) struct PendingResponse {
   pub(super) guard: CallerGuard,
   pub(super) chunks: mpsc::Receiver<Chunk>,
-  pub(super) ending: oneshot::Receiver<Ending>,
+  pub(super) outcome: oneshot::Receiver<Ending>,
 }
 
-/// What a handler knows of a request besides its body.
-pub(super) struct Asked {
+/// The attributes of a request, without its body.
+pub(super) struct RequestAttributes {
   pub(super) organisation: Name,
   pub(super) work: Work,
   pub(super) task: Name,
@@ -98,23 +98,27 @@
   pub(super) deadline_ms: Option<u64>,
 }
 
-impl Desk {
-  /// Hands a request on; a full ring is an immediate refusal.
-  pub(super) fn admit(self: &Arc<Self>, asked: Asked, body: Body) -> Result<Ticket, Box<Response>> {
+impl IngressState {
+  /// Hands a request to egress and `decide`. If a queue is full, it fails at once with the response to send.
+  pub(super) fn admit(
+    self: &Arc<Self>,
+    attributes: RequestAttributes,
+    body: Body,
+  ) -> Result<PendingResponse, Box<Response>> {
     match self.phase.get() {
-      Phase::Unready => return Err(refused(Refusal::NotReady, BUSY_RETRY_MS)),
-      Phase::Closed => return Err(refused(Refusal::Stopping, STOPPING_RETRY_MS)),
+      Phase::Unready => return Err(rejection(Refusal::NotReady, BUSY_RETRY_MS)),
+      Phase::Closed => return Err(rejection(Refusal::Stopping, STOPPING_RETRY_MS)),
       Phase::Ready | Phase::Leaving => {}
     }
-    let request = RequestId(self.next.fetch_add(1, Ordering::Relaxed));
+    let request = RequestId(self.next_request.fetch_add(1, Ordering::Relaxed));
     let (chunk_sender, chunks) = mpsc::channel(CHUNKS_IN_FLIGHT);
-    let (ending_sender, ending) = oneshot::channel();
+    let (outcome_sender, outcome) = oneshot::channel();
     {
-      let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-      if waiting.len() >= self.limits.requests {
-        return Err(refused(Refusal::Busy, BUSY_RETRY_MS));
+      let mut pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
+      if pending.len() >= self.limits.requests {
+        return Err(rejection(Refusal::Busy, BUSY_RETRY_MS));
       }
-      waiting.insert(request, ending_sender);
+      pending.insert(request, outcome_sender);
     }
     let payload = Payload {
       arrived: Instant::now(),
@@ -123,55 +127,57 @@
       request,
     };
     if self.to_egress.push(EgressInput::Payload(payload)).is_err() {
-      self.forget(request);
-      return Err(refused(Refusal::Busy, BUSY_RETRY_MS));
+      self.remove_pending(request);
+      return Err(rejection(Refusal::Busy, BUSY_RETRY_MS));
     }
     let arrival = Arrival {
-      deadline_ms: asked.deadline_ms,
-      idempotency_key: asked.idempotency_key,
-      not_repeatable: asked.not_repeatable,
-      organisation: asked.organisation,
+      deadline_ms: attributes.deadline_ms,
+      idempotency_key: attributes.idempotency_key,
+      not_repeatable: attributes.not_repeatable,
+      organisation: attributes.organisation,
       request,
-      task: asked.task,
-      work: asked.work,
+      task: attributes.task,
+      work: attributes.work,
     };
-    let spare = self.limits.requests;
+    // Keeps a ring slot free for the disconnect event of each request.
+    let reserved = self.limits.requests;
     if self
       .to_decide
-      .push_leaving(spare, Event::Arrived(arrival))
+      .push_leaving(reserved, Event::Arrived(arrival))
       .is_err()
     {
-      self.forget(request);
-      return Err(refused(Refusal::Busy, BUSY_RETRY_MS));
+      self.remove_pending(request);
+      return Err(rejection(Refusal::Busy, BUSY_RETRY_MS));
     }
-    Ok(Ticket {
+    Ok(PendingResponse {
       chunks,
-      ending,
       guard: CallerGuard::new(self.clone(), request),
+      outcome,
     })
   }
 
-  pub(super) fn forget(&self, request: RequestId) {
+  pub(super) fn remove_pending(&self, request: RequestId) {
     self
-      .waiting
+      .pending
       .lock()
       .unwrap_or_else(PoisonError::into_inner)
       .remove(&request);
   }
 
-  pub(super) fn end(&self, request: RequestId, ending: Ending) {
+  /// Passes the outcome of a request to its handler, if the caller is still connected.
+  pub(super) fn finish_pending(&self, request: RequestId, outcome: Ending) {
     let waiting = self
-      .waiting
+      .pending
       .lock()
       .unwrap_or_else(PoisonError::into_inner)
       .remove(&request);
     if let Some(sender) = waiting {
-      let _ = sender.send(ending);
+      let _ = sender.send(outcome);
     }
   }
 }
 
-fn refused(reason: Refusal, retry_after_ms: u64) -> Box<Response> {
+fn rejection(reason: Refusal, retry_after_ms: u64) -> Box<Response> {
   Box::new(outcome_response(Ending::NotRun {
     reason,
     retry_after_ms,
--- a/src/ingress/worker.rs
+++ b/src/ingress/worker.rs
@@ -1,7 +1,7 @@
-//! The ingress duty: serves callers and pairs endings with them.
+//! The ingress worker: serves callers and passes outcomes from `decide` to their handlers.
 
 use {
-  super::{desk::Desk, router::router},
+  super::{router::router, state::IngressState},
   crate::{
     decide::Ending,
     ids::RequestId,
@@ -12,25 +12,25 @@
   tokio::sync::Notify,
 };
 
-/// What the ingress duty starts with.
+/// Configuration and channels of the ingress worker.
 pub(crate) struct IngressSetup {
-  pub(crate) desk: Arc<Desk>,
+  pub(crate) state: Arc<IngressState>,
   pub(crate) listener: std::net::TcpListener,
-  pub(crate) endings: Receiver<(RequestId, Ending)>,
+  pub(crate) outcomes: Receiver<(RequestId, Ending)>,
   pub(crate) notify: Arc<Notify>,
 }
 
-/// Runs the ingress duty until the process ends.
+/// Runs the ingress worker until the process exits.
 pub(crate) async fn run(setup: IngressSetup) {
   let bounds = ListenerBounds {
-    connections: setup.desk.limits.connections,
-    header_timeout: Duration::from_millis(setup.desk.limits.header_ms),
+    connections: setup.state.limits.connections,
+    header_timeout: Duration::from_millis(setup.state.limits.header_ms),
   };
-  let router = router(setup.desk.clone());
+  let router = router(setup.state.clone());
   tokio::spawn(serve(setup.listener, router, bounds));
-  let mut endings = setup.endings;
+  let mut outcomes = setup.outcomes;
   loop {
-    let (request, ending) = endings.next(&setup.notify).await;
-    setup.desk.end(request, ending);
+    let (request, outcome) = outcomes.next(&setup.notify).await;
+    setup.state.finish_pending(request, outcome);
   }
 }
