--- a/src/error.rs
+++ b/src/error.rs
@@ -1,82 +1,82 @@
-//! The crate's error: each carries the step and the peer at which it arose.
+//! The crate's error type.
 
 use {
   crate::settings::SettingsError,
   std::{io, path::PathBuf},
 };
 
-/// The crate's result.
+/// A result with the crate's error.
 pub type Result<T = (), E = Error> = std::result::Result<T, E>;
 
-/// What can go wrong outside of a single request.
+/// A failure outside of a single request.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-  /// A file can't be read.
+  /// A file could not be read.
   #[error("reading {}: {source}", path.display())]
   Read {
     /// The file.
     path: PathBuf,
-    /// Why.
+    /// The cause.
     source: io::Error,
   },
-  /// Settings or policies are wrong; all that is wrong is listed.
-  #[error("{}", list(.0))]
+  /// Settings, policies or configuration documents are invalid; lists all errors.
+  #[error("{}", error_lines(.0))]
   Settings(Vec<SettingsError>),
-  /// An address can't be listened on.
-  #[error("listening for {step} on {peer}: {source}")]
+  /// A socket could not be bound or listened on.
+  #[error("listening for {purpose} on {address}: {source}")]
   Listen {
-    /// What for.
-    step: &'static str,
-    /// The address.
-    peer: String,
-    /// Why.
+    /// What the socket is for.
+    purpose: &'static str,
+    /// The local address.
+    address: String,
+    /// The cause.
     source: io::Error,
   },
-  /// A thread can't be started.
-  #[error("starting the {step} thread: {source}")]
+  /// A thread or its runtime could not be started.
+  #[error("starting the {name} thread: {source}")]
   Thread {
-    /// The duty.
-    step: &'static str,
-    /// Why.
+    /// The thread's name.
+    name: &'static str,
+    /// The cause.
     source: io::Error,
   },
   /// A certificate or key is unusable.
-  #[error("loading {step} from {}: {message}", path.display())]
+  #[error("loading {item} from {}: {message}", path.display())]
   Tls {
-    /// What was loaded.
-    step: &'static str,
+    /// What was to be loaded.
+    item: &'static str,
     /// The file.
     path: PathBuf,
-    /// Why.
+    /// The cause.
     message: String,
   },
-  /// The log can't be set up.
+  /// The logger could not be set up.
   #[error("opening the log: {0}")]
   Log(String),
   /// The metrics address is unusable.
-  #[error("opening metrics to {peer}: {message}")]
+  #[error("opening metrics to {address}: {message}")]
   Metrics {
-    /// The address.
-    peer: String,
-    /// Why.
+    /// The statsd address.
+    address: String,
+    /// The cause.
     message: String,
   },
-  /// A call over HTTP failed.
-  #[error("{step} at {peer}: {message}")]
+  /// A call from the command line to a box failed.
+  #[error("{operation} at {server}: {message}")]
   Call {
-    /// What was asked.
-    step: &'static str,
-    /// Whom.
-    peer: String,
-    /// Why it failed.
+    /// The operation.
+    operation: &'static str,
+    /// The URL of the box.
+    server: String,
+    /// The cause.
     message: String,
   },
-  /// A user's request makes no sense.
+  /// The command line is invalid.
   #[error("{0}")]
   Usage(String),
 }
 
-fn list(errors: &[SettingsError]) -> String {
+fn error_lines(errors: &[SettingsError]) -> String {
   errors
     .iter()
     .map(ToString::to_string)
@@ -85,7 +85,7 @@
 }
 
 impl Error {
-  /// The exit code that scripts can go by.
+  /// The exit code of the process.
   pub(crate) fn exit_code(&self) -> u8 {
     match self {
       Self::Usage(_) => 2,
--- a/src/gateway/membership/relay.rs
+++ b/src/gateway/membership/relay.rs
@@ -49,7 +49,9 @@
   let request = Request::get(format!("http://{address}/changes/{revision}"))
     .body(Full::new(Bytes::new()))
     .map_err(|error| CallError::NotSent(error.to_string()))?;
-  let body = http.fetch_bytes(request, FOLLOW_WAIT + FOLLOW_MARGIN).await?;
+  let body = http
+    .fetch_bytes(request, FOLLOW_WAIT + FOLLOW_MARGIN)
+    .await?;
   postcard::from_bytes(&body).map_err(|error| CallError::InvalidResponse(error.to_string()))
 }
 
--- a/src/gateway/process/start.rs
+++ b/src/gateway/process/start.rs
@@ -56,7 +56,7 @@
     .enable_all()
     .build()
     .map_err(|source| Error::Thread {
-      step: "gateway",
+      name: "gateway",
       source,
     })?;
   LocalSet::new().block_on(&runtime, async move {
@@ -195,21 +195,21 @@
   }
 }
 
-fn listen(step: &'static str, address: SocketAddr) -> Result<TcpListener> {
-  TcpListener::from_std(bind(step, address)?).map_err(|source| Error::Listen {
-    peer: address.to_string(),
+fn listen(purpose: &'static str, address: SocketAddr) -> Result<TcpListener> {
+  TcpListener::from_std(bind(purpose, address)?).map_err(|source| Error::Listen {
+    address: address.to_string(),
+    purpose,
     source,
-    step,
   })
 }
 
-fn on_signal(step: &'static str, kind: SignalKind) -> Result<Signal> {
-  signal(kind).map_err(|source| Error::Thread { step, source })
+fn on_signal(name: &'static str, kind: SignalKind) -> Result<Signal> {
+  signal(kind).map_err(|source| Error::Thread { name, source })
 }
 
 fn set_up_log() -> Result {
   let writer = LogWriter::start().map_err(|source| Error::Thread {
-    step: "log",
+    name: "log",
     source,
   })?;
   Dispatch::new()
--- a/src/listener.rs
+++ b/src/listener.rs
@@ -26,11 +26,11 @@
 }
 
 /// Binds an address; done before the process says that it has started.
-pub(crate) fn bind(step: &'static str, address: SocketAddr) -> Result<std::net::TcpListener> {
+pub(crate) fn bind(purpose: &'static str, address: SocketAddr) -> Result<std::net::TcpListener> {
   let error = |source| Error::Listen {
-    peer: address.to_string(),
+    address: address.to_string(),
+    purpose,
     source,
-    step,
   };
   let socket = Socket::new(Domain::for_address(address), Type::STREAM, None).map_err(error)?;
   // A box is replaced on the same address at once.
--- a/src/observe/metrics.rs
+++ b/src/observe/metrics.rs
@@ -24,8 +24,8 @@
       return Ok(Self(StatsdClient::from_sink(PREFIX, NopMetricSink)));
     };
     let error = |message: String| Error::Metrics {
+      address: address.to_string(),
       message,
-      peer: address.to_string(),
     };
     let local = if address.is_ipv4() {
       "0.0.0.0:0"
--- a/src/peers/frame.rs
+++ b/src/peers/frame.rs
@@ -1,45 +1,45 @@
-//! Versioned frames with a bound on their size, coded by `postcard`.
+//! Versioned frames of bounded size, encoded with `postcard`.
 
 use {
   crate::{decide::PeerMessage, ids::Name, observe::Stamp},
   serde::{Deserialize, Serialize},
 };
 
-/// Frames of another version are refused.
+/// Frames of any other version are rejected.
 pub const PROTOCOL_VERSION: u8 = 1;
 
-/// Larger frames are refused; a configuration document may be up to a megabyte.
+/// The largest frame that is sent or accepted; a configuration document may take up to a megabyte.
 pub const MAX_FRAME_BYTES: usize = 2 * 1024 * 1024;
 
-/// One message on its way between boxes.
+/// One message between two boxes.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Frame {
-  /// The sender.
+  /// The name of the sending box.
   pub from: Name,
-  /// The sender's clock.
+  /// The sender's hybrid clock when it sent the frame.
   pub stamp: Stamp,
-  /// The message.
+  /// The payload.
   pub message: PeerMessage,
 }
 
-/// Why a frame was refused.
+/// Why a frame was rejected.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum FrameError {
-  /// There is nothing in it.
+  /// It has no bytes.
   #[error("frame is empty")]
   Empty,
-  /// It is of another version.
-  #[error("frame has version {0}, this box speaks {PROTOCOL_VERSION}")]
+  /// It has an unsupported version.
+  #[error("frame has version {0}, this box supports {PROTOCOL_VERSION}")]
   Version(u8),
   /// It is too large.
   #[error("frame of {0} bytes is larger than {MAX_FRAME_BYTES}")]
   TooLarge(usize),
-  /// It can't be read.
-  #[error("frame can't be read: {0}")]
+  /// It could not be encoded or decoded.
+  #[error("malformed frame: {0}")]
   Malformed(String),
 }
 
-/// Codes a frame, its version first.
+/// Encodes a frame, starting with the protocol version.
 ///
 /// ```
 /// use rillford::{decide::PeerMessage, observe::Stamp, peers::{decode, encode, Frame}};
@@ -57,7 +57,7 @@
   Ok(bytes)
 }
 
-/// Reads a frame; trailing bytes make it malformed.
+/// Decodes a frame. Fails on trailing bytes.
 pub fn decode(bytes: &[u8]) -> Result<Frame, FrameError> {
   if bytes.len() > MAX_FRAME_BYTES {
     return Err(FrameError::TooLarge(bytes.len()));
@@ -70,7 +70,7 @@
     .map_err(|error| FrameError::Malformed(error.to_string()))?;
   if !rest.is_empty() {
     return Err(FrameError::Malformed(format!(
-      "{} bytes behind it",
+      "{} trailing bytes",
       rest.len()
     )));
   }
--- a/src/peers/link.rs
+++ b/src/peers/link.rs
@@ -1,8 +1,8 @@
-//! One direction of a link: frames over a unidirectional QUIC stream, made anew when it breaks.
+//! One direction of a link: frames over a unidirectional QUIC stream, reconnected when it breaks.
 
 use {
   super::frame::{Frame, MAX_FRAME_BYTES, decode, encode},
-  super::keys::SharedClient,
+  super::tls::SharedClientConfig,
   bytes::Bytes,
   futures_util::{SinkExt, StreamExt},
   quinn::{Connection, Endpoint, RecvStream, SendStream},
@@ -12,8 +12,8 @@
 };
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-const LEAST_BACKOFF: Duration = Duration::from_millis(50);
-const MOST_BACKOFF: Duration = Duration::from_secs(2);
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 fn codec() -> LengthDelimitedCodec {
   LengthDelimitedCodec::builder()
@@ -21,26 +21,26 @@
     .new_codec()
 }
 
-/// Whom a link goes to.
+/// The peer at the other end of a link.
 #[derive(Clone, Debug)]
 pub(super) struct Target {
   pub(super) name: String,
   pub(super) address: SocketAddr,
 }
 
-/// Sends frames to a peer until the desk drops the sender. Frames are soft: those that wait while
-/// the link is down are dropped, since what they say is outdated by the next.
+/// Sends frames to a peer until the channel is closed. Delivery is best effort: frames that are queued while the
+/// link is down are dropped, because later frames supersede them.
 pub(super) async fn send_frames(
   endpoint: Endpoint,
-  client: SharedClient,
+  client: SharedClientConfig,
   target: Target,
   mut frames: mpsc::Receiver<Frame>,
 ) {
-  let mut backoff = LEAST_BACKOFF;
+  let mut backoff = MIN_BACKOFF;
   loop {
     match connect(&endpoint, &client, &target).await {
       Ok((connection, stream)) => {
-        backoff = LEAST_BACKOFF;
+        backoff = MIN_BACKOFF;
         if !write_frames(stream, &mut frames).await {
           return;
         }
@@ -52,26 +52,26 @@
         if waited.is_ok() {
           return;
         }
-        backoff = (backoff * 2).min(MOST_BACKOFF);
+        backoff = (backoff * 2).min(MAX_BACKOFF);
       }
     }
   }
 }
 
-/// Why a link could not be made.
+/// Why a link could not be established.
 #[derive(Debug, thiserror::Error)]
 enum LinkError {
   #[error("connecting: {0}")]
   Connect(#[from] quinn::ConnectError),
   #[error("connection: {0}")]
   Connection(#[from] quinn::ConnectionError),
-  #[error("no answer in time")]
+  #[error("connecting timed out")]
   TimedOut,
 }
 
 async fn connect(
   endpoint: &Endpoint,
-  client: &SharedClient,
+  client: &SharedClientConfig,
   target: &Target,
 ) -> Result<(Connection, SendStream), LinkError> {
   let config = client.load().as_ref().clone();
@@ -83,12 +83,12 @@
   Ok((connection, stream))
 }
 
-/// Drops frames until the desk drops the sender.
+/// Drops frames until the channel is closed.
 async fn drop_frames(frames: &mut mpsc::Receiver<Frame>) {
   while frames.recv().await.is_some() {}
 }
 
-/// Writes frames until the link breaks; false when the desk dropped the sender.
+/// Writes frames until the link breaks; returns false when the channel was closed.
 async fn write_frames(stream: SendStream, frames: &mut mpsc::Receiver<Frame>) -> bool {
   let mut sink = FramedWrite::new(stream, codec());
   while let Some(frame) = frames.recv().await {
@@ -106,21 +106,21 @@
   false
 }
 
-/// The frames of one incoming stream.
-pub(super) struct FrameSource(FramedRead<RecvStream, LengthDelimitedCodec>);
+/// Reads the frames of one incoming stream.
+pub(super) struct FrameReader(FramedRead<RecvStream, LengthDelimitedCodec>);
 
-impl FrameSource {
+impl FrameReader {
   pub(super) fn new(stream: RecvStream) -> Self {
     Self(FramedRead::new(stream, codec()))
   }
 
-  /// The next frame; none when the stream has ended or was refused.
+  /// The next frame; `None` when the stream has ended or sent an invalid frame.
   pub(super) async fn next(&mut self) -> Option<Frame> {
     let bytes = self.0.next().await?.ok()?;
     match decode(&bytes) {
       Ok(frame) => Some(frame),
       Err(error) => {
-        log::warn!("frame refused: {error}");
+        log::warn!("frame rejected: {error}");
         None
       }
     }
--- a/src/peers/tls.rs
+++ b/src/peers/tls.rs
@@ -1,4 +1,4 @@
-//! The box's certificate and the operators' authority, read from files and read again when they change.
+//! QUIC and TLS configuration from the box's certificate and key and the operators' certificate authority.
 
 use {
   crate::{Error, Result, settings::PeerKeys},
@@ -17,62 +17,62 @@
   },
 };
 
-const IDLE_MS: u32 = 5_000;
-const KEEP_ALIVE: Duration = Duration::from_secs(1);
-const MOST_STREAMS: u32 = 4;
+const IDLE_TIMEOUT_MS: u32 = 5_000;
+const KEEP_ALIVE_PERIOD: Duration = Duration::from_secs(1);
+const MAX_STREAMS: u32 = 4;
 
-/// What both directions of a link are configured with.
+/// The configurations for outgoing and incoming links.
 pub(super) struct LinkConfigs {
   pub(super) client: ClientConfig,
   pub(super) server: ServerConfig,
 }
 
-/// The configuration for outgoing links, changed when keys are reloaded.
-pub(super) type SharedClient = Arc<ArcSwap<ClientConfig>>;
+/// The configuration for outgoing links; replaced when the key files change.
+pub(super) type SharedClientConfig = Arc<ArcSwap<ClientConfig>>;
 
-/// When the files were last changed.
+/// Modification times of the key files; `None` for a file that could not be read.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(super) struct KeyTimes([Option<SystemTime>; 3]);
+pub(super) struct KeyFileTimes([Option<SystemTime>; 3]);
 
-impl KeyTimes {
+impl KeyFileTimes {
   pub(super) fn read(keys: &PeerKeys) -> Self {
-    let changed = |path: &PathBuf| fs::metadata(path).and_then(|data| data.modified()).ok();
+    let modified = |path: &PathBuf| fs::metadata(path).and_then(|data| data.modified()).ok();
     Self([
-      changed(&keys.authority),
-      changed(&keys.certificate),
-      changed(&keys.key),
+      modified(&keys.authority),
+      modified(&keys.certificate),
+      modified(&keys.key),
     ])
   }
 }
 
-fn tls_error(step: &'static str, path: &Path, error: impl ToString) -> Error {
+fn tls_error(item: &'static str, path: &Path, error: impl ToString) -> Error {
   Error::Tls {
+    item,
     message: error.to_string(),
     path: path.into(),
-    step,
   }
 }
 
-fn certificates(step: &'static str, path: &Path) -> Result<Vec<CertificateDer<'static>>> {
-  let error = |error| tls_error(step, path, error);
+fn load_certificates(item: &'static str, path: &Path) -> Result<Vec<CertificateDer<'static>>> {
+  let error = |error| tls_error(item, path, error);
   let certificates = CertificateDer::pem_file_iter(path)
     .map_err(error)?
     .collect::<Result<Vec<_>, _>>()
     .map_err(error)?;
   if certificates.is_empty() {
-    return Err(tls_error(step, path, "no certificate in the file"));
+    return Err(tls_error(item, path, "the file contains no certificate"));
   }
   Ok(certificates)
 }
 
-/// Reads the files and makes both configurations; each side must prove itself to the other.
-pub(super) fn load(keys: &PeerKeys) -> Result<LinkConfigs> {
-  let chain = certificates("the certificate", &keys.certificate)?;
+/// Loads the files. Both sides of a link must present a certificate of the authority.
+pub(super) fn load_configs(keys: &PeerKeys) -> Result<LinkConfigs> {
+  let chain = load_certificates("the certificate", &keys.certificate)?;
   let key = || {
     PrivateKeyDer::from_pem_file(&keys.key).map_err(|error| tls_error("the key", &keys.key, error))
   };
   let mut roots = RootCertStore::empty();
-  for certificate in certificates("the authority", &keys.authority)? {
+  for certificate in load_certificates("the authority", &keys.authority)? {
     roots
       .add(certificate)
       .map_err(|error| tls_error("the authority", &keys.authority, error))?;
@@ -108,9 +108,11 @@
 
 fn transport() -> TransportConfig {
   let mut transport = TransportConfig::default();
-  transport.max_concurrent_uni_streams(MOST_STREAMS.into());
+  transport.max_concurrent_uni_streams(MAX_STREAMS.into());
   transport.max_concurrent_bidi_streams(0_u32.into());
-  transport.max_idle_timeout(Some(IdleTimeout::from(quinn::VarInt::from_u32(IDLE_MS))));
-  transport.keep_alive_interval(Some(KEEP_ALIVE));
+  transport.max_idle_timeout(Some(IdleTimeout::from(quinn::VarInt::from_u32(
+    IDLE_TIMEOUT_MS,
+  ))));
+  transport.keep_alive_interval(Some(KEEP_ALIVE_PERIOD));
   transport
 }
--- a/src/peers/worker.rs
+++ b/src/peers/worker.rs
@@ -1,10 +1,10 @@
-//! The peers duty: a link to each peer that `decide` talks to, and all links that peers make.
+//! The peers worker: sends messages from `decide` over a link to each peer and accepts links from peers.
 
 use {
   super::{
     frame::Frame,
-    keys::{KeyTimes, LinkConfigs, SharedClient, load},
-    link::{FrameSource, Target, send_frames},
+    link::{FrameReader, Target, send_frames},
+    tls::{KeyFileTimes, LinkConfigs, SharedClientConfig, load_configs},
   },
   crate::{
     decide::{BoxEntry, Document, Event, PeerMessage},
@@ -22,16 +22,16 @@
 const FRAMES_IN_FLIGHT: usize = 256;
 const KEY_CHECK_PERIOD: Duration = Duration::from_secs(5);
 
-/// What the peers duty is told.
+/// An input to the peers worker.
 #[derive(Debug)]
 pub(crate) enum PeersInput {
-  /// Send a message.
+  /// A message to send to a peer.
   Send(Name, PeerMessage),
   /// The platform's box list.
   Boxes(Vec<BoxEntry>),
 }
 
-/// What the peers duty starts with.
+/// Configuration and channels of the peers worker.
 pub(crate) struct PeersSetup {
   pub(crate) name: Name,
   pub(crate) socket: std::net::UdpSocket,
@@ -48,30 +48,30 @@
   frames: mpsc::Sender<Frame>,
 }
 
-struct Desk {
+struct Worker {
   name: Name,
   endpoint: Endpoint,
-  client: SharedClient,
+  client: SharedClientConfig,
   observer: Observer,
   addresses: HashMap<Name, SocketAddr>,
   links: HashMap<Name, Link>,
 }
 
-/// Checks that the keys can be used; done before the process says that it has started.
+/// Checks at startup that the certificate and key files are usable.
 pub(crate) fn check_keys(keys: &PeerKeys) -> crate::Result {
-  load(keys).map(|_| ())
+  load_configs(keys).map(|_| ())
 }
 
-/// Runs the peers duty until the process ends.
+/// Runs the peers worker until the process exits.
 pub(crate) async fn run(setup: PeersSetup) {
-  let (endpoint, client) = match open(&setup) {
+  let (endpoint, client) = match open_endpoint(&setup) {
     Ok(opened) => opened,
     Err(error) => {
-      log::error!("peers: {error}");
+      log::error!("peers worker not started: {error}");
       return;
     }
   };
-  tokio::spawn(accept(
+  tokio::spawn(accept_links(
     endpoint.clone(),
     setup.observer.clone(),
     setup.to_decide.clone(),
@@ -82,7 +82,7 @@
     client.clone(),
     setup.keys.clone(),
   ));
-  let mut desk = Desk {
+  let mut worker = Worker {
     addresses: HashMap::new(),
     client,
     endpoint,
@@ -96,7 +96,7 @@
     for input in &mut inputs {
       while let Some(input) = input.pop() {
         idle = false;
-        desk.take(input);
+        worker.handle_input(input);
       }
     }
     if idle {
@@ -105,12 +105,12 @@
   }
 }
 
-fn open(setup: &PeersSetup) -> crate::Result<(Endpoint, SharedClient)> {
-  let LinkConfigs { client, server } = load(&setup.keys)?;
+fn open_endpoint(setup: &PeersSetup) -> crate::Result<(Endpoint, SharedClientConfig)> {
+  let LinkConfigs { client, server } = load_configs(&setup.keys)?;
   let listen_error = |source| crate::Error::Listen {
-    peer: setup.name.to_string(),
+    address: setup.name.to_string(),
+    purpose: "peers",
     source,
-    step: "peers",
   };
   let socket = setup.socket.try_clone().map_err(listen_error)?;
   let runtime = Arc::new(TokioRuntime);
@@ -119,21 +119,21 @@
   Ok((endpoint, Arc::new(ArcSwap::from_pointee(client))))
 }
 
-impl Desk {
-  fn take(&mut self, input: PeersInput) {
+impl Worker {
+  fn handle_input(&mut self, input: PeersInput) {
     match input {
-      PeersInput::Boxes(entries) => self.list(&entries),
+      PeersInput::Boxes(entries) => self.update_addresses(&entries),
       PeersInput::Send(to, message) => self.send(to, message),
     }
   }
 
-  fn list(&mut self, entries: &[BoxEntry]) {
+  fn update_addresses(&mut self, entries: &[BoxEntry]) {
     for entry in entries {
       match entry.peer_address.parse() {
         Ok(address) => {
           self.addresses.insert(entry.name.clone(), address);
         }
-        Err(error) => log::warn!("box list: {}: {error}", entry.name),
+        Err(error) => log::warn!("box list: invalid peer address of {}: {error}", entry.name),
       }
     }
     let addresses = &self.addresses;
@@ -162,19 +162,19 @@
       tokio::spawn(send_frames(endpoint, client, target, receiver));
       Link { address, frames }
     });
-    // A full link drops the frame: all that is said between boxes is soft.
+    // Delivery between boxes is best effort: a frame is dropped when the link's queue is full.
     let _ = link.frames.try_send(frame);
   }
 }
 
-async fn accept(
+async fn accept_links(
   endpoint: Endpoint,
   observer: Observer,
   to_decide: Sender<Event>,
   to_platform: Sender<Vec<Document>>,
 ) {
   while let Some(incoming) = endpoint.accept().await {
-    tokio::spawn(serve_peer(
+    tokio::spawn(serve_link(
       incoming,
       observer.clone(),
       to_decide.clone(),
@@ -183,7 +183,7 @@
   }
 }
 
-async fn serve_peer(
+async fn serve_link(
   incoming: Incoming,
   observer: Observer,
   to_decide: Sender<Event>,
@@ -193,12 +193,12 @@
   let connection: Connection = match incoming.await {
     Ok(connection) => connection,
     Err(error) => {
-      log::warn!("peer at {address} refused: {error}");
+      log::warn!("peer link from {address} refused: {error}");
       return;
     }
   };
   while let Ok(stream) = connection.accept_uni().await {
-    let mut frames = FrameSource::new(stream);
+    let mut frames = FrameReader::new(stream);
     while let Some(frame) = frames.next().await {
       observer.clock().update(frame.stamp);
       match frame.message {
@@ -209,23 +209,23 @@
   }
 }
 
-/// New keys are taken up without a restart; broken ones leave the old in force.
-async fn reload_keys(endpoint: Endpoint, shared: SharedClient, keys: PeerKeys) {
-  let mut known = KeyTimes::read(&keys);
+/// Reloads certificates and keys when their files change; keeps the old ones if the new ones are unusable.
+async fn reload_keys(endpoint: Endpoint, shared: SharedClientConfig, keys: PeerKeys) {
+  let mut known = KeyFileTimes::read(&keys);
   loop {
     tokio::time::sleep(KEY_CHECK_PERIOD).await;
-    let times = KeyTimes::read(&keys);
+    let times = KeyFileTimes::read(&keys);
     if times == known {
       continue;
     }
     known = times;
-    match load(&keys) {
+    match load_configs(&keys) {
       Ok(LinkConfigs { client, server }) => {
         endpoint.set_server_config(Some(server));
         shared.store(Arc::new(client));
         log::info!("peer keys reloaded");
       }
-      Err(error) => log::error!("peer keys not reloaded: {error}"),
+      Err(error) => log::error!("peer keys not reloaded, the previous ones stay in use: {error}"),
     }
   }
 }
--- a/src/subcommand/admin_client.rs
+++ b/src/subcommand/admin_client.rs
@@ -25,7 +25,7 @@
 
 /// A call to be made.
 pub(super) struct AdminCall<'a> {
-  pub(super) step: &'static str,
+  pub(super) operation: &'static str,
   pub(super) method: Method,
   pub(super) path: &'a str,
   pub(super) if_match: Option<u64>,
@@ -33,13 +33,13 @@
 }
 
 impl<'a> AdminCall<'a> {
-  pub(super) fn get(step: &'static str, path: &'a str) -> Self {
+  pub(super) fn get(operation: &'static str, path: &'a str) -> Self {
     Self {
       body: String::new(),
       if_match: None,
       method: Method::GET,
+      operation,
       path,
-      step,
     }
   }
 }
@@ -47,16 +47,19 @@
 impl AdminClient {
   /// Makes a call and reads its JSON answer.
   pub(super) fn call<T: DeserializeOwned>(&self, call: AdminCall) -> Result<T> {
-    let step = call.step;
+    let operation = call.operation;
     let failed = |message: String| Error::Call {
       message,
-      peer: self.server.clone(),
-      step,
+      operation,
+      server: self.server.clone(),
     };
     let runtime = tokio::runtime::Builder::new_current_thread()
       .enable_all()
       .build()
-      .map_err(|source| Error::Thread { step, source })?;
+      .map_err(|source| Error::Thread {
+        name: operation,
+        source,
+      })?;
     let request = self
       .request(call)
       .map_err(|error| failed(error.to_string()))?;
--- a/src/subcommand/config.rs
+++ b/src/subcommand/config.rs
@@ -71,8 +71,8 @@
           body,
           if_match: Some(if_match),
           method: Method::PUT,
+          operation: "writing configuration",
           path: &format!("/configuration/{document}"),
-          step: "writing configuration",
         };
         let body = admin_client.call::<ConfigurationBody>(call)?;
         println!("{} is at revision {}", body.key, body.revision);
--- a/src/subcommand/drain.rs
+++ b/src/subcommand/drain.rs
@@ -27,8 +27,8 @@
       body: String::new(),
       if_match: None,
       method: Method::POST,
+      operation: "draining",
       path: &format!("/endpoints/{}/{word}", self.endpoint),
-      step: "draining",
     };
     self.admin_client.call::<serde_json::Value>(call)?;
     if self.undo {
--- a/src/subcommand/limits.rs
+++ b/src/subcommand/limits.rs
@@ -8,7 +8,7 @@
   std::time::Duration,
 };
 
-const STEP: &str = "limits";
+const OPERATION: &str = "limits";
 const LIMIT: Duration = Duration::from_secs(10);
 /// What a line on an organisation begins with in a box's figures.
 const LINE_START: &str = "rillford_limit_left_units{organisation=\"";
@@ -46,13 +46,16 @@
   fn figures(&self) -> Result<String> {
     let failed = |message: String| Error::Call {
       message,
-      peer: self.metrics.clone(),
-      step: STEP,
+      operation: OPERATION,
+      server: self.metrics.clone(),
     };
     let runtime = tokio::runtime::Builder::new_current_thread()
       .enable_all()
       .build()
-      .map_err(|source| Error::Thread { step: STEP, source })?;
+      .map_err(|source| Error::Thread {
+        name: OPERATION,
+        source,
+      })?;
     let request = Request::get(self.metrics.as_str())
       .body(Full::default())
       .map_err(|error| failed(error.to_string()))?;
