--- a/src/store/claims.rs
+++ b/src/store/claims.rs
@@ -1,4 +1,5 @@
-//! Claims on not-repeatable requests: written once, never taken over, swept in bulk by the hour.
+//! Claims on the idempotency keys of non-repeatable requests: written once, never taken over, deleted after the
+//! retention period.
 
 use {
   super::key_value_client::{KeyValueClient, SwapOutcome},
@@ -7,16 +8,16 @@
   tokio::time::{Instant, sleep},
 };
 
-/// Hours for which a claim keeps a second run away: the promise to callers.
+/// Hours for which a claim prevents another request with the same key from running; promised to callers.
 pub const CLAIM_RETENTION_HOURS: u64 = 24;
 
 const BUCKET_PREFIX: &str = "rillford/claim-hours/";
 const CLAIM_PREFIX: &str = "rillford/claims/";
 const HOUR_MS: u64 = 3_600_000;
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const MOST_PAUSE: Duration = Duration::from_secs(4);
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// The key of a claim. The caller's text is hashed, so any text will do.
+/// The store key of a claim. The idempotency key is hashed, so it may contain any text.
 ///
 /// ```
 /// use rillford::store::claim_key;
@@ -26,83 +27,88 @@
   format!("{CLAIM_PREFIX}{organisation}/{}", hash_key(idempotency_key))
 }
 
-/// The key by which an hour's claims are found for the sweep.
+/// The store key under which a claim is indexed by the hour in which it was made, for the sweep.
 pub fn claim_bucket(unix_ms: u64, claim: &str) -> String {
   let hour = unix_ms / HOUR_MS;
   format!("{BUCKET_PREFIX}{hour:010}/{}", hash_key(claim))
 }
 
-/// Claims a key with a random token; an ambiguous answer is settled by reading back.
+/// Claims an idempotency key with a token unique to the request. If the write gets no response, reads the key back.
 pub(super) async fn claim(
-  service: &KeyValueClient,
+  client: &KeyValueClient,
   organisation: &Name,
   idempotency_key: &Name,
   token: &str,
-  limit: Duration,
+  timeout: Duration,
 ) -> ClaimOutcome {
   let key = claim_key(organisation, idempotency_key);
   let bucket = claim_bucket(unix_ms(), &key);
-  let written = service.create_both((&key, token), (&bucket, &key)).await;
+  let written = client.create_both((&key, token), (&bucket, &key)).await;
   match written {
     Ok(SwapOutcome::Done(_)) => ClaimOutcome::Held,
     Ok(SwapOutcome::Conflict(_)) => ClaimOutcome::Taken,
     Err(error) => {
-      log::info!("claim: {error}");
-      read_back(service, &key, token, limit).await
+      log::info!("claim write without a response, reading back: {error}");
+      read_back(client, &key, token, timeout).await
     }
   }
 }
 
-/// A write without an answer may take effect late: absence settles nothing, presence does.
-async fn read_back(service: &KeyValueClient, key: &str, token: &str, limit: Duration) -> ClaimOutcome {
-  let until = Instant::now() + limit;
-  let mut pause = FIRST_PAUSE;
+/// Reads a claim until it is present. A write without a response may still take effect, so absence proves nothing.
+async fn read_back(
+  client: &KeyValueClient,
+  key: &str,
+  token: &str,
+  timeout: Duration,
+) -> ClaimOutcome {
+  let deadline = Instant::now() + timeout;
+  let mut backoff = MIN_BACKOFF;
   loop {
-    match service.get(key).await {
+    match client.get(key).await {
       Ok(Some(stored)) if stored.value == token => return ClaimOutcome::Held,
       Ok(Some(_)) => return ClaimOutcome::Taken,
-      Ok(None) | Err(_) if Instant::now() >= until => return ClaimOutcome::Unavailable,
-      Ok(None) | Err(_) => wait(&mut pause).await,
+      Ok(None) | Err(_) if Instant::now() >= deadline => return ClaimOutcome::Unavailable,
+      Ok(None) | Err(_) => back_off(&mut backoff).await,
     }
   }
 }
 
-/// Releases our own claim on proof that nothing ran; done again until it is settled.
+/// Deletes the request's own claim after proof that the work did not run. Retries until it is deleted or `timeout` passes.
 pub(super) async fn release(
-  service: &KeyValueClient,
+  client: &KeyValueClient,
   organisation: &Name,
   idempotency_key: &Name,
   token: &str,
-  limit: Duration,
+  timeout: Duration,
 ) {
   let key = claim_key(organisation, idempotency_key);
-  let until = Instant::now() + limit;
-  let mut pause = FIRST_PAUSE;
-  while Instant::now() < until {
-    let stored = match service.get(&key).await {
+  let deadline = Instant::now() + timeout;
+  let mut backoff = MIN_BACKOFF;
+  while Instant::now() < deadline {
+    let stored = match client.get(&key).await {
       Ok(Some(stored)) if stored.value == token => stored,
       Ok(Some(_)) => return,
-      // Absent now; but a write of ours without an answer may still take effect.
+      // An own write without a response may still take effect.
       Ok(None) | Err(_) => {
-        wait(&mut pause).await;
+        back_off(&mut backoff).await;
         continue;
       }
     };
-    if service.remove(&key, stored.revision).await.is_err() {
-      wait(&mut pause).await;
+    if client.remove(&key, stored.revision).await.is_err() {
+      back_off(&mut backoff).await;
     }
   }
 }
 
-/// Waits, and for twice as long the next time: after an outage many claims are settled at once.
-async fn wait(pause: &mut Duration) {
-  sleep(*pause).await;
-  *pause = (*pause * 2).min(MOST_PAUSE);
+/// Waits with exponential backoff: after an outage many claims are read back at once.
+async fn back_off(backoff: &mut Duration) {
+  sleep(*backoff).await;
+  *backoff = (*backoff * 2).min(MAX_BACKOFF);
 }
 
-/// Deletes the claims of hours that lie beyond the retention.
-pub(super) async fn sweep(service: &KeyValueClient) {
-  let Ok((listed, _)) = service.list(BUCKET_PREFIX).await else {
+/// Deletes claims older than the retention period.
+pub(super) async fn sweep(client: &KeyValueClient) {
+  let Ok((listed, _)) = client.list(BUCKET_PREFIX).await else {
     return;
   };
   let oldest = (unix_ms() / HOUR_MS).saturating_sub(CLAIM_RETENTION_HOURS);
@@ -115,9 +121,9 @@
     if hour.is_none_or(|hour| hour >= oldest) {
       continue;
     }
-    if let Ok(Some(claim)) = service.get(&bucket.value).await {
-      let _ = service.remove(&claim.key, claim.revision).await;
+    if let Ok(Some(claim)) = client.get(&bucket.value).await {
+      let _ = client.remove(&claim.key, claim.revision).await;
     }
-    let _ = service.remove(&bucket.key, bucket.revision).await;
+    let _ = client.remove(&bucket.key, bucket.revision).await;
   }
 }
--- a/src/store/configuration_watch.rs
+++ b/src/store/configuration_watch.rs
@@ -1,4 +1,4 @@
-//! Following the configuration: two boxes of a hall watch, the rest hear it from their peers.
+//! Watches the configuration documents. Two boxes of each hall watch the store; their peers relay changes to the rest.
 
 use {
   super::key_value_client::{KeyValueClient, StoredValue, Watch},
@@ -7,13 +7,12 @@
   tokio::time::{Instant, timeout_at},
 };
 
-/// A watch is made anew after this time: a cut may have silenced it without ending it.
-const WATCH_RENEWAL: Duration = Duration::from_secs(30);
+/// A watch is reopened after this time, because a lost connection may go unnoticed.
+const WATCH_LIFETIME: Duration = Duration::from_secs(30);
 
-/// Where configuration lives in the key-value service.
 const CONFIGURATION_PREFIX: &str = "rillford/configuration/";
 
-/// The key in the service of a document.
+/// The store key of a document.
 pub(crate) fn stored_key(key: &str) -> String {
   format!("{CONFIGURATION_PREFIX}{key}")
 }
@@ -31,36 +30,36 @@
   stored.into_iter().filter_map(document).collect()
 }
 
-/// Reads all documents, and the revision to watch from.
-pub(super) async fn read_all(service: &KeyValueClient) -> Option<(Vec<Document>, u64)> {
-  match service.list(CONFIGURATION_PREFIX).await {
+/// Reads all documents; also returns the revision from which to watch.
+pub(super) async fn read_all(client: &KeyValueClient) -> Option<(Vec<Document>, u64)> {
+  match client.list(CONFIGURATION_PREFIX).await {
     Ok((stored, revision)) => Some((documents(stored), revision + 1)),
     Err(error) => {
-      log::info!("configuration: {error}");
+      log::info!("configuration not read: {error}");
       None
     }
   }
 }
 
-/// A running watch on all documents.
-pub(super) struct Follower {
+/// An open watch on all documents.
+pub(super) struct ConfigurationWatch {
   watch: Watch,
-  until: Instant,
+  reopen_at: Instant,
 }
 
-impl Follower {
-  /// Reads all documents and watches for changes after that.
-  pub(super) async fn open(service: &KeyValueClient) -> Option<(Vec<Document>, Self)> {
-    let (all, from) = read_all(service).await?;
-    let watch = service.watch(CONFIGURATION_PREFIX, from).await.ok()?;
-    let until = Instant::now() + WATCH_RENEWAL;
-    Some((all, Self { until, watch }))
+impl ConfigurationWatch {
+  /// Reads all documents and opens a watch for later changes.
+  pub(super) async fn open(client: &KeyValueClient) -> Option<(Vec<Document>, Self)> {
+    let (all, from) = read_all(client).await?;
+    let watch = client.watch(CONFIGURATION_PREFIX, from).await.ok()?;
+    let reopen_at = Instant::now() + WATCH_LIFETIME;
+    Some((all, Self { reopen_at, watch }))
   }
 
-  /// The next changes; none when the watch has to be made anew.
+  /// The next changed documents; `None` when the watch must be reopened.
   pub(super) async fn next(&mut self) -> Option<Vec<Document>> {
-    let changes = timeout_at(self.until, self.watch.next()).await.ok()??;
-    // A deletion has an empty text; documents are closed, never deleted, so it is passed over.
+    let changes = timeout_at(self.reopen_at, self.watch.next()).await.ok()??;
+    // A deletion has an empty text. Operators close documents instead of deleting them, so it is ignored.
     let changes = documents(changes)
       .into_iter()
       .filter(|document| !document.text.is_empty());
@@ -68,7 +67,7 @@
   }
 }
 
-/// Whether a box is one of its hall's two watchers, by rendezvous order over the live boxes.
+/// Whether a box is one of the watchers of its hall, by rendezvous hashing over the hall's live boxes.
 pub(super) fn is_watcher(own: &Name, hall_boxes: &[Name]) -> bool {
   const WATCHERS: usize = 2;
   crate::decide::ranked(&"configuration".into(), hall_boxes)
--- a/src/store/key_value_client.rs
+++ b/src/store/key_value_client.rs
@@ -1,4 +1,4 @@
-//! A client of the platform's key-value service, by its published protocol: the etcd v3 JSON gateway.
+//! A client of the platform's key-value service over the etcd v3 JSON gateway.
 
 use {
   crate::{
@@ -14,17 +14,17 @@
   std::{sync::Arc, time::Duration},
 };
 
-const MOST_EVENT_BYTES: usize = 4 * 1024 * 1024;
+const MAX_EVENT_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why a call to the service came to nothing.
+/// A failed call to the service.
 #[derive(Debug, thiserror::Error)]
-#[error("{step} at {peer}: {source}")]
+#[error("{operation} at {url}: {source}")]
 pub struct KeyValueError {
-  /// What was asked.
-  pub step: &'static str,
-  /// The service.
-  pub peer: Name,
-  /// Why.
+  /// The operation.
+  pub operation: &'static str,
+  /// The base URL of the service.
+  pub url: Name,
+  /// The cause.
   pub source: CallError,
 }
 
@@ -35,16 +35,16 @@
   pub key: String,
   /// The value.
   pub value: String,
-  /// The revision at which it was last changed.
+  /// The revision of its last change.
   pub revision: u64,
 }
 
 /// The result of a compare-and-swap.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SwapOutcome {
-  /// It was done, at this revision.
+  /// The value was written, at this revision.
   Done(u64),
-  /// Another value is there; 0 if none is.
+  /// The key has another revision than expected: this one, or 0 if it is absent.
   Conflict(u64),
 }
 
@@ -118,7 +118,7 @@
   kv: Pair,
 }
 
-/// The gateway writes 64-bit numbers as strings.
+/// Parses a 64-bit integer, which the gateway encodes as a string.
 fn number<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
   #[derive(Deserialize)]
   #[serde(untagged)]
@@ -132,11 +132,11 @@
   }
 }
 
-fn coded(text: &str) -> String {
+fn encode_base64(text: &str) -> String {
   BASE64.encode(text)
 }
 
-fn plain(text: &str) -> String {
+fn decode_base64(text: &str) -> String {
   BASE64
     .decode(text)
     .ok()
@@ -144,7 +144,7 @@
     .unwrap_or_default()
 }
 
-/// The key behind all that begin with a prefix.
+/// The end of the range of keys with a prefix, exclusive.
 fn range_end(prefix: &str) -> String {
   let mut bytes = prefix.as_bytes().to_vec();
   if let Some(last) = bytes.last_mut() {
@@ -156,85 +156,89 @@
 impl From<Pair> for StoredValue {
   fn from(pair: Pair) -> Self {
     Self {
-      key: plain(&pair.key),
+      key: decode_base64(&pair.key),
       revision: pair.mod_revision,
-      value: plain(&pair.value),
+      value: decode_base64(&pair.value),
     }
   }
 }
 
-/// A client of the key-value service. Each call is reported to `counted`.
+/// A client of the key-value service. Runs `on_call` for each call, for metrics.
 #[derive(Clone)]
 pub struct KeyValueClient {
   http: HttpClient,
   url: Name,
-  limit: Duration,
-  counted: Arc<dyn Fn() + Send + Sync>,
+  call_timeout: Duration,
+  on_call: Arc<dyn Fn() + Send + Sync>,
 }
 
 impl KeyValueClient {
-  /// A client for the service at a URL; each call may take `limit`.
-  pub fn new(url: &str, limit: Duration, counted: Arc<dyn Fn() + Send + Sync>) -> Self {
+  /// A client for the service at a URL, with a timeout for each call.
+  pub fn new(url: &str, call_timeout: Duration, on_call: Arc<dyn Fn() + Send + Sync>) -> Self {
     Self {
-      counted,
+      call_timeout,
       http: HttpClient::default(),
-      limit,
+      on_call,
       url: url.trim_end_matches('/').into(),
     }
   }
 
-  async fn call<Q: Serialize, A: DeserializeOwned>(
+  async fn call<T: Serialize, R: DeserializeOwned>(
     &self,
-    step: &'static str,
+    operation: &'static str,
     path: &str,
-    question: &Q,
-  ) -> Result<A, KeyValueError> {
-    (self.counted)();
+    request: &T,
+  ) -> Result<R, KeyValueError> {
+    (self.on_call)();
     let uri = format!("{}{path}", self.url);
     self
       .http
-      .post(&uri, question, self.limit)
+      .post(&uri, request, self.call_timeout)
       .await
-      .map_err(|source| self.error(step, source))
+      .map_err(|source| self.error(operation, source))
   }
 
-  fn error(&self, step: &'static str, source: CallError) -> KeyValueError {
+  fn error(&self, operation: &'static str, source: CallError) -> KeyValueError {
     KeyValueError {
-      peer: self.url.clone(),
+      operation,
       source,
-      step,
+      url: self.url.clone(),
     }
   }
 
-  /// Reads one key.
+  /// Reads a key.
   pub async fn get(&self, key: &str) -> Result<Option<StoredValue>, KeyValueError> {
-    let question = json!({ "key": coded(key) });
+    let request = json!({ "key": encode_base64(key) });
     let reply = self
-      .call::<_, RangeReply>("reading a key", "/v3/kv/range", &question)
+      .call::<_, RangeReply>("reading a key", "/v3/kv/range", &request)
       .await?;
     Ok(reply.kvs.into_iter().next().map(StoredValue::from))
   }
 
-  /// Reads one key as it was at an earlier revision.
-  pub async fn get_at(&self, key: &str, revision: u64) -> Result<Option<StoredValue>, KeyValueError> {
-    let question = json!({ "key": coded(key), "revision": revision.to_string() });
+  /// Reads a key as of an earlier revision.
+  pub async fn get_at(
+    &self,
+    key: &str,
+    revision: u64,
+  ) -> Result<Option<StoredValue>, KeyValueError> {
+    let request = json!({ "key": encode_base64(key), "revision": revision.to_string() });
     let reply = self
-      .call::<_, RangeReply>("reading a key's past", "/v3/kv/range", &question)
+      .call::<_, RangeReply>("reading a key's history", "/v3/kv/range", &request)
       .await?;
     Ok(reply.kvs.into_iter().next().map(StoredValue::from))
   }
 
-  /// Reads all keys with a prefix, and the revision of the reading.
+  /// Reads all keys with a prefix; also returns the revision of the snapshot.
   pub async fn list(&self, prefix: &str) -> Result<(Vec<StoredValue>, u64), KeyValueError> {
-    let question = json!({ "key": coded(prefix), "range_end": range_end(prefix) });
+    let request = json!({ "key": encode_base64(prefix), "range_end": range_end(prefix) });
     let reply = self
-      .call::<_, RangeReply>("reading keys", "/v3/kv/range", &question)
+      .call::<_, RangeReply>("reading keys", "/v3/kv/range", &request)
       .await?;
     let stored = reply.kvs.into_iter().map(StoredValue::from).collect();
     Ok((stored, reply.header.revision))
   }
 
-  /// Writes a key if its revision is still the expected one; 0 expects that it is absent.
+  /// Writes a key if its revision is the expected one; 0 means that the key is absent.
   pub async fn compare_and_swap(
     &self,
     key: &str,
@@ -242,7 +246,7 @@
     value: &str,
     lease: Option<&str>,
   ) -> Result<SwapOutcome, KeyValueError> {
-    let mut put = json!({ "key": coded(key), "value": coded(value) });
+    let mut put = json!({ "key": encode_base64(key), "value": encode_base64(value) });
     if let Some(lease) = lease {
       put["lease"] = json!(lease);
     }
@@ -251,21 +255,21 @@
       .await
   }
 
-  /// Writes two keys if the first is absent.
+  /// Writes two keys in one transaction if the first is absent.
   pub async fn create_both(
     &self,
     first: (&str, &str),
     second: (&str, &str),
   ) -> Result<SwapOutcome, KeyValueError> {
-    let put = |(key, value)| json!({ "request_put": { "key": coded(key), "value": coded(value) } });
+    let put = |(key, value)| json!({ "request_put": { "key": encode_base64(key), "value": encode_base64(value) } });
     self
       .transact(first.0, 0, json!([put(first), put(second)]))
       .await
   }
 
-  /// Deletes a key if its revision is still the expected one.
+  /// Deletes a key if its revision is the expected one.
   pub async fn remove(&self, key: &str, expected: u64) -> Result<SwapOutcome, KeyValueError> {
-    let delete = json!({ "request_delete_range": { "key": coded(key) } });
+    let delete = json!({ "request_delete_range": { "key": encode_base64(key) } });
     self.transact(key, expected, json!([delete])).await
   }
 
@@ -275,18 +279,18 @@
     expected: u64,
     success: serde_json::Value,
   ) -> Result<SwapOutcome, KeyValueError> {
-    let question = json!({
+    let request = json!({
       "compare": [{
-        "key": coded(key),
+        "key": encode_base64(key),
         "target": "MOD",
         "result": "EQUAL",
         "mod_revision": expected.to_string(),
       }],
-      "failure": [{ "request_range": { "key": coded(key) } }],
+      "failure": [{ "request_range": { "key": encode_base64(key) } }],
       "success": success,
     });
     let reply = self
-      .call::<_, TxnReply>("writing a key", "/v3/kv/txn", &question)
+      .call::<_, TxnReply>("writing a key", "/v3/kv/txn", &request)
       .await?;
     if reply.succeeded {
       return Ok(SwapOutcome::Done(reply.header.revision));
@@ -303,67 +307,71 @@
 
   /// Deletes all keys with a prefix.
   pub async fn remove_all(&self, prefix: &str) -> Result<(), KeyValueError> {
-    let question = json!({ "key": coded(prefix), "range_end": range_end(prefix) });
+    let request = json!({ "key": encode_base64(prefix), "range_end": range_end(prefix) });
     self
-      .call::<_, serde_json::Value>("deleting keys", "/v3/kv/deleterange", &question)
+      .call::<_, serde_json::Value>("deleting keys", "/v3/kv/deleterange", &request)
       .await
       .map(|_| ())
   }
 
-  /// Takes out a lease.
+  /// Grants a lease and returns its id.
   pub async fn grant_lease(&self, ttl: Duration) -> Result<Name, KeyValueError> {
-    let question = json!({ "TTL": ttl.as_secs().max(1).to_string(), "ID": "0" });
+    let request = json!({ "TTL": ttl.as_secs().max(1).to_string(), "ID": "0" });
     let reply = self
-      .call::<_, LeaseReply>("taking a lease", "/v3/lease/grant", &question)
+      .call::<_, LeaseReply>("granting a lease", "/v3/lease/grant", &request)
       .await?;
     Ok(reply.id.into())
   }
 
-  /// Extends a lease; false when it has lapsed.
+  /// Extends a lease; returns false when it has expired.
   pub async fn keep_alive(&self, lease: &str) -> Result<bool, KeyValueError> {
-    let question = json!({ "ID": lease });
+    let request = json!({ "ID": lease });
     let reply = self
-      .call::<_, KeepAliveReply>("extending a lease", "/v3/lease/keepalive", &question)
+      .call::<_, KeepAliveReply>("extending a lease", "/v3/lease/keepalive", &request)
       .await?;
     Ok(reply.result.ttl_s > 0)
   }
 
-  /// Watches all keys with a prefix from a revision on. A waiting watch counts as one call.
+  /// Watches all keys with a prefix, starting at a revision. A watch counts as one call.
   pub async fn watch(&self, prefix: &str, from: u64) -> Result<Watch, KeyValueError> {
-    (self.counted)();
-    let question = json!({
+    (self.on_call)();
+    let request = json!({
       "create_request": {
-        "key": coded(prefix),
+        "key": encode_base64(prefix),
         "range_end": range_end(prefix),
         "start_revision": from.to_string(),
       }
     });
     let uri = format!("{}/v3/watch", self.url);
-    let opened = tokio::time::timeout(self.limit, self.http.post_stream(&uri, &question)).await;
-    let step = "watching keys";
+    let opened =
+      tokio::time::timeout(self.call_timeout, self.http.post_stream(&uri, &request)).await;
+    let operation = "watching keys";
     match opened {
       Ok(Ok(response)) => Ok(Watch {
         body: response.into_body(),
         buffer: BytesMut::new(),
       }),
-      Ok(Err(source)) => Err(self.error(step, source)),
-      Err(_) => Err(self.error(step, CallError::TimedOut(self.limit.as_millis()))),
+      Ok(Err(source)) => Err(self.error(operation, source)),
+      Err(_) => Err(self.error(
+        operation,
+        CallError::TimedOut(self.call_timeout.as_millis()),
+      )),
     }
   }
 }
 
-/// A running watch.
+/// An open watch.
 pub struct Watch {
   body: Incoming,
   buffer: BytesMut,
 }
 
 impl Watch {
-  /// The next changes; none when the watch has ended and must be made anew after a whole reading.
+  /// The next changed keys; `None` when the watch has ended. The caller must then read all keys before a new watch.
   pub async fn next(&mut self) -> Option<Vec<StoredValue>> {
     loop {
-      if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
-        let line = self.buffer.split_to(end);
+      if let Some(line_end) = self.buffer.iter().position(|byte| *byte == b'\n') {
+        let line = self.buffer.split_to(line_end);
         self.buffer.advance(1);
         let reply = serde_json::from_slice::<WatchReply>(&line).ok()?.result;
         if reply.canceled || reply.compact_revision > 0 {
@@ -375,7 +383,7 @@
         let changes = reply.events.into_iter().map(|event| event.kv.into());
         return Some(changes.collect());
       }
-      if self.buffer.len() > MOST_EVENT_BYTES {
+      if self.buffer.len() > MAX_EVENT_BYTES {
         return None;
       }
       let frame = self.body.frame().await?.ok()?;
--- a/src/store/leader_lease.rs
+++ b/src/store/leader_lease.rs
@@ -1,4 +1,4 @@
-//! The steward lease of a hall: who holds it may order changes of role.
+//! The leader lease of a hall: its holder may change the roles of engines.
 
 use {
   super::key_value_client::{KeyValueClient, SwapOutcome},
@@ -7,55 +7,70 @@
   tokio::time::Instant,
 };
 
-const MARGIN_SHARE: u32 = 4;
+/// A holder stops relying on its lease when one part in this many of the TTL is left.
+const MARGIN_DIVISOR: u32 = 4;
 
-/// A lease that is held.
-pub(super) struct Held {
+/// A lease that this box holds.
+pub(super) struct HeldLease {
   lease: Name,
-  /// The revision of the lease's key: the fence.
+  /// The revision of the lease's key.
   pub(super) fence: u64,
-  /// When the holder must stop, on its own clock, counted from before the call was sent.
-  pub(super) until: Instant,
+  /// When this box must stop acting as the leader.
+  pub(super) valid_until: Instant,
 }
 
 fn key(hall: &str) -> String {
   format!("rillford/steward/{hall}")
 }
 
-/// Time for which a lease that was asked for at `asked` may be relied on.
-fn until(asked: Instant, ttl: Duration) -> Instant {
-  asked + ttl - ttl / MARGIN_SHARE
+/// When a lease expires, less the margin. Counted from before the call was sent.
+fn valid_until(sent: Instant, ttl: Duration) -> Instant {
+  sent + ttl - ttl / MARGIN_DIVISOR
 }
 
-/// Tries to take the lease. A new holder of a hall whose engines don't all check fences has to wait
-/// the lease and the longest message life before its first order: the key lapses no sooner.
-pub(super) async fn take(service: &KeyValueClient, hall: &str, own: &str, ttl: Duration) -> Option<Held> {
-  // While another holds it, one reading is all that is asked of the platform.
-  if service.get(&key(hall)).await.ok()?.is_some() {
+/// Tries to acquire the lease. Returns `None` while another box holds it.
+///
+/// In a hall with an engine that doesn't check fences, a new holder must wait for the TTL and the longest delivery time
+/// of a command before its first command: an earlier holder may act until then.
+pub(super) async fn acquire(
+  client: &KeyValueClient,
+  hall: &str,
+  own_name: &str,
+  ttl: Duration,
+) -> Option<HeldLease> {
+  // Avoids granting a store lease while another box is the leader.
+  if client.get(&key(hall)).await.ok()?.is_some() {
     return None;
   }
-  let asked = Instant::now();
-  let lease = service.grant_lease(ttl).await.ok()?;
-  match service.compare_and_swap(&key(hall), 0, own, Some(&lease)).await {
-    Ok(SwapOutcome::Done(fence)) => Some(Held {
+  let sent = Instant::now();
+  let lease = client.grant_lease(ttl).await.ok()?;
+  match client
+    .compare_and_swap(&key(hall), 0, own_name, Some(&lease))
+    .await
+  {
+    Ok(SwapOutcome::Done(fence)) => Some(HeldLease {
       fence,
       lease,
-      until: until(asked, ttl),
+      valid_until: valid_until(sent, ttl),
     }),
-    // An answer that was lost leaves a key that lapses by itself.
+    // If the response was lost, the key may have been written; it expires with its lease.
     Ok(SwapOutcome::Conflict(_)) | Err(_) => None,
   }
 }
 
-/// Extends the lease; none when it has lapsed. An outage leaves it as it is until it ends.
-pub(super) async fn extend(service: &KeyValueClient, held: Held, ttl: Duration) -> Option<Held> {
-  let asked = Instant::now();
-  match service.keep_alive(&held.lease).await {
-    Ok(true) => Some(Held {
-      until: until(asked, ttl),
+/// Extends the lease; `None` when it has expired. If the store does not respond, the lease is kept until it expires.
+pub(super) async fn extend(
+  client: &KeyValueClient,
+  held: HeldLease,
+  ttl: Duration,
+) -> Option<HeldLease> {
+  let sent = Instant::now();
+  match client.keep_alive(&held.lease).await {
+    Ok(true) => Some(HeldLease {
+      valid_until: valid_until(sent, ttl),
       ..held
     }),
     Ok(false) => None,
-    Err(_) => (held.until > Instant::now()).then_some(held),
+    Err(_) => (held.valid_until > Instant::now()).then_some(held),
   }
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,17 +1,18 @@
-//! The platform duty: configuration, claims and the steward lease in the key-value service, and the
+//! The store worker: configuration, claims and the leader lease in the platform's key-value service, and the
 //! box list.
 
 mod claims;
-mod configuration;
-mod desk;
+mod configuration_watch;
 mod key_value_client;
-mod lease;
+mod leader_lease;
+mod worker;
 
-pub(crate) use self::desk::{StoreInput, StoreSetup, run};
+pub(crate) use self::{
+  configuration_watch::stored_key,
+  worker::{StoreInput, StoreSetup, run},
+};
 
 pub use self::{
   claims::{CLAIM_RETENTION_HOURS, claim_bucket, claim_key},
   key_value_client::{KeyValueClient, KeyValueError, StoredValue, SwapOutcome, Watch},
 };
-
-pub(crate) use self::configuration::stored_key;
--- a/src/store/worker.rs
+++ b/src/store/worker.rs
@@ -1,11 +1,11 @@
-//! The platform duty: all that this box says to the platform's services, and hears from them.
+//! The store worker: all calls of this box to the platform's services.
 
 use {
   super::{
     claims,
-    configuration::{Follower, is_watcher, read_all},
+    configuration_watch::{ConfigurationWatch, is_watcher, read_all},
     key_value_client::KeyValueClient,
-    lease,
+    leader_lease::{self, HeldLease},
   },
   crate::{
     configuration::{KeyTable, Store},
@@ -32,24 +32,27 @@
 };
 
 const BOX_LIST_PERIOD: Duration = Duration::from_millis(1_000);
-/// A longer list is read less often, in proportion: its bytes a second stay the same.
+/// A box list longer than this is polled less often, in proportion, to keep its bytes per second constant.
 const BOXES_PER_PERIOD: usize = 24;
-const CONFIGURATION_RETRY: Duration = Duration::from_millis(500);
-const LEASE_EXTENSIONS: u32 = 3;
+const CONFIGURATION_RETRY_PERIOD: Duration = Duration::from_millis(500);
+/// Attempts to extend the leader lease within its TTL.
+const EXTENSIONS_PER_TTL: u32 = 3;
 const SWEEP_PERIOD: Duration = Duration::from_secs(600);
-const CLAIM_LIMIT_CALLS: u32 = 2;
-const RELEASE_LIMIT_CALLS: u32 = 30;
+/// Timeout of a claim, in call timeouts.
+const CLAIM_TIMEOUT_CALLS: u32 = 2;
+/// Timeout of the release of a claim, in call timeouts.
+const RELEASE_TIMEOUT_CALLS: u32 = 30;
 
-/// What the platform duty is told by `decide`.
+/// A command from `decide`.
 #[derive(Debug)]
 pub(crate) enum StoreInput {
-  /// Write a claim.
+  /// Claim an idempotency key of an organisation for a request.
   Claim(RequestId, Name, Name),
-  /// Release a claim.
+  /// Release the request's claim on an idempotency key of an organisation.
   Release(RequestId, Name, Name),
 }
 
-/// What the platform duty starts with.
+/// Configuration and channels of the store worker.
 pub(crate) struct StoreSetup {
   pub(crate) identity: BoxSettings,
   pub(crate) settings: Platform,
@@ -70,53 +73,53 @@
   boxes: Vec<BoxEntry>,
 }
 
-/// What the tasks of this duty share.
-struct Office {
+/// State shared by all tasks of this worker.
+struct StoreContext {
   identity: BoxSettings,
   settings: Platform,
   started: Instant,
   observer: Observer,
-  service: KeyValueClient,
+  client: KeyValueClient,
   store: Mutex<Store>,
   keys: Arc<ArcSwap<KeyTable>>,
   phase: Arc<SharedPhase>,
   status: Arc<ArcSwap<Status>>,
   to_decide: Sender<Event>,
-  /// Random for each start, so that no other process has the same tokens.
-  salt: String,
+  /// Random for each process, so that claim tokens are unique.
+  token_salt: String,
 }
 
-/// Runs the platform duty until the process ends.
+/// Runs the store worker until the process exits.
 pub(crate) async fn run(setup: StoreSetup) {
-  let call_limit = Duration::from_millis(setup.settings.call_ms);
+  let call_timeout = Duration::from_millis(setup.settings.call_ms);
   let counter = setup.observer.clone();
-  let counted = Arc::new(move || counter.send(Observation::PlatformCall));
-  let office = Arc::new(Office {
-    service: KeyValueClient::new(&setup.settings.key_value, call_limit, counted),
+  let on_call = Arc::new(move || counter.send(Observation::PlatformCall));
+  let context = Arc::new(StoreContext {
+    client: KeyValueClient::new(&setup.settings.key_value, call_timeout, on_call),
     identity: setup.identity,
     keys: setup.keys,
     observer: setup.observer,
     phase: setup.phase,
-    salt: format!("{:032x}", rand::rng().random::<u128>()),
     settings: setup.settings,
     started: setup.started,
     status: setup.status,
     store: Mutex::default(),
     to_decide: setup.to_decide,
+    token_salt: format!("{:032x}", rand::rng().random::<u128>()),
   });
-  tokio::spawn(office.clone().follow_boxes(setup.to_peers));
-  tokio::spawn(office.clone().follow_configuration());
-  tokio::spawn(office.clone().be_steward());
+  tokio::spawn(context.clone().poll_box_list(setup.to_peers));
+  tokio::spawn(context.clone().follow_configuration());
+  tokio::spawn(context.clone().run_leader_election());
   let (mut inputs, mut documents) = (setup.inputs, setup.documents);
   loop {
     let mut idle = true;
     while let Some(input) = inputs.pop() {
       idle = false;
-      tokio::spawn(office.clone().settle(input));
+      tokio::spawn(context.clone().handle_input(input));
     }
     while let Some(documents) = documents.pop() {
       idle = false;
-      office.apply(documents).await;
+      context.apply_documents(documents).await;
     }
     if idle {
       setup.notify.notified().await;
@@ -124,23 +127,23 @@
   }
 }
 
-impl Office {
-  fn call_limit(&self) -> Duration {
+impl StoreContext {
+  fn call_timeout(&self) -> Duration {
     Duration::from_millis(self.settings.call_ms)
   }
 
-  async fn settle(self: Arc<Self>, input: StoreInput) {
+  async fn handle_input(self: Arc<Self>, input: StoreInput) {
     match input {
       StoreInput::Claim(request, organisation, key) => {
-        let token = self.token(request);
-        let limit = self.call_limit() * CLAIM_LIMIT_CALLS;
-        let outcome = claims::claim(&self.service, &organisation, &key, &token, limit).await;
+        let token = self.claim_token(request);
+        let timeout = self.call_timeout() * CLAIM_TIMEOUT_CALLS;
+        let outcome = claims::claim(&self.client, &organisation, &key, &token, timeout).await;
         self
           .to_decide
           .send(Event::ClaimSettled(request, outcome))
           .await;
         if outcome == ClaimOutcome::Unavailable {
-          // The caller is told "not run": a write that takes effect late must not stand.
+          // The request is rejected as not run, so a claim whose write takes effect late must not remain.
           self.release(request, &organisation, &key).await;
         }
       }
@@ -151,25 +154,25 @@
   }
 
   async fn release(&self, request: RequestId, organisation: &Name, key: &Name) {
-    let limit = self.call_limit() * RELEASE_LIMIT_CALLS;
-    let token = self.token(request);
-    claims::release(&self.service, organisation, key, &token, limit).await;
+    let timeout = self.call_timeout() * RELEASE_TIMEOUT_CALLS;
+    let token = self.claim_token(request);
+    claims::release(&self.client, organisation, key, &token, timeout).await;
   }
 
-  /// The token by which a request's claim is known as its own.
-  fn token(&self, request: RequestId) -> String {
-    format!("{}/{}/{}", self.identity.name, self.salt, request.0)
+  /// The value that identifies a claim as made by this request.
+  fn claim_token(&self, request: RequestId) -> String {
+    format!("{}/{}/{}", self.identity.name, self.token_salt, request.0)
   }
 
-  /// Applies documents that are newer than those in force, and tells all who go by them.
-  async fn apply(&self, documents: Vec<Document>) {
+  /// Applies documents that are newer than those in force, and publishes the resulting configuration.
+  async fn apply_documents(&self, documents: Vec<Document>) {
     let (view, keys) = {
       let mut store = self.store.lock().unwrap_or_else(PoisonError::into_inner);
       let mut changed = false;
       for document in documents {
         let key = document.key.clone();
         match store.apply(document) {
-          Ok(news) => changed |= news,
+          Ok(is_newer) => changed |= is_newer,
           Err(error) => {
             let note = Note::new(NoteKind::ConfigurationRefused, key, error.to_string());
             self.observer.record(note);
@@ -186,12 +189,12 @@
     self.phase.advance(Phase::Ready);
   }
 
-  async fn follow_boxes(self: Arc<Self>, to_peers: Sender<PeersInput>) {
+  async fn poll_box_list(self: Arc<Self>, to_peers: Sender<PeersInput>) {
     let http = HttpClient::default();
     let mut periods = 1;
     loop {
       let listed = http
-        .get::<BoxList>(&self.settings.box_list, self.call_limit())
+        .get::<BoxList>(&self.settings.box_list, self.call_timeout())
         .await;
       match listed {
         Ok(list) => {
@@ -199,13 +202,13 @@
           to_peers.send(PeersInput::Boxes(list.boxes.clone())).await;
           self.to_decide.send(Event::Boxes(list.boxes)).await;
         }
-        Err(error) => log::debug!("box list: {error}"),
+        Err(error) => log::debug!("box list not read: {error}"),
       }
       sleep(BOX_LIST_PERIOD * periods.max(1)).await;
     }
   }
 
-  /// The live boxes of the own hall, as `decide` sees them.
+  /// The live boxes of the own hall, including this one.
   fn hall_boxes(&self) -> Vec<Name> {
     let status = self.status.load();
     let mut boxes = status
@@ -218,38 +221,39 @@
     boxes
   }
 
-  /// A new box reads the configuration once, from wherever it comes first; then watchers watch.
+  /// Watches the configuration while this box is a watcher; otherwise only reads it until the box is ready.
   async fn follow_configuration(self: Arc<Self>) {
-    let mut down = false;
+    let mut is_down = false;
     loop {
       if is_watcher(&self.identity.name, &self.hall_boxes()) {
-        let opened = Follower::open(&self.service).await;
-        self.note_outage(&mut down, opened.is_some());
-        if let Some((documents, follower)) = opened {
-          self.follow(documents, follower).await;
+        let opened = ConfigurationWatch::open(&self.client).await;
+        self.record_outage(&mut is_down, opened.is_some());
+        if let Some((documents, watch)) = opened {
+          self.run_watch(documents, watch).await;
         }
       } else if self.phase.get() == Phase::Unready {
-        let read = read_all(&self.service).await;
-        self.note_outage(&mut down, read.is_some());
+        let read = read_all(&self.client).await;
+        self.record_outage(&mut is_down, read.is_some());
         if let Some((documents, _)) = read {
-          self.apply(documents).await;
+          self.apply_documents(documents).await;
         }
       }
-      sleep(CONFIGURATION_RETRY).await;
+      sleep(CONFIGURATION_RETRY_PERIOD).await;
     }
   }
 
-  async fn follow(&self, documents: Vec<Document>, mut follower: Follower) {
-    self.apply(documents).await;
-    while let Some(documents) = follower.next().await {
-      self.apply(documents).await;
+  async fn run_watch(&self, documents: Vec<Document>, mut watch: ConfigurationWatch) {
+    self.apply_documents(documents).await;
+    while let Some(documents) = watch.next().await {
+      self.apply_documents(documents).await;
     }
   }
 
-  fn note_outage(&self, down: &mut bool, reached: bool) {
-    if *down == reached {
-      *down = !reached;
-      let kind = if reached {
+  /// Records an event when the store becomes unreachable or reachable again.
+  fn record_outage(&self, is_down: &mut bool, is_reachable: bool) {
+    if *is_down == is_reachable {
+      *is_down = !is_reachable;
+      let kind = if is_reachable {
         NoteKind::PlatformUp
       } else {
         NoteKind::PlatformDown
@@ -258,35 +262,39 @@
     }
   }
 
-  fn is_first(&self) -> bool {
+  /// Whether this box is the preferred leader of its hall.
+  fn is_candidate(&self) -> bool {
     let boxes = self.hall_boxes();
     let ranked = crate::decide::ranked(&"steward".into(), &boxes);
     ranked.first() == Some(&self.identity.name)
   }
 
-  fn own_ms(&self, time: Instant) -> u64 {
+  /// A time in milliseconds since this box started.
+  fn since_start_ms(&self, time: Instant) -> u64 {
     u64::try_from(time.saturating_duration_since(self.started).as_millis()).unwrap_or(0)
   }
 
-  /// The first box of the hall tries to hold the steward lease; the key decides between two.
-  async fn be_steward(self: Arc<Self>) {
+  /// The preferred leader of the hall acquires and extends the leader lease; the store allows one holder at a time.
+  async fn run_leader_election(self: Arc<Self>) {
     let ttl = Duration::from_millis(self.settings.lease_ms);
-    let mut held: Option<lease::Held> = None;
-    let mut swept = Instant::now();
+    let mut held: Option<HeldLease> = None;
+    let mut last_sweep = Instant::now();
     loop {
-      sleep(ttl / LEASE_EXTENSIONS).await;
-      let before = held.is_some();
+      sleep(ttl / EXTENSIONS_PER_TTL).await;
+      let was_leader = held.is_some();
       held = match held {
-        Some(held) => lease::extend(&self.service, held, ttl).await,
-        None if self.phase.get() == Phase::Ready && self.is_first() => {
-          lease::take(&self.service, &self.identity.hall, &self.identity.name, ttl).await
+        Some(held) => leader_lease::extend(&self.client, held, ttl).await,
+        None if self.phase.get() == Phase::Ready && self.is_candidate() => {
+          leader_lease::acquire(&self.client, &self.identity.hall, &self.identity.name, ttl).await
         }
         None => None,
       };
-      match (&held, before) {
-        (Some(_), false) => self
-          .observer
-          .record_event(NoteKind::StewardTaken, &self.identity.hall, ""),
+      match (&held, was_leader) {
+        (Some(_), false) => {
+          self
+            .observer
+            .record_event(NoteKind::StewardTaken, &self.identity.hall, "")
+        }
         (None, true) => self
           .observer
           .record_event(NoteKind::StewardLost, &self.identity.hall, ""),
@@ -295,12 +303,12 @@
       if let Some(held) = &held {
         let event = Event::StewardUntil {
           fence: held.fence,
-          until_ms: self.own_ms(held.until),
+          until_ms: self.since_start_ms(held.valid_until),
         };
         self.to_decide.send(event).await;
-        if swept.elapsed() > SWEEP_PERIOD {
-          swept = Instant::now();
-          claims::sweep(&self.service).await;
+        if last_sweep.elapsed() > SWEEP_PERIOD {
+          last_sweep = Instant::now();
+          claims::sweep(&self.client).await;
         }
       }
     }
