--- a/src/serve/decide_loop.rs
+++ b/src/serve/decide_loop.rs
@@ -1,4 +1,4 @@
-//! The decide duty: drains its rings, asks the machine, and hands out the actions.
+//! The decide thread: reads events from its rings, runs the state machine, and dispatches the actions.
 
 use {
   crate::{
@@ -21,20 +21,20 @@
 };
 
 const EVENTS_PER_RING: usize = 64;
-/// Two rings are read there.
-const EVENTS_FROM_CALLS: usize = 2 * EVENTS_PER_RING;
+/// The call events come from two rings.
+const CALL_EVENTS: usize = 2 * EVENTS_PER_RING;
 const STATUS_PERIOD: Duration = Duration::from_millis(200);
-const TICK: Duration = Duration::from_millis(10);
-/// With nothing in progress there is nothing to place or to cancel in a hurry.
-const IDLE_TICK: Duration = Duration::from_millis(50);
+const TICK_PERIOD: Duration = Duration::from_millis(10);
+/// The tick period while no request is in progress and no command is open.
+const IDLE_TICK_PERIOD: Duration = Duration::from_millis(50);
 
-/// A ring to another duty, with what it had no room for yet.
-pub(super) struct Outlet<T> {
+/// The sending end of a ring to another worker, with an unbounded backlog for values that do not fit yet.
+pub(super) struct BufferedSender<T> {
   sender: Sender<T>,
   backlog: VecDeque<T>,
 }
 
-impl<T> Outlet<T> {
+impl<T> BufferedSender<T> {
   pub(super) fn new(sender: Sender<T>) -> Self {
     Self {
       backlog: VecDeque::new(),
@@ -42,7 +42,7 @@
     }
   }
 
-  fn put(&mut self, value: T) {
+  fn send(&mut self, value: T) {
     self.backlog.push_back(value);
     self.flush();
   }
@@ -57,60 +57,61 @@
   }
 }
 
-/// What the decide duty starts with.
+/// The decide thread: its state machine and channels.
 pub(super) struct DecideLoop {
   pub(super) machine: Machine,
   pub(super) started: Instant,
-  /// What endpoints answered, and callers' requests: a caller may ask because of an answer.
+  /// Endpoint reports and callers' requests. A caller may send a request because of an earlier response, so reports that
+  /// precede a request are handled before it.
   pub(super) calls: CauseFirst<Event>,
   pub(super) inputs: Vec<Receiver<Event>>,
-  pub(super) to_egress: Outlet<EgressInput>,
-  pub(super) to_ingress: Outlet<(RequestId, Ending)>,
-  pub(super) to_peers: Outlet<PeersInput>,
-  pub(super) to_platform: Outlet<StoreInput>,
+  pub(super) to_egress: BufferedSender<EgressInput>,
+  pub(super) to_ingress: BufferedSender<(RequestId, Ending)>,
+  pub(super) to_peers: BufferedSender<PeersInput>,
+  pub(super) to_platform: BufferedSender<StoreInput>,
   pub(super) observer: Observer,
   pub(super) status: Arc<ArcSwap<Status>>,
 }
 
 impl DecideLoop {
-  /// Runs the decide duty until the process ends.
+  /// Runs until the process exits.
   pub(super) fn run(mut self) {
-    let mut ticked = Instant::now();
-    let mut shown = Instant::now();
+    let mut last_tick = Instant::now();
+    let mut last_published = Instant::now();
     loop {
-      let worked = self.drain();
-      let tick = self.tick();
-      if ticked.elapsed() >= tick {
-        ticked = Instant::now();
+      let is_busy = self.process_events();
+      let tick_period = self.tick_period();
+      if last_tick.elapsed() >= tick_period {
+        last_tick = Instant::now();
         self.handle(Event::Tick);
         self.flush();
       }
-      if shown.elapsed() >= STATUS_PERIOD {
-        shown = Instant::now();
-        self.show();
+      if last_published.elapsed() >= STATUS_PERIOD {
+        last_published = Instant::now();
+        self.publish_status();
       }
-      if !worked {
-        thread::park_timeout(tick.saturating_sub(ticked.elapsed()));
+      if !is_busy {
+        thread::park_timeout(tick_period.saturating_sub(last_tick.elapsed()));
       }
     }
   }
 
-  fn tick(&self) -> Duration {
+  fn tick_period(&self) -> Duration {
     if self.machine.in_progress() > 0 || self.machine.open_orders() > 0 {
-      TICK
+      TICK_PERIOD
     } else {
-      IDLE_TICK
+      IDLE_TICK_PERIOD
     }
   }
 
-  /// Takes a few events from each ring in turn, so that none starves another.
-  fn drain(&mut self) -> bool {
-    let mut worked = false;
-    for _ in 0..EVENTS_FROM_CALLS {
+  /// Handles a bounded number of events from each ring, so that none starves another. Returns whether there were any.
+  fn process_events(&mut self) -> bool {
+    let mut is_busy = false;
+    for _ in 0..CALL_EVENTS {
       let Some(event) = self.calls.pop() else {
         break;
       };
-      worked = true;
+      is_busy = true;
       self.handle(event);
     }
     for index in 0..self.inputs.len() {
@@ -118,37 +119,37 @@
         let Some(event) = self.inputs[index].pop() else {
           break;
         };
-        worked = true;
+        is_busy = true;
         self.handle(event);
       }
     }
-    worked
+    is_busy
   }
 
   fn handle(&mut self, event: Event) {
     let now_ms = u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX);
     for action in self.machine.handle(now_ms, event) {
-      self.hand_out(action);
+      self.dispatch(action);
     }
   }
 
-  fn hand_out(&mut self, action: Action) {
+  fn dispatch(&mut self, action: Action) {
     match action {
       Action::Note(note) => self.observer.record(note),
-      Action::Send(to, message) => self.to_peers.put(PeersInput::Send(to, message)),
+      Action::Send(to, message) => self.to_peers.send(PeersInput::Send(to, message)),
       Action::Claim(request, organisation, key) => {
         let input = StoreInput::Claim(request, organisation, key);
-        self.to_platform.put(input);
+        self.to_platform.send(input);
       }
       Action::ReleaseClaim(request, organisation, key) => {
         let input = StoreInput::Release(request, organisation, key);
-        self.to_platform.put(input);
+        self.to_platform.send(input);
       }
-      Action::End(request, ending) => {
-        self.to_ingress.put((request, ending));
-        self.to_egress.put(EgressInput::Order(action));
+      Action::End(request, outcome) => {
+        self.to_ingress.send((request, outcome));
+        self.to_egress.send(EgressInput::Command(action));
       }
-      order => self.to_egress.put(EgressInput::Order(order)),
+      command => self.to_egress.send(EgressInput::Command(command)),
     }
   }
 
@@ -159,7 +160,7 @@
     self.to_platform.flush();
   }
 
-  fn show(&mut self) {
+  fn publish_status(&mut self) {
     let status = Arc::new(self.machine.status());
     self.observer.send(Observation::Status(status.clone()));
     self.status.store(status);
--- a/src/serve/mod.rs
+++ b/src/serve/mod.rs
@@ -1,4 +1,4 @@
-//! `rillford serve`: the threads of a box and the rings between them.
+//! `rillford serve`: starts the threads of a box and connects them with rings.
 
 mod decide_loop;
 mod start;
--- a/src/serve/start.rs
+++ b/src/serve/start.rs
@@ -1,17 +1,17 @@
-//! Starting a box: addresses first, then rings, then a thread for each duty.
+//! Starts a box: binds its sockets, then creates the rings, then a thread for each worker.
 
 use {
   super::{
-    decide_loop::{DecideLoop, Outlet},
+    decide_loop::{BufferedSender, DecideLoop},
     stop::{await_signal, stop},
   },
   crate::{
     CauseFirst, Error, Result,
-    admin::{self, AdminSetup},
+    admin::{self, AdminSetup, AdminState},
     decide::{Identity, Machine, Note, NoteKind, Setup, Status},
     egress::{self, EgressSetup},
     ids::Name,
-    ingress::{self, Desk, IngressSetup, SharedPhase},
+    ingress::{self, IngressSetup, IngressState, SharedPhase},
     listener::bind,
     observe::{
       HybridClock, MetricSink, Observation, Observer, Timeline, observe, set_up_logging, unix_ms,
@@ -32,10 +32,10 @@
   tokio::sync::Notify,
 };
 
-const OBSERVATIONS: usize = 65_536;
+const OBSERVATION_SLOTS: usize = 65_536;
 const RING_SLOTS: usize = 4_096;
 
-/// Runs a box until it is told to stop.
+/// Runs a box until it receives a stop signal.
 pub(crate) fn serve(settings: Settings) -> Result {
   set_up_logging(&settings.log)?;
   peers::check_keys(&settings.peers)?;
@@ -56,15 +56,15 @@
   let keys = Arc::new(ArcSwap::default());
   let timeline = Arc::new(Timeline::default());
 
-  // The observe thread is started first: all others report to it.
-  let observations = start_with_ring("observe", OBSERVATIONS, {
+  // The observe thread starts first, because all others send observations to it.
+  let observations = start_with_ring("observe", OBSERVATION_SLOTS, {
     let timeline = timeline.clone();
     move |receiver| observe(receiver, &timeline, &metrics)
   })?;
   let clock = Arc::new(HybridClock::default());
   let observer = Observer::new(identity.name.clone(), clock, observations);
 
-  // Room for an arrival and a farewell of each request.
+  // Each request has at most an arrival and a disconnect event.
   let arrival_slots = settings.limits.requests * 2 + RING_SLOTS;
   let decide = DecideThread::spawn()?;
   let (from_ingress, ingress_events) = ring(arrival_slots, decide.waker());
@@ -76,9 +76,9 @@
   let egress_notify = Arc::new(Notify::new());
   let egress_waker = Waker::Task(egress_notify.clone());
   let (to_egress_payloads, payloads) = ring(arrival_slots, egress_waker.clone());
-  let (to_egress_orders, orders) = ring(RING_SLOTS, egress_waker);
+  let (to_egress_commands, commands) = ring(RING_SLOTS, egress_waker);
   let ingress_notify = Arc::new(Notify::new());
-  let (to_ingress, endings) = ring(RING_SLOTS, Waker::Task(ingress_notify.clone()));
+  let (to_ingress, outcomes) = ring(RING_SLOTS, Waker::Task(ingress_notify.clone()));
   let peers_notify = Arc::new(Notify::new());
   let peers_waker = Waker::Task(peers_notify.clone());
   let (to_peers, peer_sends) = ring(RING_SLOTS, peers_waker.clone());
@@ -110,19 +110,19 @@
     observer: observer.clone(),
     started,
     status: status.clone(),
-    to_egress: Outlet::new(to_egress_orders),
-    to_ingress: Outlet::new(to_ingress),
-    to_peers: Outlet::new(to_peers),
-    to_platform: Outlet::new(to_platform),
+    to_egress: BufferedSender::new(to_egress_commands),
+    to_ingress: BufferedSender::new(to_ingress),
+    to_peers: BufferedSender::new(to_peers),
+    to_platform: BufferedSender::new(to_platform),
   });
 
   start_runtime("egress", {
     let setup = EgressSetup {
+      commands,
       endpoints: settings.endpoints.clone(),
       limits: settings.limits.clone(),
       notify: egress_notify,
       observer: observer.clone(),
-      orders,
       payloads,
       started: started.into(),
       targets: settings.targets.clone(),
@@ -162,43 +162,43 @@
   })?;
   start_runtime("administration", {
     let counter = observer.clone();
-    let counted = Arc::new(move || counter.send(Observation::PlatformCall));
-    let limit = Duration::from_millis(settings.platform.call_ms);
-    let desk = admin::Desk {
+    let on_call = Arc::new(move || counter.send(Observation::PlatformCall));
+    let call_timeout = Duration::from_millis(settings.platform.call_ms);
+    let state = AdminState {
       endpoints: settings
         .endpoints
         .iter()
         .map(|endpoint| endpoint.name.clone())
         .collect(),
       keys_sha256: settings.administration.keys_sha256.clone(),
-      service: KeyValueClient::new(&settings.platform.key_value, limit, counted),
+      store: KeyValueClient::new(&settings.platform.key_value, call_timeout, on_call),
       status: status.clone(),
       timeline,
       to_decide: from_operators.clone(),
       to_platform: to_platform_documents,
     };
     let setup = AdminSetup {
-      desk,
       listener: administration,
+      state,
     };
     move || admin::run(setup)
   })?;
   start_runtime("ingress", {
-    let desk = Desk {
+    let state = IngressState {
       keys,
       limits: settings.limits.clone(),
       models: models(&settings),
-      next: AtomicU64::new(1),
+      next_request: AtomicU64::new(1),
+      pending: Mutex::new(HashMap::new()),
       phase: phase.clone(),
       to_decide: from_ingress,
       to_egress: to_egress_payloads,
-      waiting: Mutex::new(HashMap::new()),
     };
     let setup = IngressSetup {
-      desk: Arc::new(desk),
-      endings,
       listener: callers,
       notify: ingress_notify,
+      outcomes,
+      state: Arc::new(state),
     };
     move || ingress::run(setup)
   })?;
@@ -207,7 +207,7 @@
   let runtime = build_runtime("signals")?;
   runtime.block_on(async {
     if let Err(error) = await_signal().await {
-      log::error!("signals: {error}");
+      log::error!("signal handlers not installed: {error}");
     }
     stop(&phase, &status, &from_operators, balancer_lag).await;
     observer.record(Note::new(NoteKind::BoxStopped, identity.name.clone(), ""));
@@ -218,9 +218,9 @@
 fn bind_peers(settings: &Settings) -> Result<UdpSocket> {
   let address = settings.listen.peers;
   UdpSocket::bind(address).map_err(|source| Error::Listen {
-    peer: address.to_string(),
+    address: address.to_string(),
+    purpose: "peers",
     source,
-    step: "peers",
   })
 }
 
@@ -235,69 +235,69 @@
     .collect()
 }
 
-fn build_runtime(step: &'static str) -> Result<tokio::runtime::Runtime> {
+fn build_runtime(name: &'static str) -> Result<tokio::runtime::Runtime> {
   tokio::runtime::Builder::new_current_thread()
     .enable_all()
     .build()
-    .map_err(|source| Error::Thread { step, source })
+    .map_err(|source| Error::Thread { name, source })
 }
 
-/// Starts a thread with a runtime of its own. A duty that ends takes the process with it.
-fn start_runtime<F, Fut>(step: &'static str, duty: F) -> Result
+/// Starts a thread with a single-threaded runtime of its own.
+fn start_runtime<F, Fut>(name: &'static str, worker: F) -> Result
 where
   F: FnOnce() -> Fut + Send + 'static,
   Fut: Future<Output = ()>,
 {
-  let runtime = build_runtime(step)?;
-  start_thread(step, move || {
-    runtime.block_on(duty());
+  let runtime = build_runtime(name)?;
+  start_thread(name, move || {
+    runtime.block_on(worker());
   })
   .map(|_| ())
 }
 
 fn start_thread(
-  step: &'static str,
-  duty: impl FnOnce() + Send + 'static,
+  name: &'static str,
+  worker: impl FnOnce() + Send + 'static,
 ) -> Result<thread::JoinHandle<()>> {
   thread::Builder::new()
-    .name(step.into())
-    .spawn(duty)
-    .map_err(|source| Error::Thread { step, source })
+    .name(name.into())
+    .spawn(worker)
+    .map_err(|source| Error::Thread { name, source })
 }
 
-/// Starts a thread whose ring has to know the thread first.
+/// Starts a thread that reads from a ring. The thread exists before the ring, whose waker refers to it.
 fn start_with_ring<T: Send + 'static>(
-  step: &'static str,
+  name: &'static str,
   slots: usize,
-  duty: impl FnOnce(Receiver<T>) + Send + 'static,
+  worker: impl FnOnce(Receiver<T>) + Send + 'static,
 ) -> Result<crate::ring::Sender<T>> {
-  let (hand_over, take_over) = mpsc::channel();
-  let handle = start_thread(step, move || {
-    if let Ok(receiver) = take_over.recv() {
-      duty(receiver);
+  let (to_thread, from_starter) = mpsc::channel();
+  let handle = start_thread(name, move || {
+    if let Ok(receiver) = from_starter.recv() {
+      worker(receiver);
     }
   })?;
   let (sender, receiver) = ring(slots, Waker::Thread(handle.thread().clone()));
-  let _ = hand_over.send(receiver);
+  let _ = to_thread.send(receiver);
   Ok(sender)
 }
 
-/// The decide thread, waiting for its loop: its rings have to know the thread first.
+/// The decide thread before its loop starts: the wakers of its rings refer to the thread.
 struct DecideThread {
-  hand_over: mpsc::Sender<DecideLoop>,
+  to_thread: mpsc::Sender<DecideLoop>,
   thread: thread::Thread,
 }
 
 impl DecideThread {
   fn spawn() -> Result<Self> {
-    let (hand_over, take_over) = mpsc::channel::<DecideLoop>();
+    let (to_thread, from_starter) = mpsc::channel::<DecideLoop>();
     let handle = start_thread("decide", move || {
-      if let Ok(decide_loop) = take_over.recv() {
+      if let Ok(decide_loop) = from_starter.recv() {
         decide_loop.run();
       }
     })?;
     Ok(Self {
-      hand_over,
+      to_thread,
       thread: handle.thread().clone(),
     })
   }
@@ -307,6 +307,6 @@
   }
 
   fn run(self, decide_loop: DecideLoop) {
-    let _ = self.hand_over.send(decide_loop);
+    let _ = self.to_thread.send(decide_loop);
   }
 }
--- a/src/serve/stop.rs
+++ b/src/serve/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop: tell the balancer and the peers, accept for its lag, end what runs, then exit.
+//! A graceful stop: fails the health check, keeps accepting until the load balancer has noticed, drains requests, exits.
 
 use {
   crate::{
@@ -14,13 +14,13 @@
   },
 };
 
-/// Time that cancels may still take after the last request has ended.
-const CANCEL_LIMIT: Duration = Duration::from_secs(5);
-const LOOK_PERIOD: Duration = Duration::from_millis(50);
-/// The status is at most this old, so that one look could miss a request just accepted.
-const STATUS_LAG: Duration = Duration::from_millis(500);
+/// Time allowed for outstanding cancels after the last request has finished.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(5);
+const POLL_PERIOD: Duration = Duration::from_millis(50);
+/// The published status is at most this old; an earlier read could miss a request that was just accepted.
+const MAX_STATUS_AGE: Duration = Duration::from_millis(500);
 
-/// Awaits a signal; a second one does not cut what runs.
+/// Waits for SIGTERM or SIGINT. Later signals are only logged.
 pub(super) async fn await_signal() -> std::io::Result<()> {
   let mut terminate = signal(SignalKind::terminate())?;
   let mut interrupt = signal(SignalKind::interrupt())?;
@@ -34,13 +34,13 @@
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
       }
-      log::info!("stopping already; requests in progress are not cut");
+      log::info!("already stopping; waiting for requests in progress");
     }
   });
   Ok(())
 }
 
-/// Stops the box without cutting a request.
+/// Stops the box after all requests in progress have finished.
 pub(super) async fn stop(
   phase: &SharedPhase,
   status: &Arc<ArcSwap<Status>>,
@@ -51,14 +51,14 @@
   to_decide.send(Event::Stopping).await;
   sleep(balancer_lag).await;
   phase.advance(Phase::Closed);
-  sleep(STATUS_LAG).await;
+  sleep(MAX_STATUS_AGE).await;
   while status.load().in_progress > 0 {
-    sleep(LOOK_PERIOD).await;
+    sleep(POLL_PERIOD).await;
   }
-  let until = Instant::now() + CANCEL_LIMIT;
-  while status.load().open_orders > 0 && Instant::now() < until {
-    sleep(LOOK_PERIOD).await;
+  let deadline = Instant::now() + CANCEL_TIMEOUT;
+  while status.load().open_orders > 0 && Instant::now() < deadline {
+    sleep(POLL_PERIOD).await;
   }
-  // The last bytes are on their way through ingress.
-  sleep(STATUS_LAG).await;
+  // Lets ingress send the last response bytes.
+  sleep(MAX_STATUS_AGE).await;
 }
