--- a/src/admin/configuration.rs
+++ b/src/admin/configuration.rs
@@ -1,7 +1,7 @@
-//! Reading and writing configuration documents: checked in full, then swapped, never half applied.
+//! Reads and writes configuration documents. A document is validated in full before it is written.
 
 use {
-  super::{desk::Desk, problem::Problem},
+  super::{problem::Problem, state::AdminState},
   crate::{
     configuration::{DocumentKey, parse_document},
     decide::Document,
@@ -19,23 +19,23 @@
   tokio::time::sleep,
 };
 
-const MOST_DOCUMENT_BYTES: usize = 1_000_000;
-const MOST_HISTORY: usize = 20;
-const READ_BACKS: usize = 10;
-const READ_BACK_PAUSE: Duration = Duration::from_millis(100);
+const MAX_DOCUMENT_BYTES: usize = 1_000_000;
+const MAX_HISTORY: usize = 20;
+const READ_BACK_ATTEMPTS: usize = 10;
+const READ_BACK_PERIOD: Duration = Duration::from_millis(100);
 
-/// A document as the API answers with it.
+/// A document in a response.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ConfigurationBody {
   /// The document's key.
   pub key: Name,
-  /// Its revision; goes into `If-Match` of the next write.
+  /// Its revision, for the `If-Match` header of the next write.
   pub revision: u64,
   /// Its JSON text.
   pub text: Name,
 }
 
-/// One earlier state of a document.
+/// One revision of a document.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Revision {
   /// Its revision.
@@ -44,16 +44,16 @@
   pub text: Name,
 }
 
-/// The earlier states of a document, the latest first.
+/// The revisions of a document, the latest first.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HistoryBody {
   /// The document's key.
   pub key: Name,
-  /// Its states.
+  /// Its revisions.
   pub revisions: Vec<Revision>,
 }
 
-fn checked_key(key: &str) -> Result<Name, Problem> {
+fn parse_key(key: &str) -> Result<Name, Problem> {
   if DocumentKey::parse(key).is_none() {
     let message = format!("`{key}` is no document: known are platform and organisations/NAME");
     return Err(Problem::new(StatusCode::NOT_FOUND, message));
@@ -66,17 +66,17 @@
 }
 
 pub(super) async fn read(
-  State(desk): State<Arc<Desk>>,
+  State(state): State<Arc<AdminState>>,
   Path(key): Path<String>,
 ) -> Result<Response, Problem> {
-  let key = checked_key(&key)?;
-  let stored = desk
-    .service
+  let key = parse_key(&key)?;
+  let stored = state
+    .store
     .get(&stored_key(&key))
     .await
     .map_err(|error| unavailable(&error))?
     .ok_or_else(|| Problem::new(StatusCode::NOT_FOUND, format!("{key}: not written yet")))?;
-  Ok(answer(
+  Ok(document_response(
     StatusCode::OK,
     key,
     stored.revision,
@@ -85,37 +85,37 @@
 }
 
 pub(super) async fn history(
-  State(desk): State<Arc<Desk>>,
+  State(state): State<Arc<AdminState>>,
   Path(key): Path<String>,
 ) -> Result<Json<HistoryBody>, Problem> {
-  let key = checked_key(&key)?;
+  let key = parse_key(&key)?;
   let stored_key = stored_key(&key);
-  let mut next = desk
-    .service
+  let mut next = state
+    .store
     .get(&stored_key)
     .await
     .map_err(|error| unavailable(&error))?;
   let mut revisions = Vec::new();
   while let Some(stored) = next {
-    let before = stored.revision.saturating_sub(1);
+    let previous = stored.revision.saturating_sub(1);
     revisions.push(Revision {
       revision: stored.revision,
       text: stored.value.into(),
     });
-    if before == 0 || revisions.len() == MOST_HISTORY {
+    if previous == 0 || revisions.len() == MAX_HISTORY {
       break;
     }
-    // The past may have been compacted away; then the history ends there.
-    next = desk
-      .service
-      .get_at(&stored_key, before)
+    // Older revisions may have been compacted; the history ends there.
+    next = state
+      .store
+      .get_at(&stored_key, previous)
       .await
       .unwrap_or_default();
   }
   Ok(Json(HistoryBody { key, revisions }))
 }
 
-/// The revision that the writer has read; 0 for a document that is not there yet.
+/// The revision in the `If-Match` header; 0 means that the document does not exist yet.
 fn expected(headers: &HeaderMap) -> Result<u64, Problem> {
   let Some(value) = headers.get(header::IF_MATCH) else {
     let message = "the If-Match header must carry the revision that you have read, or 0";
@@ -129,26 +129,26 @@
 }
 
 pub(super) async fn write(
-  State(desk): State<Arc<Desk>>,
+  State(state): State<Arc<AdminState>>,
   Path(key): Path<String>,
   headers: HeaderMap,
   text: String,
 ) -> Result<Response, Problem> {
-  let key = checked_key(&key)?;
+  let key = parse_key(&key)?;
   let expected = expected(&headers)?;
-  if text.len() > MOST_DOCUMENT_BYTES {
-    let message = format!("{key}: larger than {MOST_DOCUMENT_BYTES} bytes");
+  if text.len() > MAX_DOCUMENT_BYTES {
+    let message = format!("{key}: larger than {MAX_DOCUMENT_BYTES} bytes");
     return Err(Problem::new(StatusCode::PAYLOAD_TOO_LARGE, message));
   }
   parse_document(&key, &text).map_err(|error| Problem::new(StatusCode::BAD_REQUEST, error))?;
-  let swapped = desk
-    .service
+  let swapped = state
+    .store
     .compare_and_swap(&stored_key(&key), expected, &text, None)
     .await;
   let revision = match swapped {
     Ok(SwapOutcome::Done(revision)) => revision,
-    Ok(SwapOutcome::Conflict(present)) => return Err(Problem::conflict(present)),
-    Err(error) => read_back(&desk, &key, expected, &text, &error).await?,
+    Ok(SwapOutcome::Conflict(current)) => return Err(Problem::conflict(current)),
+    Err(error) => read_back(&state, &key, expected, &text, &error).await?,
   };
   let text: Name = text.into();
   let document = Document {
@@ -156,20 +156,20 @@
     revision,
     text: text.clone(),
   };
-  desk.to_platform.send(vec![document]).await;
-  Ok(answer(StatusCode::OK, key, revision, text))
+  state.to_platform.send(vec![document]).await;
+  Ok(document_response(StatusCode::OK, key, revision, text))
 }
 
-/// Settles a write without an answer: it may have taken effect, or may do so late.
+/// Reads back a write that got no response: it may have taken effect, or may still do so.
 async fn read_back(
-  desk: &Desk,
+  state: &AdminState,
   key: &Name,
   expected: u64,
   text: &str,
   error: &KeyValueError,
 ) -> Result<u64, Problem> {
-  for _ in 0..READ_BACKS {
-    match desk.service.get(&stored_key(key)).await {
+  for _ in 0..READ_BACK_ATTEMPTS {
+    match state.store.get(&stored_key(key)).await {
       Ok(Some(stored)) if stored.revision > expected => {
         return if stored.value == text {
           Ok(stored.revision)
@@ -177,14 +177,15 @@
           Err(Problem::conflict(stored.revision))
         };
       }
-      Ok(_) | Err(_) => sleep(READ_BACK_PAUSE).await,
+      Ok(_) | Err(_) => sleep(READ_BACK_PERIOD).await,
     }
   }
-  let message = format!("{error}; unknown whether the write takes effect: read it again");
+  let message =
+    format!("{error}; it is unknown whether the write took effect; read the document again");
   Err(Problem::new(StatusCode::SERVICE_UNAVAILABLE, message))
 }
 
-fn answer(status: StatusCode, key: Name, revision: u64, text: Name) -> Response {
+fn document_response(status: StatusCode, key: Name, revision: u64, text: Name) -> Response {
   let body = ConfigurationBody {
     key,
     revision,
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,14 +1,14 @@
 //! The administration API, on its own listener with its own keys.
 
 mod configuration;
-mod desk;
-mod duty;
 mod problem;
 mod router;
+mod state;
+mod worker;
 
 pub(crate) use self::{
-  desk::Desk,
-  duty::{AdminSetup, run},
+  state::AdminState,
+  worker::{AdminSetup, run},
 };
 
 pub use self::{
--- a/src/admin/problem.rs
+++ b/src/admin/problem.rs
@@ -1,4 +1,4 @@
-//! What an operator is told of a refused call.
+//! Error responses of the administration API.
 
 use {
   axum::{
@@ -9,17 +9,17 @@
   serde::{Deserialize, Serialize},
 };
 
-/// The body of a refused call.
+/// The body of an error response.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ProblemBody {
   /// What is wrong, and where.
   pub error: String,
-  /// The present revision, on a conflict.
+  /// The current revision, on a conflict.
   #[serde(default, skip_serializing_if = "Option::is_none")]
   pub revision: Option<u64>,
 }
 
-/// A refused call.
+/// An error response.
 #[derive(Debug)]
 pub(super) struct Problem {
   pub(super) status: StatusCode,
@@ -37,13 +37,14 @@
     }
   }
 
-  pub(super) fn conflict(present: u64) -> Self {
+  /// The response to a write that expected another revision than the current one.
+  pub(super) fn conflict(current: u64) -> Self {
     let error =
-      format!("the document is at revision {present}; read it again and repeat the change");
+      format!("the document is at revision {current}; read it again and repeat the change");
     Self {
       body: ProblemBody {
         error,
-        revision: Some(present),
+        revision: Some(current),
       },
       status: StatusCode::CONFLICT,
     }
--- a/src/admin/router.rs
+++ b/src/admin/router.rs
@@ -1,7 +1,7 @@
-//! The administration routes and the check of keys before each.
+//! Routes of the administration API, and the key check before each.
 
 use {
-  super::{configuration, desk::Desk, problem::Problem},
+  super::{configuration, problem::Problem, state::AdminState},
   crate::{
     bearer_key::BearerKey,
     configuration::hash_key,
@@ -20,7 +20,7 @@
   std::sync::Arc,
 };
 
-pub(super) fn router(desk: Arc<Desk>) -> Router {
+pub(super) fn router(state: Arc<AdminState>) -> Router {
   Router::new()
     .route("/status", get(status))
     .route("/events", get(events))
@@ -32,35 +32,35 @@
     )
     .route("/history/{*key}", get(configuration::history))
     .fallback(|| async { Problem::new(StatusCode::NOT_FOUND, "no such path") })
-    .layer(middleware::from_fn_with_state(desk.clone(), check_key))
-    .with_state(desk)
+    .layer(middleware::from_fn_with_state(state.clone(), check_key))
+    .with_state(state)
 }
 
 async fn check_key(
-  State(desk): State<Arc<Desk>>,
+  State(state): State<Arc<AdminState>>,
   request: Request,
   next: Next,
 ) -> Result<Response, Problem> {
-  if !is_allowed(&desk, request.headers()) {
+  if !is_allowed(&state, request.headers()) {
     let message = "the Authorization header must carry an administration key";
     return Err(Problem::new(StatusCode::UNAUTHORIZED, message));
   }
   Ok(next.run(request).await)
 }
 
-fn is_allowed(desk: &Desk, headers: &HeaderMap) -> bool {
+fn is_allowed(state: &AdminState, headers: &HeaderMap) -> bool {
   let Some(key) = BearerKey::read(headers).given() else {
     return false;
   };
   let hash = hash_key(key);
-  desk
+  state
     .keys_sha256
     .iter()
     .any(|known| known.eq_ignore_ascii_case(&hash))
 }
 
-async fn status(State(desk): State<Arc<Desk>>) -> Json<Status> {
-  Json(desk.status.load().as_ref().clone())
+async fn status(State(state): State<Arc<AdminState>>) -> Json<Status> {
+  Json(state.status.load().as_ref().clone())
 }
 
 #[derive(Deserialize)]
@@ -69,15 +69,24 @@
   since: u64,
 }
 
-async fn events(State(desk): State<Arc<Desk>>, Query(query): Query<Since>) -> Json<EventPage> {
-  Json(desk.timeline.since(query.since))
+async fn events(
+  State(state): State<Arc<AdminState>>,
+  Query(query): Query<Since>,
+) -> Json<EventPage> {
+  Json(state.timeline.since(query.since))
 }
 
-async fn drain(state: State<Arc<Desk>>, path: Path<String>) -> Result<Json<Drained>, Problem> {
+async fn drain(
+  state: State<Arc<AdminState>>,
+  path: Path<String>,
+) -> Result<Json<Drained>, Problem> {
   set_leaving(state, path, true).await
 }
 
-async fn undrain(state: State<Arc<Desk>>, path: Path<String>) -> Result<Json<Drained>, Problem> {
+async fn undrain(
+  state: State<Arc<AdminState>>,
+  path: Path<String>,
+) -> Result<Json<Drained>, Problem> {
   set_leaving(state, path, false).await
 }
 
@@ -88,16 +97,16 @@
 }
 
 async fn set_leaving(
-  State(desk): State<Arc<Desk>>,
+  State(state): State<Arc<AdminState>>,
   Path(name): Path<String>,
   leaving: bool,
 ) -> Result<Json<Drained>, Problem> {
-  let known = desk.endpoints.iter().find(|known| known.as_ref() == name);
+  let known = state.endpoints.iter().find(|known| known.as_ref() == name);
   let Some(endpoint) = known.cloned() else {
     let message = format!("`{name}` is no endpoint of this box's settings");
     return Err(Problem::new(StatusCode::NOT_FOUND, message));
   };
-  desk.to_decide.send(Event::Drain(endpoint, leaving)).await;
+  state.to_decide.send(Event::Drain(endpoint, leaving)).await;
   Ok(Json(Drained {
     endpoint: name,
     leaving,
--- a/src/admin/state.rs
+++ b/src/admin/state.rs
@@ -1,4 +1,4 @@
-//! What the handlers of the administration share.
+//! State shared by the handlers of the administration API.
 
 use {
   crate::{
@@ -12,11 +12,11 @@
   std::sync::Arc,
 };
 
-/// What the handlers share.
-pub(crate) struct Desk {
+/// State shared by the handlers of the administration API.
+pub(crate) struct AdminState {
   pub(crate) keys_sha256: Vec<Name>,
   pub(crate) endpoints: Vec<Name>,
-  pub(crate) service: KeyValueClient,
+  pub(crate) store: KeyValueClient,
   pub(crate) status: Arc<ArcSwap<Status>>,
   pub(crate) timeline: Arc<Timeline>,
   pub(crate) to_decide: Sender<Event>,
--- a/src/admin/worker.rs
+++ b/src/admin/worker.rs
@@ -1,25 +1,25 @@
-//! The administration duty.
+//! The administration worker.
 
 use {
-  super::{desk::Desk, router::router},
+  super::{router::router, state::AdminState},
   crate::listener::{ListenerBounds, serve},
   std::{sync::Arc, time::Duration},
 };
 
-const CONNECTIONS: usize = 64;
+const MAX_CONNECTIONS: usize = 64;
 const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What the administration duty starts with.
+/// State and listener of the administration worker.
 pub(crate) struct AdminSetup {
-  pub(crate) desk: Desk,
   pub(crate) listener: std::net::TcpListener,
+  pub(crate) state: AdminState,
 }
 
-/// Runs the administration duty until the process ends.
+/// Runs the administration worker until the process exits.
 pub(crate) async fn run(setup: AdminSetup) {
   let bounds = ListenerBounds {
-    connections: CONNECTIONS,
+    connections: MAX_CONNECTIONS,
     header_timeout: HEADER_TIMEOUT,
   };
-  serve(setup.listener, router(Arc::new(setup.desk)), bounds).await;
+  serve(setup.listener, router(Arc::new(setup.state)), bounds).await;
 }
