--- a/emulator/src/engine/routes.rs
+++ b/emulator/src/engine/routes.rs
@@ -17,9 +17,10 @@
   rillford::{
     decide::{CancelAnswer, Role},
     endpoint_api::{
-      AttemptsReply, BYTES_PER_TOKEN, CacheEventsReply, CancelReply, CancelRequest, DecodeChunk,
-      DecodeRequest, FinishReason, HoldsReply, HoldsRequest, ImportAnswer, ImportRequest,
-      CommandRejection, PrefillAnswer, PrefillRequest, RejectionReply, RoleRequest, prefix_blocks,
+      AttemptsReply, BYTES_PER_TOKEN, CacheEventsReply, CancelReply, CancelRequest,
+      CommandRejection, DecodeChunk, DecodeRequest, FinishReason, HoldsReply, HoldsRequest,
+      ImportAnswer, ImportRequest, PrefillAnswer, PrefillRequest, RejectionReply, RoleRequest,
+      prefix_blocks,
     },
     ids::AttemptId,
   },
@@ -82,7 +83,10 @@
       return Err(Box::new(cancelled()));
     }
     if inner.role != role {
-      let refusal = refuse(StatusCode::SERVICE_UNAVAILABLE, CommandRejection::NotServing);
+      let refusal = refuse(
+        StatusCode::SERVICE_UNAVAILABLE,
+        CommandRejection::NotServing,
+      );
       return Err(Box::new(refusal));
     }
     if inner.faults.full || inner.attempts.len() >= self.options.seats as usize {
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -107,7 +107,11 @@
   }
 
   /// Sends a GET request and parses the JSON response.
-  pub async fn get<A: DeserializeOwned>(&self, uri: &str, timeout: Duration) -> Result<A, CallError> {
+  pub async fn get<A: DeserializeOwned>(
+    &self,
+    uri: &str,
+    timeout: Duration,
+  ) -> Result<A, CallError> {
     let request = Request::get(parse_uri(uri)?)
       .body(Full::default())
       .map_err(|error| CallError::NotSent(error.to_string()))?;
