--- a/src/store/claims.rs
+++ b/src/store/claims.rs
@@ -88,7 +88,7 @@
     let stored = match client.get(&key).await {
       Ok(Some(stored)) if stored.value == token => stored,
       Ok(Some(_)) => return,
-      // An own write without a response may still take effect.
+      // The claim's own write may still take effect if it got no response.
       Ok(None) | Err(_) => {
         back_off(&mut backoff).await;
         continue;
--- a/src/store/worker.rs
+++ b/src/store/worker.rs
@@ -208,7 +208,7 @@
     }
   }
 
-  /// The live boxes of the own hall, including this one.
+  /// The live boxes of this box's hall, including itself.
   fn hall_boxes(&self) -> Vec<Name> {
     let status = self.status.load();
     let mut boxes = status
