--- a/src/gateway/limits/messages.rs
+++ b/src/gateway/limits/messages.rs
@@ -52,7 +52,7 @@
   timeout: Duration,
 ) -> Result<UsageResponse, CallError> {
   let body = send_message(http, address, USAGE_PATH, report, timeout).await?;
-  postcard::from_bytes(&body).map_err(|error| CallError::Answer(error.to_string()))
+  postcard::from_bytes(&body).map_err(|error| CallError::InvalidResponse(error.to_string()))
 }
 
 /// Sends this coordinator's totals to another one.
--- a/src/gateway/membership/relay.rs
+++ b/src/gateway/membership/relay.rs
@@ -48,8 +48,8 @@
   let request = Request::get(format!("http://{address}/changes/{revision}"))
     .body(Full::new(Bytes::new()))
     .map_err(|error| CallError::NotSent(error.to_string()))?;
-  let body = http.bytes(request, POLL_WAIT + POLL_MARGIN).await?;
-  postcard::from_bytes(&body).map_err(|error| CallError::Answer(error.to_string()))
+  let body = http.fetch_bytes(request, POLL_WAIT + POLL_MARGIN).await?;
+  postcard::from_bytes(&body).map_err(|error| CallError::InvalidResponse(error.to_string()))
 }
 
 /// Serves calls of other boxes until the process exits.
--- a/src/gateway/permits/messages.rs
+++ b/src/gateway/permits/messages.rs
@@ -61,7 +61,7 @@
   timeout: Duration,
 ) -> Result<PermitResponse, CallError> {
   let body = send_message(http, address, PERMITS_PATH, request, timeout).await?;
-  postcard::from_bytes(&body).map_err(|error| CallError::Answer(error.to_string()))
+  postcard::from_bytes(&body).map_err(|error| CallError::InvalidResponse(error.to_string()))
 }
 
 /// Handles another box's request for permits; responds with 409 when this box is not the endpoint's coordinator.
--- a/tests/contracts.rs
+++ b/tests/contracts.rs
@@ -13,9 +13,9 @@
     configuration::Store,
     decide::{Document, PeerMessage},
     observe::Stamp,
-    peers::{Frame, FrameError, MOST_FRAME_BYTES, decode, encode},
+    peers::{Frame, FrameError, MAX_FRAME_BYTES, decode, encode},
     settings::Settings,
-    store::KeyValue,
+    store::KeyValueClient,
   },
   rstest::rstest,
   std::{sync::Arc, time::Duration},
@@ -156,7 +156,7 @@
 #[rstest]
 #[case::empty(Vec::new(), FrameError::Empty)]
 #[case::other_version(vec![9, 1, 2], FrameError::Version(9))]
-#[case::too_large(vec![1; MOST_FRAME_BYTES + 1], FrameError::TooLarge(MOST_FRAME_BYTES + 1))]
+#[case::too_large(vec![1; MAX_FRAME_BYTES + 1], FrameError::TooLarge(MAX_FRAME_BYTES + 1))]
 fn refused_frames(#[case] bytes: Vec<u8>, #[case] wanted: FrameError) {
   assert_eq!(decode(&bytes), Err(wanted));
 }
@@ -490,7 +490,7 @@
 async fn lapsed_lease_is_not_extended_by_the_id_of_a_later_one() {
   let (router, _faults) = KeyValueStandIn::default().door();
   let host = Host::start(router).unwrap();
-  let service = KeyValue::new(&host.url(), PATIENCE, Arc::new(|| {}));
+  let service = KeyValueClient::new(&host.url(), PATIENCE, Arc::new(|| {}));
   let lapsed = service.grant_lease(Duration::from_secs(1)).await.unwrap();
   let over = eventually(PATIENCE, async || {
     tokio::time::sleep(Duration::from_millis(1_100)).await;
