--- a/tests/gateway/mod.rs
+++ b/tests/gateway/mod.rs
@@ -26,7 +26,7 @@
 mod role_plan;
 mod roles;
 mod seats;
-mod store_path;
+mod store_proxy;
 mod streams;
 
 pub(crate) use self::{
--- a/tests/gateway/organisations.rs
+++ b/tests/gateway/organisations.rs
@@ -1,7 +1,9 @@
 //! Whose request it is: keys, organisations, and what endpoints are told of them.
 
 use {
-  super::{EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply, Seen, store_path::StorePath},
+  super::{
+    EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply, Seen, store_proxy::StoreProxy,
+  },
   emulator::eventually,
   http::{HeaderValue, StatusCode, header::AUTHORIZATION},
   rstest::rstest,
@@ -198,7 +200,7 @@
 async fn box_cut_off_from_the_store_hears_of_keys_from_another() {
   let one = EndpointStandIn::start(|seen| Reply::ok(seen, "one")).await;
   let test = GatewayTest::new().await.configure(with_organisations);
-  let path = StorePath::to(test.store.address).await;
+  let path = StoreProxy::to(test.store.address).await;
   let beside = test.beside("north-2", path.address);
   let sound = test.with_portal(&one).await;
   let cut_off = beside.start().await;
