--- a/tests/gateway/crashing_request.rs
+++ b/tests/gateway/crashing_request.rs
@@ -1,22 +1,10 @@
-//! A request that ends each engine that runs it comes again under new ids, at all boxes.
-//!
-//! Two requests ended sixteen engines each although every try kept to its route's two attempts. The engine ended within a tenth
-//! of a second of the first token, the box sent the request to one more engine, which ended too, and told the caller that its stream
-//! was broken off. Then the caller came again, at another box and under another id, and it all began anew: nothing that a box
-//! knew of a request outlasted its try, and no box told another. What settled it, for two tries of one request at one box:
-//!
-//! ```text
-//! E510 streaming: at i-8c25dbc6ee with status 200 OK, read by i-e2eb8de501: seat 1 ms, prompt 36 ms, head 13 ms, try 1
-//! E506 stream broke: after event None: error reading a body from connection
-//! E510 streaming: at i-06ebedeca0 with status 200 OK, read by i-d5faae2d4a: seat 8 ms, prompt 39 ms, head 18 ms, try 2
-//! E506 stream broke: after event None: error reading a body from connection
-//! E511 reservation failed: at i-8c25dbc6ee: unsent: Connection refused (os error 111)
-//! ```
+//! A request that crashes each engine that runs it, sent again under new request IDs and to all boxes. Guards against crash loops: the
+//! attempts limit of a route does not stop a caller that sends the request again.
 
 use {
   super::{
     EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply, Seen, endpoint::engine_reply,
-    store_path::StorePath,
+    store_proxy::StoreProxy,
   },
   emulator::eventually,
   http::{Request, StatusCode},
@@ -34,21 +22,24 @@
 };
 
 const EVENTS: &str = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
-/// The body that ends engines.
+/// The body that crashes engines.
 const CRASHING: &str = "a prompt that no engine survives";
-/// How long an engine is down.
-const DOWN: Duration = Duration::from_millis(300);
-/// Engines that write answers.
-const WRITERS: usize = 6;
-/// The users' bound on what boxes know of each other, as in the boxes' settings.
+/// How long a crashed engine is down.
+const DOWNTIME: Duration = Duration::from_millis(300);
+/// Number of decode engines.
+const DECODE_ENGINES: usize = 6;
+/// Time within which boxes share what they know, as in their settings.
 const CONTACT: Duration = Duration::from_millis(3_000);
-/// The users' bound: so many more may be sent such a request after that.
-const MOST_MORE: usize = 3;
+/// Bound on the engines that get the request after that.
+const MAX_MORE: usize = 3;
 
-/// An engine that ends as soon as it runs the crashing request.
+/// An engine that crashes as soon as it runs the crashing request.
 pub(super) fn fragile(seen: &Seen) -> Reply {
   if is_crashing_run(seen) {
-    return Reply::End(Reply::stream_part(seen, "").replace("0\r\n\r\n", ""), DOWN);
+    return Reply::End(
+      Reply::stream_part(seen, "").replace("0\r\n\r\n", ""),
+      DOWNTIME,
+    );
   }
   engine_reply(seen, EVENTS)
 }
@@ -57,27 +48,27 @@
   !seen.is_prompt() && seen.body == CRASHING.as_bytes()
 }
 
-/// Engines that write answers and are as easily ended, each back under its id.
-pub(super) async fn fragile_writers(test: &GatewayTest, count: usize) -> Vec<EndpointStandIn> {
-  let mut writers = Vec::new();
+/// Decode engines that crash on the crashing request, and restart under the same ID.
+pub(super) async fn fragile_engines(test: &GatewayTest, count: usize) -> Vec<EndpointStandIn> {
+  let mut engines = Vec::new();
   for number in 0..count {
     let store = test.store.clone();
     let id = format!("e-{}", 10 + number);
     let on_start = move |address, start| {
       GatewayTest::enter_life(&store, &id, "decode", address, 1_000 * start);
     };
-    writers.push(EndpointStandIn::start_in_lives(fragile, on_start).await);
+    engines.push(EndpointStandIn::start_in_lives(fragile, on_start).await);
   }
-  writers
+  engines
 }
 
-/// How often the crashing request has begun to run.
-pub(super) fn crashing_runs(writers: &[EndpointStandIn]) -> usize {
-  let runs = writers.iter().flat_map(EndpointStandIn::requests);
+/// How often the crashing request was run.
+pub(super) fn crashing_runs(engines: &[EndpointStandIn]) -> usize {
+  let runs = engines.iter().flat_map(EndpointStandIn::requests);
   runs.filter(is_crashing_run).count()
 }
 
-/// The crashing request, under an id of its own.
+/// The crashing request with a given request ID.
 pub(super) fn crashing(gateway: &GatewayBox, id: &str) -> Request<Full<bytes::Bytes>> {
   let mut request = gateway.request("/resumable/a", id);
   *request.body_mut() = Full::from(CRASHING);
@@ -85,35 +76,37 @@
 }
 
 #[tokio::test]
-async fn request_that_ended_three_engines_is_sent_to_few_more_whichever_box_it_comes_to() {
+async fn request_that_crashed_three_engines_reaches_few_more_through_any_box() {
   let test = GatewayTest::new().await;
-  let reader = EndpointStandIn::engine(EVENTS).await;
-  test.enter("e-1", "llm", Some("prefill"), &reader);
-  let writers = fragile_writers(&test, WRITERS).await;
+  let prefill = EndpointStandIn::engine(EVENTS).await;
+  test.enter("e-1", "llm", Some("prefill"), &prefill);
+  let engines = fragile_engines(&test, DECODE_ENGINES).await;
   let others = ["north-2", "north-3"].map(|name| test.beside(name, test.store.address));
   let mut boxes = vec![test.start().await];
   for other in others {
     boxes.push(other.start().await);
   }
-  let mut tries = 0;
-  while crashing_runs(&writers) < 3 {
-    tries += 1;
-    let gateway = &boxes[tries % boxes.len()];
-    let _ = gateway.send(crashing(gateway, &format!("c-{tries}"))).await;
-    sleep(DOWN).await;
+  let mut attempts = 0;
+  while crashing_runs(&engines) < 3 {
+    attempts += 1;
+    let gateway = &boxes[attempts % boxes.len()];
+    let _ = gateway
+      .send(crashing(gateway, &format!("c-{attempts}")))
+      .await;
+    sleep(DOWNTIME).await;
   }
   sleep(CONTACT).await;
-  let before = crashing_runs(&writers);
+  let before = crashing_runs(&engines);
   for number in 0..12 {
     let gateway = &boxes[number % boxes.len()];
     let _ = gateway
       .send(crashing(gateway, &format!("d-{number}")))
       .await;
-    sleep(DOWN / 2).await;
+    sleep(DOWNTIME / 2).await;
   }
-  let more = crashing_runs(&writers) - before;
-  assert!(more <= MOST_MORE, "it was sent to {more} more engines");
-  sleep(2 * DOWN).await;
+  let more = crashing_runs(&engines) - before;
+  assert!(more <= MAX_MORE, "{more} more engines got the request");
+  sleep(2 * DOWNTIME).await;
   for gateway in &boxes {
     let asked = gateway.ask("/resumable/a", "other").await;
     assert_eq!(asked.status, StatusCode::OK);
@@ -121,47 +114,49 @@
   }
 }
 
-/// Sends the crashing request to a box until three engines have ended, and it has told so.
-async fn end_three(gateway: &GatewayBox, writers: &[EndpointStandIn]) {
-  let mut tries = 0;
-  while crashing_runs(writers) < 3 {
-    tries += 1;
-    let _ = gateway.send(crashing(gateway, &format!("e-{tries}"))).await;
-    sleep(DOWN).await;
+/// Sends the crashing request to a box until three engines have crashed.
+async fn crash_three(gateway: &GatewayBox, engines: &[EndpointStandIn]) {
+  let mut attempts = 0;
+  while crashing_runs(engines) < 3 {
+    attempts += 1;
+    let _ = gateway
+      .send(crashing(gateway, &format!("e-{attempts}")))
+      .await;
+    sleep(DOWNTIME).await;
   }
 }
 
-/// How many marks the store has, of those who ended and of trials.
+/// The number of quarantine marks of a kind in the store.
 fn marks(test: &GatewayTest, kind: &str) -> usize {
   let keys = test.store.keys();
   let of_kind = |key: &&String| key.contains("/quarantine/") && key.contains(kind);
   keys.iter().filter(of_kind).count()
 }
 
-/// Asks until a try is held: it reached no endpoint, is told so at once, and when to come back.
-async fn is_held(gateway: &GatewayBox, writers: &[EndpointStandIn], id: &str) -> bool {
-  let before = crashing_runs(writers);
+/// Whether the crashing request is quarantined: rejected with a retry-after delay, and sent to no engine.
+async fn is_quarantined(gateway: &GatewayBox, engines: &[EndpointStandIn], id: &str) -> bool {
+  let before = crashing_runs(engines);
   let asked = gateway.send(crashing(gateway, id)).await;
-  let is_refused = asked.status == StatusCode::SERVICE_UNAVAILABLE;
-  is_refused && asked.headers.contains_key("retry-after") && crashing_runs(writers) == before
+  let is_rejected = asked.status == StatusCode::SERVICE_UNAVAILABLE;
+  is_rejected && asked.headers.contains_key("retry-after") && crashing_runs(engines) == before
 }
 
 #[tokio::test]
-async fn box_that_has_just_started_knows_what_is_held_and_bodies_stay_out_of_the_store() {
+async fn box_that_starts_later_knows_the_quarantine_and_bodies_stay_out_of_the_store() {
   let test = GatewayTest::new().await;
-  let reader = EndpointStandIn::engine(EVENTS).await;
-  test.enter("e-1", "llm", Some("prefill"), &reader);
-  let writers = fragile_writers(&test, WRITERS).await;
+  let prefill = EndpointStandIn::engine(EVENTS).await;
+  test.enter("e-1", "llm", Some("prefill"), &prefill);
+  let engines = fragile_engines(&test, DECODE_ENGINES).await;
   let later = test.beside("north-2", test.store.address);
   let gateway = test.start().await;
-  end_three(&gateway, &writers).await;
-  // The first trial, and what follows it.
-  let held = async || is_held(&gateway, &writers, "f").await;
-  assert!(eventually(PATIENCE, held).await);
+  crash_three(&gateway, &engines).await;
+  // The first probe crashes one more engine, and quarantines the request.
+  let quarantined = async || is_quarantined(&gateway, &engines, "f").await;
+  assert!(eventually(PATIENCE, quarantined).await);
   assert!(eventually(PATIENCE, async || marks(&gateway.test, "ended") >= 4).await);
   assert_eq!(marks(&gateway.test, "trial"), 1);
   let later = later.start().await;
-  assert!(is_held(&later, &writers, "g").await);
+  assert!(is_quarantined(&later, &engines, "g").await);
   let keys = gateway.test.store.keys().join(" ");
   assert!(
     !keys.contains("prompt") && !keys.contains("survives"),
@@ -170,86 +165,79 @@
 }
 
 #[tokio::test]
-async fn box_that_the_store_turns_away_has_another_one_write_its_marks() {
+async fn box_that_is_cut_off_from_the_store_has_another_one_write_its_marks() {
   let test = GatewayTest::new().await;
-  let reader = EndpointStandIn::engine(EVENTS).await;
-  test.enter("e-1", "llm", Some("prefill"), &reader);
-  let writers = fragile_writers(&test, WRITERS).await;
-  let path = StorePath::to(test.store.address).await;
-  let turned_away = test.beside("north-2", path.address);
-  let sound = test.start().await;
-  let turned_away = turned_away.start().await;
+  let prefill = EndpointStandIn::engine(EVENTS).await;
+  test.enter("e-1", "llm", Some("prefill"), &prefill);
+  let engines = fragile_engines(&test, DECODE_ENGINES).await;
+  let proxy = StoreProxy::to(test.store.address).await;
+  let isolated = test.beside("north-2", proxy.address);
+  let connected = test.start().await;
+  let isolated = isolated.start().await;
   let boxes_entered = async || {
-    let keys = sound.test.store.keys();
+    let keys = connected.test.store.keys();
     keys.iter().filter(|key| key.contains("/boxes/")).count() == 2
   };
   assert!(eventually(PATIENCE, boxes_entered).await);
-  // What is entered now is known after the boxes' entries.
+  // This entry arrives after those of the boxes.
   let late = EndpointStandIn::start(|seen| Reply::ok(seen, "late")).await;
-  sound.test.enter("p-1", "portal", None, &late);
-  let knows = async || turned_away.ask("/safe/a", "s").await.status == StatusCode::OK;
+  connected.test.enter("p-1", "portal", None, &late);
+  let knows = async || isolated.ask("/safe/a", "s").await.status == StatusCode::OK;
   assert!(eventually(PATIENCE, knows).await);
-  path.cut().await;
-  end_three(&turned_away, &writers).await;
-  assert!(eventually(PATIENCE, async || marks(&sound.test, "ended") >= 3).await);
-  let held = async || is_held(&sound, &writers, "f").await;
-  assert!(eventually(PATIENCE, held).await);
+  proxy.cut().await;
+  crash_three(&isolated, &engines).await;
+  assert!(eventually(PATIENCE, async || marks(&connected.test, "ended") >= 3).await);
+  let quarantined = async || is_quarantined(&connected, &engines, "f").await;
+  assert!(eventually(PATIENCE, quarantined).await);
 }
 
-/// Eight tries come at the same moment, and their prompts are read one after the other: those that are read last have been let in before
-/// any engine ended, and are looked at again before they are sent.
+/// Eight attempts arrive at once and are prefilled one after the other: the last ones were admitted before any engine crashed, and must
+/// be checked again before they are sent.
 #[tokio::test]
-async fn tries_that_wait_while_others_end_engines_are_not_sent() {
+async fn attempts_that_wait_while_others_crash_engines_are_not_sent() {
   let test = GatewayTest::new().await;
-  let reads = AtomicUsize::new(0);
-  let reader = EndpointStandIn::start(move |seen| match engine_reply(seen, EVENTS) {
+  let prefills = AtomicUsize::new(0);
+  let prefill = EndpointStandIn::start(move |seen| match engine_reply(seen, EVENTS) {
     Reply::Write(text) if seen.is_prompt() => {
-      let turn = reads.fetch_add(1, Ordering::SeqCst) as u32;
-      Reply::WriteLater(DOWN * turn, text)
+      let number = prefills.fetch_add(1, Ordering::SeqCst) as u32;
+      Reply::WriteLater(DOWNTIME * number, text)
     }
     other => other,
   })
   .await;
-  test.enter("e-1", "llm", Some("prefill"), &reader);
-  let writers = fragile_writers(&test, WRITERS).await;
+  test.enter("e-1", "llm", Some("prefill"), &prefill);
+  let engines = fragile_engines(&test, DECODE_ENGINES).await;
   let gateway = test.start().await;
-  let tries: Vec<_> = (0..8)
+  let attempts: Vec<_> = (0..8)
     .map(|number| crashing(&gateway, &format!("c-{number}")))
     .map(|request| tokio::spawn(async move { HttpClient::default().send(request).await.is_ok() }))
     .collect();
-  for one in tries {
-    one.await.unwrap();
+  for attempt in attempts {
+    attempt.await.unwrap();
   }
-  // A slow machine refuses some of them for want of a seat: then others come, one by one.
-  let three_began = async || {
-    if crashing_runs(&writers) < 3 {
+  // A slow machine rejects some of them for lack of a slot: then send more, one by one.
+  let three_ran = async || {
+    if crashing_runs(&engines) < 3 {
       let _ = gateway.send(crashing(&gateway, "late")).await;
     }
-    crashing_runs(&writers) >= 3
+    crashing_runs(&engines) >= 3
   };
-  assert!(eventually(PATIENCE, three_began).await);
-  // Three, and what was on its way when the third ended.
-  let runs = crashing_runs(&writers);
-  assert!(runs <= 5, "{runs} began");
+  assert!(eventually(PATIENCE, three_ran).await);
+  // Three, and those in flight when the third engine crashed.
+  let runs = crashing_runs(&engines);
+  assert!(runs <= 5, "{runs} runs");
 }
 
-/// The test above once saw six runs. An engine was back at its address before its new entry had reached the box, and ended
-/// again: both ends passed for one, since the life that had been chosen was the same. Five ends counted as three. The lines
-/// that settled it:
-///
-/// ```text
-/// E528 part lost: c-0 (aeab4123) at e-10 born Some(1000), 44 ms after it was sent: error reading a body from connection; endpoint Ended
-/// E528 part lost: c-1 (aeab4123) at e-10 born Some(1000), 48 ms after it was sent: error reading a body from connection; endpoint Ended
-/// ```
+/// An engine that restarts and crashes again before its new entry reaches the box: the two crashes must not count as one.
 #[tokio::test]
-async fn life_that_is_not_entered_yet_ends_by_itself() {
-  const BACK_AFTER: Duration = Duration::from_millis(20);
-  const ENTERED_AFTER: Duration = Duration::from_millis(450);
+async fn crash_of_an_incarnation_that_is_not_registered_yet_counts_by_itself() {
+  const RESTART_DELAY: Duration = Duration::from_millis(20);
+  const REGISTRATION_DELAY: Duration = Duration::from_millis(450);
   let test = GatewayTest::new().await;
-  let reader = EndpointStandIn::engine(EVENTS).await;
-  test.enter("e-1", "llm", Some("prefill"), &reader);
+  let prefill = EndpointStandIn::engine(EVENTS).await;
+  test.enter("e-1", "llm", Some("prefill"), &prefill);
   let script = |seen: &Seen| match is_crashing_run(seen) {
-    true => Reply::End(String::new(), BACK_AFTER),
+    true => Reply::End(String::new(), RESTART_DELAY),
     false => engine_reply(seen, EVENTS),
   };
   let store = test.store.clone();
@@ -261,44 +249,44 @@
     }
     let store = store.clone();
     tokio::spawn(async move {
-      sleep(ENTERED_AFTER).await;
+      sleep(REGISTRATION_DELAY).await;
       GatewayTest::enter_life(&store, "e-10", "decode", address, 1_000 * start);
     });
   };
-  let writer = EndpointStandIn::start_in_lives(script, on_start).await;
+  let engine = EndpointStandIn::start_in_lives(script, on_start).await;
   let gateway = test.start().await;
   for number in 0..12 {
     let mut request = gateway.request("/stream/a", &format!("c-{number}"));
     *request.body_mut() = Full::from(CRASHING);
     let _ = gateway.send(request).await;
-    // Each second one reaches a life that is not entered yet.
+    // Every second one reaches an incarnation that is not registered yet.
     let is_early = number % 2 == 0;
     sleep(if is_early {
-      BACK_AFTER * 4
+      RESTART_DELAY * 4
     } else {
-      ENTERED_AFTER * 2
+      REGISTRATION_DELAY * 2
     })
     .await;
   }
-  // Three, the trial, and one that began before the third end was known.
-  let runs = crashing_runs(&[writer]);
-  assert!((3..=5).contains(&runs), "{runs} began");
+  // Three, the probe, and one sent before the third crash was known.
+  let runs = crashing_runs(&[engine]);
+  assert!((3..=5).contains(&runs), "{runs} runs");
 }
 
-/// What shared the end of three engines by chance, and comes back whole.
+/// A request that was in flight on three crashing engines by chance, and then succeeds.
 #[tokio::test]
-async fn innocent_request_is_held_for_one_run() {
+async fn innocent_request_is_quarantined_for_one_run() {
   let test = GatewayTest::new().await;
-  let reader = EndpointStandIn::engine(EVENTS).await;
-  test.enter("e-1", "llm", Some("prefill"), &reader);
-  let ends = Arc::new(AtomicUsize::new(0));
-  let mut writers = Vec::new();
-  for number in 0..WRITERS {
-    let (store, ends) = (test.store.clone(), ends.clone());
+  let prefill = EndpointStandIn::engine(EVENTS).await;
+  test.enter("e-1", "llm", Some("prefill"), &prefill);
+  let crashes = Arc::new(AtomicUsize::new(0));
+  let mut engines = Vec::new();
+  for number in 0..DECODE_ENGINES {
+    let (store, crashes) = (test.store.clone(), crashes.clone());
     let script = move |seen: &Seen| {
       let is_run = seen.path.starts_with("/resumable/") && !seen.is_prompt();
-      if is_run && ends.fetch_add(1, Ordering::SeqCst) < 3 {
-        return Reply::End(String::new(), DOWN);
+      if is_run && crashes.fetch_add(1, Ordering::SeqCst) < 3 {
+        return Reply::End(String::new(), DOWNTIME);
       }
       engine_reply(seen, EVENTS)
     };
@@ -311,7 +299,7 @@
         start,
       );
     };
-    writers.push(EndpointStandIn::start_in_lives(script, on_start).await);
+    engines.push(EndpointStandIn::start_in_lives(script, on_start).await);
   }
   let gateway = test.start().await;
   let served = async || gateway.ask("/resumable/a", "r").await.status == StatusCode::OK;
@@ -320,31 +308,30 @@
   assert!(served().await);
 }
 
-/// Each kind of endpoint may end with a request: one that reads prompts, one that answers whole, one at work on what can't be
-/// repeated.
+/// Every kind of endpoint is protected: plain ones, prefill and decode engines, and those that run non-retryable requests.
 #[rstest]
-#[case::plain("/safe/a", None, Ends::Plain)]
-#[case::unrepeatable("/unsafe/a", None, Ends::Plain)]
-#[case::unrepeatable_stream("/stream/a", Some("decode"), Ends::Writing)]
-#[case::reading("/resumable/a", Some("prefill"), Ends::Reading)]
+#[case::plain("/safe/a", None, CrashingStage::Plain)]
+#[case::non_retryable("/unsafe/a", None, CrashingStage::Plain)]
+#[case::non_retryable_stream("/stream/a", Some("decode"), CrashingStage::Decode)]
+#[case::prefill("/resumable/a", Some("prefill"), CrashingStage::Prefill)]
 #[tokio::test]
-async fn all_kinds_of_endpoints_are_spared(
+async fn all_kinds_of_endpoints_are_protected(
   #[case] path: &str,
   #[case] stage: Option<&'static str>,
-  #[case] ends: Ends,
+  #[case] crashing: CrashingStage,
 ) {
   let test = GatewayTest::new().await;
-  let sound = EndpointStandIn::engine(EVENTS).await;
-  match ends {
-    Ends::Plain => {}
-    Ends::Writing => test.enter("e-1", "llm", Some("prefill"), &sound),
-    Ends::Reading => test.enter("e-1", "llm", Some("decode"), &sound),
+  let healthy = EndpointStandIn::engine(EVENTS).await;
+  match crashing {
+    CrashingStage::Plain => {}
+    CrashingStage::Decode => test.enter("e-1", "llm", Some("prefill"), &healthy),
+    CrashingStage::Prefill => test.enter("e-1", "llm", Some("decode"), &healthy),
   }
   let mut fragile = Vec::new();
-  for number in 0..WRITERS {
+  for number in 0..DECODE_ENGINES {
     let store = test.store.clone();
-    let script = move |seen: &Seen| match ends.is_struck(seen) {
-      true => Reply::End(String::new(), DOWN),
+    let script = move |seen: &Seen| match crashing.is_crashed_by(seen) {
+      true => Reply::End(String::new(), DOWNTIME),
       false => engine_reply(seen, EVENTS),
     };
     let on_start = move |address, start| {
@@ -357,36 +344,36 @@
     fragile.push(EndpointStandIn::start_in_lives(script, on_start).await);
   }
   let gateway = test.start().await;
-  let struck = || {
+  let crashing_runs = || {
     let seen = fragile.iter().flat_map(EndpointStandIn::requests);
-    seen.filter(|seen| ends.is_struck(seen)).count()
+    seen.filter(|seen| crashing.is_crashed_by(seen)).count()
   };
   for number in 0..20 {
     let _ = gateway.ask(path, &format!("r-{number}")).await;
-    sleep(DOWN / 2).await;
+    sleep(DOWNTIME / 2).await;
   }
-  // Three, the trial, and one that began before the third end was known.
-  assert!(struck() <= 5, "{} began", struck());
+  // Three, the probe, and one sent before the third crash was known.
+  assert!(crashing_runs() <= 5, "{} runs", crashing_runs());
 }
 
-/// Which part of a request ends endpoints.
+/// The stage of a request that crashes endpoints.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Ends {
+enum CrashingStage {
   Plain,
-  Reading,
-  Writing,
+  Prefill,
+  Decode,
 }
 
-impl Ends {
-  fn is_struck(self, seen: &Seen) -> bool {
-    let is_callers = ["/safe/", "/unsafe/", "/stream/", "/resumable/"];
-    if !is_callers.iter().any(|path| seen.path.starts_with(path)) {
+impl CrashingStage {
+  fn is_crashed_by(self, seen: &Seen) -> bool {
+    let caller_paths = ["/safe/", "/unsafe/", "/stream/", "/resumable/"];
+    if !caller_paths.iter().any(|path| seen.path.starts_with(path)) {
       return false;
     }
     match self {
       Self::Plain => true,
-      Self::Reading => seen.is_prompt(),
-      Self::Writing => !seen.is_prompt(),
+      Self::Prefill => seen.is_prompt(),
+      Self::Decode => !seen.is_prompt(),
     }
   }
 }
