--- a/tests/gateway/cold_endpoints.rs
+++ b/tests/gateway/cold_endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints that are cold: a short while after their start, or after a hall's drain, they carry few requests of all boxes together.
+//! Cold endpoints: for a short time after a start, or after the drain of their hall, they sustain few requests over all boxes.
 
 use {
   super::{
@@ -19,16 +19,16 @@
   tokio::time::sleep,
 };
 
-/// What the endpoints of these tests carry while they are cold, in requests a second.
+/// Requests per second that an endpoint sustains while cold.
 const COLD_PER_S: f64 = 4.0;
-/// How long they are cold after a start.
+/// Duration of a cold start.
 const COLD_S: f64 = 3.0;
-/// The users' bound: in one second a cold endpoint gets no more than this of all boxes together.
-const MOST_IN_A_SECOND: usize = (COLD_PER_S * 1.5 + 5.0) as usize;
+/// Bound on the requests of all boxes to a cold endpoint within one second.
+const MAX_PER_SECOND: usize = (COLD_PER_S * 1.5 + 5.0) as usize;
 const SECOND: Duration = Duration::from_secs(1);
 const EVENTS: &str = "id: 1\ndata: a\n\n";
 
-/// Both services' endpoints are cold after their starts.
+/// Configures a cold start for both services.
 fn with_cold_starts(configuration: &mut Value) {
   for service in configuration["services"].as_array_mut().unwrap() {
     service["coldStartS"] = json!(COLD_S);
@@ -36,7 +36,7 @@
   }
 }
 
-/// Boxes on one store that have heard of each other.
+/// Starts boxes on one store, and waits until they know each other.
 async fn start_boxes(test: GatewayTest, count: usize) -> Vec<GatewayBox> {
   let others: Vec<GatewayTest> = (2..=count)
     .map(|number| test.beside(&format!("north-{number}"), test.store.address))
@@ -52,23 +52,23 @@
   boxes
 }
 
-/// Has all boxes asked at once, again and again until the time is over; the statuses.
+/// Sends requests to all boxes at the same time, repeatedly for `time`; returns the statuses.
 async fn ask_all(boxes: &[GatewayBox], path: &str, time: Duration) -> Vec<StatusCode> {
   let began = Instant::now();
   let mut statuses = Vec::new();
   while began.elapsed() < time {
-    let asks = boxes.iter().enumerate().map(|(number, gateway)| {
+    let requests = boxes.iter().enumerate().map(|(number, gateway)| {
       let id = format!("{number}-{}", statuses.len());
       async move { gateway.ask(path, &id).await.status }
     });
-    statuses.extend(join_all(asks).await);
+    statuses.extend(join_all(requests).await);
     sleep(Duration::from_millis(20)).await;
   }
   statuses
 }
 
-/// The most requests that reached an endpoint in any second of a time.
-fn most_in_a_second(arrivals: &[Instant]) -> usize {
+/// The largest number of arrivals within one second.
+fn max_per_second(arrivals: &[Instant]) -> usize {
   let within = |from: &Instant| {
     arrivals
       .iter()
@@ -82,21 +82,20 @@
   endpoint.requests().iter().map(|seen| seen.at).collect()
 }
 
-/// The sum over boxes keeps to what a cold endpoint carries, and callers are told at once when to come back; once it is warm it
-/// gets everything.
+/// All boxes together stay within the rate of a cold endpoint and reject further requests at once; a warm endpoint gets all requests.
 #[tokio::test]
-async fn boxes_together_send_a_cold_endpoint_no_more_than_it_carries() {
+async fn boxes_together_send_a_cold_endpoint_no_more_than_it_sustains() {
   let one = EndpointStandIn::start(|seen| Reply::ok(seen, "one")).await;
   let test = GatewayTest::new().await.configure(with_cold_starts);
-  // A box that knows no endpoint is not ready.
+  // A box without endpoints is not ready.
   test.enter("e-1", "llm", Some("decode"), &one);
   let boxes = start_boxes(test, 3).await;
   boxes[0].test.enter_cold("p-1", "portal", None, &one, 2_500);
   let is_known = async || boxes[2].figure("rillford_endpoints_limited").await as usize == 1;
   assert!(eventually(PATIENCE, is_known).await);
   let statuses = ask_all(&boxes, "/unsafe/a", Duration::from_millis(1_900)).await;
-  let most = most_in_a_second(&arrivals(&one));
-  assert!(most <= MOST_IN_A_SECOND, "{most} in a second");
+  let most = max_per_second(&arrivals(&one));
+  assert!(most <= MAX_PER_SECOND, "{most} in a second");
   assert!(statuses.contains(&StatusCode::OK));
   assert!(statuses.contains(&StatusCode::SERVICE_UNAVAILABLE));
   let is_warm = async || boxes[0].figure("rillford_endpoints_limited").await as usize == 0;
@@ -106,7 +105,7 @@
 }
 
 #[tokio::test]
-async fn nobody_is_refused_while_a_warm_endpoint_has_room() {
+async fn no_request_is_rejected_while_a_warm_endpoint_has_capacity() {
   let cold = EndpointStandIn::start(|seen| Reply::ok(seen, "cold")).await;
   let warm = EndpointStandIn::start(|seen| Reply::ok(seen, "warm")).await;
   let test = GatewayTest::new().await.configure(with_cold_starts);
@@ -119,10 +118,10 @@
   assert!(eventually(PATIENCE, is_known).await);
   let statuses = ask_all(&boxes, "/unsafe/a", SECOND).await;
   assert!(statuses.iter().all(|status| *status == StatusCode::OK));
-  assert!(most_in_a_second(&arrivals(&cold)) <= MOST_IN_A_SECOND);
+  assert!(max_per_second(&arrivals(&cold)) <= MAX_PER_SECOND);
 }
 
-/// The endpoints of a hall whose drain ends may have turned cold shortly before, and their entries tell so late.
+/// Endpoints may turn cold just before the drain of their hall ends, and their entries lag behind.
 #[tokio::test]
 async fn hall_whose_drain_ends_is_used_as_cold_at_first() {
   let one = EndpointStandIn::start(|seen| Reply::ok(seen, "one")).await;
@@ -134,30 +133,30 @@
   let is_used = async || boxes[0].ask("/unsafe/a", "r").await.status == StatusCode::OK;
   assert!(eventually(PATIENCE, is_used).await);
   ask_all(&boxes, "/unsafe/b", SECOND).await;
-  let most = most_in_a_second(&arrivals(&one));
-  assert!(most <= MOST_IN_A_SECOND, "{most} in a second");
+  let most = max_per_second(&arrivals(&one));
+  assert!(most <= MAX_PER_SECOND, "{most} in a second");
 }
 
-/// Engines get a seat's call and the stream after it with one permit, and prompts with one each.
+/// The reservation of a slot and its stream share one permit; each prefill takes one.
 #[tokio::test]
-async fn cold_engines_get_no_more_prompts_and_streams_than_they_carry() {
-  let reader = EndpointStandIn::engine(EVENTS).await;
-  let writer = EndpointStandIn::start(|seen: &Seen| engine_reply(seen, EVENTS)).await;
+async fn cold_engines_get_no_more_prefills_and_streams_than_they_sustain() {
+  let prefill = EndpointStandIn::engine(EVENTS).await;
+  let decode = EndpointStandIn::start(|seen: &Seen| engine_reply(seen, EVENTS)).await;
   let test = GatewayTest::new().await.configure(with_cold_starts);
-  test.enter_cold("e-1", "llm", Some("prefill"), &reader, 60_000);
-  test.enter_cold("e-2", "llm", Some("decode"), &writer, 60_000);
+  test.enter_cold("e-1", "llm", Some("prefill"), &prefill, 60_000);
+  test.enter_cold("e-2", "llm", Some("decode"), &decode, 60_000);
   let boxes = start_boxes(test, 2).await;
   let statuses = ask_all(&boxes, "/stream/a", Duration::from_secs(2)).await;
   assert!(statuses.contains(&StatusCode::OK));
-  for engine in [&reader, &writer] {
-    let most = most_in_a_second(&arrivals(engine));
-    assert!(most <= MOST_IN_A_SECOND, "{most} in a second");
+  for engine in [&prefill, &decode] {
+    let most = max_per_second(&arrivals(engine));
+    assert!(most <= MAX_PER_SECOND, "{most} in a second");
   }
 }
 
-/// An endpoint that turns cold tells so in its answers before its entry does.
+/// An endpoint that turns cold signals it in its responses before its entry changes.
 #[tokio::test]
-async fn word_of_an_answer_counts() {
+async fn cold_header_of_a_response_applies() {
   let one = EndpointStandIn::start(|seen| match Reply::ok(seen, "one") {
     Reply::Write(text) => Reply::Write(text.replacen("\r\n", "\r\nx-cold-ms: 60000\r\n", 1)),
     other => other,
@@ -167,21 +166,21 @@
   test.enter("p-1", "portal", None, &one);
   let boxes = start_boxes(test, 1).await;
   ask_all(&boxes, "/unsafe/a", Duration::from_secs(2)).await;
-  let most = most_in_a_second(&arrivals(&one));
-  assert!(most <= MOST_IN_A_SECOND, "{most} in a second");
+  let most = max_per_second(&arrivals(&one));
+  assert!(most <= MAX_PER_SECOND, "{most} in a second");
   assert_eq!(
     boxes[0].figure("rillford_endpoints_limited").await as usize,
     1
   );
 }
 
-/// Entries and answers may have any number, or none.
+/// An entry with an invalid cold time is served.
 #[rstest]
 #[case::hours(json!(1e30))]
 #[case::below_zero(json!(-5))]
 #[case::text(json!("soon"))]
 #[tokio::test]
-async fn time_that_nobody_can_mean_does_no_harm(#[case] cold_ms: Value) {
+async fn invalid_cold_time_is_ignored(#[case] cold_ms: Value) {
   let one = EndpointStandIn::start(|seen| Reply::ok(seen, "one")).await;
   let test = GatewayTest::new().await.configure(with_cold_starts);
   let entry = json!({
@@ -194,14 +193,14 @@
   assert!(eventually(PATIENCE, is_served).await);
 }
 
-/// What an endpoint names and what it carries while it is cold share one account: the lower one holds.
+/// Of the advertised limit and that of a cold endpoint, the lower one applies.
 #[rstest]
-#[case::named_is_lower("1", LimitSource::Answer)]
+#[case::advertised_is_lower("1", LimitSource::Answer)]
 #[case::cold_is_lower("50", LimitSource::Cold)]
-fn lower_of_two_limits_holds(#[case] named: &str, #[case] source: LimitSource) {
+fn lower_of_two_limits_applies(#[case] advertised: &str, #[case] source: LimitSource) {
   let entry = entry();
   let mut limits = EndpointLimits::default();
-  limits.note_answer(&entry, NamedLimit::PerS(named.parse().unwrap()), 0, 10);
+  limits.note_answer(&entry, NamedLimit::PerS(advertised.parse().unwrap()), 0, 10);
   limits.note_cold(&entry.id, entry.born_ms, span(10, 1_000));
   let in_force: HeardLimit = limits.in_force(&entry, 500).unwrap();
   assert_eq!(in_force.source, source);
@@ -212,7 +211,7 @@
 }
 
 #[test]
-fn another_life_is_not_cold_and_a_warm_endpoint_has_no_limit() {
+fn another_incarnation_is_not_cold_and_a_warm_endpoint_has_no_limit() {
   let entry = entry();
   let mut limits = EndpointLimits::default();
   limits.note_cold(&entry.id, entry.born_ms, span(0, 0));
@@ -250,37 +249,36 @@
   }
 }
 
-/// A box of the replay: what it knows, and its questions to the one that counts.
+/// A simulated box.
 struct ReplayBox {
   limits: EndpointLimits,
   name: String,
 }
 
-/// How long the replay lasts.
-const LASTS_MS: u64 = 10_000;
+/// Simulated time.
+const DURATION_MS: u64 = 10_000;
 
-/// A hall comes back cold under full load: each box has requests for the endpoint. Answers of the box that counts come at once here,
-/// and a request arrives as it is sent. Answers with
-/// when requests were sent, and how many questions for permits there were.
+/// Simulates a cold endpoint under full load from all boxes, without latency. Returns when requests were sent, and the number of permit
+/// requests to the coordinator.
 fn replay_cold_endpoint(boxes: usize) -> (Vec<u64>, usize) {
-  const WANTED_PER_S: f64 = 200.0;
+  const OFFERED_PER_S: f64 = 200.0;
   let entry = entry();
-  let life = EndpointLife::of(&entry.id, entry.born_ms);
+  let incarnation = EndpointLife::of(&entry.id, entry.born_ms);
   let mut random = ChaCha8Rng::seed_from_u64(boxes as u64);
-  let mut counting = PermitBook::default();
+  let mut coordinator = PermitBook::default();
   let mut fleet: Vec<ReplayBox> = (0..boxes)
     .map(|number| {
       let mut limits = EndpointLimits::default();
-      limits.note_cold(&entry.id, entry.born_ms, span(0, LASTS_MS));
+      limits.note_cold(&entry.id, entry.born_ms, span(0, DURATION_MS));
       ReplayBox {
         limits,
         name: format!("north-{number}"),
       }
     })
     .collect();
-  let (mut sent_ms, mut questions) = (Vec::new(), 0);
-  for now_ms in 0..LASTS_MS {
-    if !random.random_bool(WANTED_PER_S / 1_000.0) {
+  let (mut sent_ms, mut permit_requests) = (Vec::new(), 0);
+  for now_ms in 0..DURATION_MS {
+    if !random.random_bool(OFFERED_PER_S / 1_000.0) {
       continue;
     }
     let at = random.random_range(0..boxes);
@@ -290,31 +288,31 @@
       LocalPermit::Granted => true,
       LocalPermit::Refused { .. } => false,
       LocalPermit::Ask { permits, unused } => {
-        questions += 1;
-        let wish = PermitRequest {
+        permit_requests += 1;
+        let permit_request = PermitRequest {
           box_name: here.name.as_str().into(),
           permits,
           priority: 1,
           unused,
         };
         let limit = counted_limit(here.limits.per_s(&entry, now_ms).unwrap());
-        let verdict: PermitVerdict = counting.ask(life, limit, &wish, now_ms);
-        let ledger = here.limits.permits();
-        ledger.note_verdict(&entry.id, verdict, now_ms)
+        let verdict: PermitVerdict = coordinator.ask(incarnation, limit, &permit_request, now_ms);
+        let local_permits = here.limits.permits();
+        local_permits.note_verdict(&entry.id, verdict, now_ms)
       }
     };
     if granted {
       sent_ms.push(now_ms);
     }
   }
-  (sent_ms, questions)
+  (sent_ms, permit_requests)
 }
 
 #[rstest]
 #[case::few_boxes(3)]
 #[case::hall(74)]
 #[case::many(300)]
-fn replay_of_a_cold_endpoint_keeps_the_sum_at_any_number_of_boxes(#[case] boxes: usize) {
+fn replay_of_a_cold_endpoint_keeps_its_limit_at_any_number_of_boxes(#[case] boxes: usize) {
   let (sent_ms, _) = replay_cold_endpoint(boxes);
   let within = |from_ms: &u64| {
     let until_ms = from_ms + 1_000;
@@ -324,24 +322,28 @@
       .count()
   };
   let most = sent_ms.iter().map(within).max().unwrap();
-  assert!(most <= MOST_IN_A_SECOND, "{most} in a second");
-  // It is not left idle either: most of what it carries is used.
-  let carried = COLD_PER_S * LASTS_MS as f64 / 1_000.0;
+  assert!(most <= MAX_PER_SECOND, "{most} in a second");
+  // Most of its capacity is used.
+  let capacity = COLD_PER_S * DURATION_MS as f64 / 1_000.0;
   assert!(
-    sent_ms.len() as f64 >= 0.6 * carried,
+    sent_ms.len() as f64 >= 0.6 * capacity,
     "{} sent",
     sent_ms.len()
   );
 }
 
-/// A box that was told to wait asks once after the longest wait, and two are called in for each permit.
+/// A rejected box asks again after at most the longest wait, and each permit is offered to two boxes.
 #[rstest]
 #[case::few_boxes(3)]
 #[case::hall(74)]
 #[case::many(300)]
-fn replay_of_a_cold_endpoint_counts_questions(#[case] boxes: usize) {
+fn replay_of_a_cold_endpoint_bounds_permit_requests(#[case] boxes: usize) {
   const LONGEST_WAIT_MS: u64 = 6_000;
-  let (sent_ms, questions) = replay_cold_endpoint(boxes);
-  let most_questions = 2 * sent_ms.len() + boxes * (LASTS_MS / LONGEST_WAIT_MS + 1) as usize;
-  assert!(questions <= most_questions, "{questions} questions");
+  let (sent_ms, permit_requests) = replay_cold_endpoint(boxes);
+  let max_permit_requests =
+    2 * sent_ms.len() + boxes * (DURATION_MS / LONGEST_WAIT_MS + 1) as usize;
+  assert!(
+    permit_requests <= max_permit_requests,
+    "{permit_requests} permit requests"
+  );
 }
