--- a/tests/gateway/relay.rs
+++ b/tests/gateway/relay.rs
@@ -1,4 +1,4 @@
-//! Boxes that follow others, and when they stop doing so.
+//! Boxes that follow store readers, and when they stop.
 
 use {
   super::{EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply},
@@ -28,7 +28,7 @@
   list
 }
 
-/// The hall that a box's name says.
+/// The hall in a box's name.
 fn hall_of(name: &str) -> &str {
   name.split('-').next().unwrap()
 }
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn log_tells_what_follows_and_owns_up_to_gaps() {
+fn change_log_returns_later_changes_and_reports_gaps() {
   let log = ChangeLog::default();
   assert_eq!(
     log.after(0),
@@ -128,7 +128,7 @@
 #[case::few(8, 3_000)]
 #[case::grown(87, 4_000)]
 #[case::target(390, 3_000)]
-fn store_is_asked_again_well_before_a_box_counts_as_connected(
+fn store_call_is_retried_well_before_a_box_counts_as_connected(
   #[case] boxes: usize,
   #[case] contact_ms: u64,
 ) {
@@ -142,7 +142,7 @@
 #[case::a_reader(&[("north", 20), ("south", 20)], "south-01", true)]
 #[case::a_follower(&[("north", 20), ("south", 20)], "south-02", false)]
 #[case::unknown_box(&[("north", 20)], "south-00", false)]
-fn in_a_large_deployment_only_readers_try_to_become_steward(
+fn in_a_large_deployment_only_readers_are_candidates_for_role_leader(
   #[case] halls: &[(&str, usize)],
   #[case] name: &str,
   #[case] is_candidate: bool,
@@ -157,17 +157,17 @@
   let (even, odd) = (addresses("north-08"), addresses("north-09"));
   assert_eq!(even[..2], [odd[1], odd[0]]);
   assert_eq!(even[2..], odd[2..]);
-  // Those next boxes follow each other in turn, so that one of them reads the store.
+  // These next boxes follow each other, so that one of them reads the store.
   assert_eq!(addresses("north-03")[2], even[2]);
 }
 
 #[rstest]
 #[case::few_boxes(&[("north", 8)], "north-07", true)]
 #[case::a_reader(&[("north", 20)], "north-01", true)]
-#[case::the_last_that_is_asked(&[("north", 20)], "north-03", true)]
+#[case::the_last_that_is_followed(&[("north", 20)], "north-03", true)]
 #[case::a_follower(&[("north", 20)], "north-04", false)]
 #[case::without_an_entry(&[("north", 20)], "south-00", false)]
-fn which_boxes_read_the_store_for_the_rest(
+fn which_boxes_fall_back_to_the_store(
   #[case] halls: &[(&str, usize)],
   #[case] name: &str,
   #[case] is_asked: bool,
@@ -175,7 +175,7 @@
   assert_eq!(boxes(halls).is_asked(name), is_asked);
 }
 
-/// What a follower gets that knows the store up to a revision.
+/// The response to a follower at a revision.
 async fn changes_after(gateway: &GatewayBox, revision: u64) -> StoreChanges {
   let uri = format!("http://{}/changes/{revision}", gateway.boxes);
   let request = Request::get(uri).body(Full::new(Bytes::new())).unwrap();
@@ -183,12 +183,12 @@
     .fetch_bytes(request, PATIENCE)
     .await
     .unwrap();
-  let (changes, _heard_ms_ago): (StoreChanges, Option<u64>) = postcard::from_bytes(&body).unwrap();
+  let (changes, _store_age_ms): (StoreChanges, Option<u64>) = postcard::from_bytes(&body).unwrap();
   changes
 }
 
-/// Up to which revision a box knows the store.
-async fn known_to(gateway: &GatewayBox) -> u64 {
+/// The latest revision that a box knows.
+async fn latest_revision(gateway: &GatewayBox) -> u64 {
   for revision in 0..1_000 {
     if let StoreChanges::Some { revision, .. } = changes_after(gateway, revision).await {
       return revision;
@@ -197,14 +197,14 @@
   panic!("no changes after any revision");
 }
 
-/// Seen on the users' bench: when a reader had lost the store's history and listed it anew, each of its followers did the same.
+/// When a reader loses the store's history and lists it again, its followers must not have to.
 #[tokio::test]
-async fn followers_go_on_when_their_reader_lists_the_store_anew() {
+async fn followers_continue_when_their_reader_lists_the_store_again() {
   let one = EndpointStandIn::start(|seen| Reply::ok(seen, "one")).await;
   let test = GatewayTest::new().await;
   test.enter("p-2", "portal", None, &one);
   let gateway = test.with_portal(&one).await;
-  let before = known_to(&gateway).await;
+  let before = latest_revision(&gateway).await;
   let listings = gateway.test.store.listings();
   gateway.test.store.set_down(true);
   gateway.test.store.remove("servers/p-1");
@@ -212,7 +212,7 @@
   gateway.test.store.forget_history();
   gateway.test.store.set_down(false);
   assert!(eventually(PATIENCE, async || gateway.test.store.listings() > listings).await);
-  let heard_all = async || match changes_after(&gateway, before).await {
+  let has_all_changes = async || match changes_after(&gateway, before).await {
     StoreChanges::HistoryLost => panic!("the follower has to list the store"),
     StoreChanges::Some { items, .. } => {
       let has = |id: &str, is_there: bool| {
@@ -224,5 +224,5 @@
       has("p-1", false) && has("p-3", true) && !has("p-2", true)
     }
   };
-  assert!(eventually(PATIENCE, heard_all).await);
+  assert!(eventually(PATIENCE, has_all_changes).await);
 }
