--- a/tests/gateway/roles.rs
+++ b/tests/gateway/roles.rs
@@ -1,4 +1,4 @@
-//! The steward's orders to engines.
+//! Commands of the role leader to engines.
 
 use {
   super::{EndpointStandIn, GatewayTest, PATIENCE, Reply, Seen},
@@ -20,7 +20,7 @@
   }
 }
 
-fn orders(endpoints: &[EndpointStandIn]) -> Vec<Seen> {
+fn commands(endpoints: &[EndpointStandIn]) -> Vec<Seen> {
   endpoints
     .iter()
     .flat_map(EndpointStandIn::seen)
@@ -29,7 +29,7 @@
 }
 
 #[tokio::test]
-async fn steward_gives_each_surplus_engine_one_fenced_order() {
+async fn role_leader_sends_each_surplus_engine_one_fenced_command() {
   let mut endpoints = Vec::new();
   let test = GatewayTest::new().await;
   for number in 0..4 {
@@ -38,7 +38,7 @@
     endpoints.push(endpoint);
   }
   let gateway = test.start().await;
-  assert!(eventually(PATIENCE, async || orders(&endpoints).len() == 3).await);
+  assert!(eventually(PATIENCE, async || commands(&endpoints).len() == 3).await);
   let fence = {
     assert!(
       gateway
@@ -47,27 +47,27 @@
         .keys()
         .contains(&"rillford/steward".to_string())
     );
-    let body: Value = serde_json::from_slice(&orders(&endpoints)[0].body).unwrap();
+    let body: Value = serde_json::from_slice(&commands(&endpoints)[0].body).unwrap();
     body["fence"].as_u64().unwrap()
   };
-  for order in orders(&endpoints) {
-    let body: Value = serde_json::from_slice(&order.body).unwrap();
+  for command in commands(&endpoints) {
+    let body: Value = serde_json::from_slice(&command.body).unwrap();
     assert_eq!(body["operation"], "stage");
     assert_eq!(body["stage"], "decode");
     assert_eq!(body["holder"], "north-1");
     assert_eq!(body["fence"], fence);
     assert_eq!(body["prevRevision"], 4);
-    assert!(order.header("x-expect-instance").starts_with("e-"));
+    assert!(command.header("x-expect-instance").starts_with("e-"));
   }
-  // Later looks repeat none of them.
+  // Later evaluations repeat none of them.
   sleep(Duration::from_millis(1_200)).await;
-  assert_eq!(orders(&endpoints).len(), 3);
+  assert_eq!(commands(&endpoints).len(), 3);
 }
 
 #[rstest]
 #[case::another_box_is("rillford/steward", b"north-9")]
 #[tokio::test]
-async fn box_that_is_not_steward_gives_no_orders(#[case] key: &str, #[case] value: &[u8]) {
+async fn box_that_is_not_role_leader_sends_no_commands(#[case] key: &str, #[case] value: &[u8]) {
   let endpoints = [
     EndpointStandIn::start(engine).await,
     EndpointStandIn::start(engine).await,
@@ -79,13 +79,13 @@
   }
   let gateway = test.start().await;
   sleep(Duration::from_millis(1_500)).await;
-  assert!(orders(&endpoints).is_empty());
+  assert!(commands(&endpoints).is_empty());
   gateway.test.store.remove(key);
-  assert!(eventually(PATIENCE, async || orders(&endpoints).len() == 1).await);
+  assert!(eventually(PATIENCE, async || commands(&endpoints).len() == 1).await);
 }
 
 #[tokio::test]
-async fn steward_that_lost_its_key_without_a_word_gives_no_orders() {
+async fn role_leader_that_lost_its_key_unnoticed_sends_no_commands() {
   let endpoints = [
     EndpointStandIn::start(engine).await,
     EndpointStandIn::start(engine).await,
@@ -93,28 +93,28 @@
   let test = GatewayTest::new().await;
   let gateway = test.start_unready();
   gateway.test.put_configuration();
-  // One engine makes the box want to be steward, and leaves nothing to order.
+  // With one engine the box becomes role leader, and has nothing to command.
   gateway
     .test
     .enter("e-0", "llm", Some("prefill"), &endpoints[0]);
-  let is_steward = async || {
+  let is_leader = async || {
     gateway
       .test
       .store
       .keys()
       .contains(&"rillford/steward".to_string())
   };
-  assert!(eventually(PATIENCE, is_steward).await);
+  assert!(eventually(PATIENCE, is_leader).await);
   gateway.test.store.put("rillford/steward", b"north-9");
   gateway
     .test
     .enter("e-1", "llm", Some("prefill"), &endpoints[1]);
   sleep(Duration::from_millis(1_500)).await;
-  assert!(orders(&endpoints).is_empty());
+  assert!(commands(&endpoints).is_empty());
 }
 
 #[tokio::test]
-async fn engine_with_an_order_not_yet_carried_out_counts_in_its_new_role() {
+async fn engine_with_a_pending_command_counts_in_its_new_role() {
   let mut endpoints = Vec::new();
   for _ in 0..5 {
     endpoints.push(EndpointStandIn::start(engine).await);
@@ -125,12 +125,12 @@
     test.enter(&format!("e-{number}"), "llm", Some(stage), endpoint);
   }
   let gateway = test.start().await;
-  // One of four is to read prompts. The two that are ordered away still say that they do.
-  assert!(eventually(PATIENCE, async || orders(&endpoints).len() == 2).await);
-  // Two of five are, and with the new one there are two.
+  // One of four is to prefill. The two that are reassigned still report the prefill role.
+  assert!(eventually(PATIENCE, async || commands(&endpoints).len() == 2).await);
+  // Two of five are to prefill: one of the four and the new engine.
   gateway
     .test
     .enter("e-0", "llm", Some("prefill"), &endpoints[0]);
   sleep(Duration::from_millis(1_500)).await;
-  assert_eq!(orders(&endpoints).len(), 2);
+  assert_eq!(commands(&endpoints).len(), 2);
 }
