--- a/tests/gateway/notices.rs
+++ b/tests/gateway/notices.rs
@@ -1,20 +1,6 @@
-//! What endpoints say of themselves in their answers: that they leave, or for how long they want no work.
-//!
-//! Boxes learnt from the store alone that an endpoint leaves. The store was away when one wanted to say so there, and stayed away for
-//! thirteen seconds; all of its answers said it, no box read that, and the list from before said that it was ready. On another day an
-//! endpoint turned all requests away within a millisecond and asked for three seconds without any. Boxes left it alone for 120 ms at a
-//! time, and since it had nothing in progress it looked the least busy of three. Six requests of one box reached it in one such pause;
-//! callers were refused because the budget for repeats was spent there while the two others served. What settled it, of one box each
-//! (seconds of the day):
-//!
-//! ```text
-//!  8.22 E508 answered: by i-df3faaa403 with status 200 OK, 5 ms after arrival, tried 1        (its answer said that it leaves)
-//!  8.53 E402 store lost: watching: no answer within 4000 ms
-//! 10.32 E508 answered: by i-df3faaa403 with status 200 OK, 62 ms after arrival, tried 1
-//!
-//!  6.05 E502 part failed: at i-4f098d9d68: refused by the endpoint with status 503            (its answer asked for 3 s)
-//!  6.37, 6.57, 6.95, 7.34 the same
-//! ```
+//! Notices of endpoints in their responses: that they are leaving, or for how long they want no requests. Guards against boxes that learn
+//! of a leaving endpoint from the store alone, which may be down, and against retries that are wasted on an endpoint that rejects at once
+//! and therefore looks the least loaded.
 
 use {
   super::{
@@ -30,14 +16,14 @@
 };
 
 const EVENTS: &str = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
-/// Callers of a test that ask one after the other.
-const ASKS: usize = 30;
-/// The users' bound: so many requests may reach an endpoint while it wants none, from half a second after it said so.
-const MOST_IN_PAUSE: usize = 2;
-/// The pause that endpoints of these tests want.
-const PAUSE: Duration = Duration::from_secs(3);
+/// Sequential requests of a test.
+const REQUESTS: usize = 30;
+/// Bound on the requests that reach an endpoint during its backoff, from half a second after its notice.
+const MAX_IN_BACKOFF: usize = 2;
+/// The backoff that the endpoints request.
+const BACKOFF: Duration = Duration::from_secs(3);
 
-/// Asks one after the other until the time is over.
+/// Sends requests one after the other for `time`.
 async fn ask_for(gateway: &GatewayBox, path: &str, time: Duration) -> Vec<StatusCode> {
   let began = Instant::now();
   let mut statuses = Vec::new();
@@ -51,43 +37,46 @@
 
 async fn ask_often(gateway: &GatewayBox, path: &str) -> Vec<StatusCode> {
   let mut statuses = Vec::new();
-  for number in 0..ASKS {
+  for number in 0..REQUESTS {
     statuses.push(gateway.ask(path, &format!("r{number}")).await.status);
   }
   statuses
 }
 
 #[tokio::test]
-async fn endpoint_that_says_that_it_leaves_gets_nothing_more_while_the_store_lists_it_as_ready() {
+async fn endpoint_that_signals_leaving_gets_no_more_requests_while_the_store_lists_it_as_ready() {
   let one = EndpointStandIn::start(|seen| leaving(Reply::ok(seen, "one"))).await;
   let other = EndpointStandIn::start(|seen| Reply::ok(seen, "other")).await;
   let gateway = GatewayTest::new().await.with_portals(&one, &other).await;
   let statuses = ask_often(&gateway, "/unsafe/a").await;
   assert!(statuses.iter().all(|status| *status == StatusCode::OK));
-  assert_eq!(one.requests().len(), 1, "requests after its own word");
+  assert_eq!(one.requests().len(), 1, "requests after its notice");
 }
 
 #[tokio::test]
-async fn endpoint_that_wants_a_pause_gets_nothing_until_its_end() {
+async fn endpoint_that_requests_backoff_gets_no_requests_meanwhile() {
   let one = EndpointStandIn::start(|seen| turned_away(seen, "3")).await;
   let other = EndpointStandIn::start(|seen| Reply::ok(seen, "other")).await;
   let gateway = GatewayTest::new().await.with_portals(&one, &other).await;
-  let statuses = ask_for(&gateway, "/unsafe/a", PAUSE - Duration::from_millis(500)).await;
+  let statuses = ask_for(&gateway, "/unsafe/a", BACKOFF - Duration::from_millis(500)).await;
   assert!(statuses.iter().all(|status| *status == StatusCode::OK));
   let sent = one.requests().len();
   assert!(sent > 0);
-  assert!(sent <= 1 + MOST_IN_PAUSE, "{sent} requests in its pause");
+  assert!(
+    sent <= 1 + MAX_IN_BACKOFF,
+    "{sent} requests during its backoff"
+  );
 }
 
-/// A stand-in that turns readings of prompts away, seats, or whole streams.
-fn engine_that_turns_away(seen: &Seen, what: &str) -> Reply {
-  let is_turned_away = match what {
-    "seat" => seen.path == "/hold-take",
-    "prompt" => seen.is_prompt(),
+/// An engine that rejects reservations, prefills or streams.
+fn rejecting_engine(seen: &Seen, call: &str) -> Reply {
+  let is_rejected = match call {
+    "reservation" => seen.path == "/hold-take",
+    "prefill" => seen.is_prompt(),
     "stream" => !seen.is_prompt() && seen.path.starts_with("/resumable/"),
     other => panic!("{other}"),
   };
-  if is_turned_away {
+  if is_rejected {
     turned_away(seen, "3")
   } else {
     engine_reply(seen, EVENTS)
@@ -95,15 +84,15 @@
 }
 
 #[rstest]
-#[case::seat("seat", "decode")]
-#[case::prompt("prompt", "prefill")]
+#[case::reservation("reservation", "decode")]
+#[case::prefill("prefill", "prefill")]
 #[case::stream("stream", "decode")]
 #[tokio::test]
-async fn engine_that_wants_a_pause_gets_nothing_until_its_end(
-  #[case] what: &'static str,
+async fn engine_that_requests_backoff_gets_no_calls_meanwhile(
+  #[case] call: &'static str,
   #[case] stage: &str,
 ) {
-  let one = EndpointStandIn::start(move |seen| engine_that_turns_away(seen, what)).await;
+  let one = EndpointStandIn::start(move |seen| rejecting_engine(seen, call)).await;
   let other = EndpointStandIn::engine(EVENTS).await;
   let rest = EndpointStandIn::engine(EVENTS).await;
   let test = GatewayTest::new().await;
@@ -116,19 +105,27 @@
   };
   test.enter("e-3", "llm", Some(other_stage), &rest);
   let gateway = test.start().await;
-  let statuses = ask_for(&gateway, "/resumable/a", PAUSE - Duration::from_millis(500)).await;
+  let statuses = ask_for(
+    &gateway,
+    "/resumable/a",
+    BACKOFF - Duration::from_millis(500),
+  )
+  .await;
   assert!(
     statuses.iter().all(|status| *status == StatusCode::OK),
     "{statuses:?}"
   );
-  let asked = one.seen();
-  let wanted = asked.iter().filter(|seen| seen.method != "DELETE").count();
-  assert!(wanted > 0);
-  assert!(wanted <= 2 + MOST_IN_PAUSE, "{wanted} calls in its pause");
+  let calls = one.seen();
+  let sent = calls.iter().filter(|seen| seen.method != "DELETE").count();
+  assert!(sent > 0);
+  assert!(
+    sent <= 2 + MAX_IN_BACKOFF,
+    "{sent} calls during its backoff"
+  );
 }
 
-/// An answer of one kind; each says that its endpoint leaves.
-fn answer_of_kind(seen: &Seen, kind: &str) -> Reply {
+/// A response of one kind, with the notice that its endpoint is leaving.
+fn response_of_kind(seen: &Seen, kind: &str) -> Reply {
   let reply = match kind {
     "200" => Reply::ok(seen, "fine"),
     "404" => Reply::status(seen, "404 Not Found", ""),
@@ -158,7 +155,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn any_answer_tells_that_its_endpoint_leaves(
+async fn any_response_signals_that_its_endpoint_is_leaving(
   #[values(
     "200",
     "404",
@@ -171,34 +168,34 @@
   )]
   kind: &'static str,
 ) {
-  let one = EndpointStandIn::start(move |seen| answer_of_kind(seen, kind)).await;
+  let one = EndpointStandIn::start(move |seen| response_of_kind(seen, kind)).await;
   let other = EndpointStandIn::start(|seen| Reply::ok(seen, "other")).await;
   let gateway = GatewayTest::new().await.with_portals(&one, &other).await;
   for number in 0..12 {
     gateway.ask("/safe/a", &format!("r{number}")).await;
     tokio::time::sleep(Duration::from_millis(80)).await;
   }
-  // A lost part's endpoint is left alone for 0.7 s; the last requests come later.
+  // After a lost stage the box backs off for 0.7 s; the last requests come later.
   assert_eq!(one.requests().len(), 1, "{kind}");
 }
 
-/// The answer of another endpoint, which has its address now, says nothing of the one that was asked.
+/// The notice of another endpoint, which now has the address, does not apply to the one that was called.
 #[tokio::test]
-async fn answer_of_another_endpoint_at_the_address_tells_nothing() {
-  let one = EndpointStandIn::start(|seen| answer_of_kind(seen, "421")).await;
+async fn notice_of_another_endpoint_at_the_address_is_ignored() {
+  let one = EndpointStandIn::start(|seen| response_of_kind(seen, "421")).await;
   let gateway = GatewayTest::new().await.with_portal(&one).await;
-  let is_asked_again = async || {
+  let is_called_again = async || {
     gateway.ask("/safe/a", "r1").await;
     one.requests().len() > 2
   };
-  assert!(eventually(PATIENCE, is_asked_again).await);
+  assert!(eventually(PATIENCE, is_called_again).await);
 }
 
-/// The head of a stream comes long before its end.
+/// The notice applies once the head of a stream arrives, long before its end.
 #[tokio::test]
-async fn head_of_a_stream_tells_that_its_engine_leaves_while_it_still_streams() {
-  let reader = EndpointStandIn::engine(EVENTS).await;
-  let leaves = EndpointStandIn::start(|seen| {
+async fn head_of_a_stream_signals_that_its_engine_is_leaving() {
+  let prefill = EndpointStandIn::engine(EVENTS).await;
+  let decode = EndpointStandIn::start(|seen| {
     if seen.path.starts_with("/stream/") {
       let head = Reply::stream_part(seen, EVENTS);
       return leaving(Reply::WriteInTwo(
@@ -212,10 +209,10 @@
   .await;
   let gateway = GatewayTest::new()
     .await
-    .with_engines(&reader, &leaves)
+    .with_engines(&prefill, &decode)
     .await;
   let first = gateway.ask_in_background("/stream/a", "r1");
-  assert!(eventually(PATIENCE, async || !leaves.requests().is_empty()).await);
+  assert!(eventually(PATIENCE, async || !decode.requests().is_empty()).await);
   assert_eq!(first.await.unwrap().unwrap(), StatusCode::OK);
   let other = EndpointStandIn::engine(EVENTS).await;
   gateway.test.enter("e-3", "llm", Some("decode"), &other);
@@ -224,43 +221,42 @@
     asked.status == StatusCode::OK && asked.body.is_ok()
   };
   assert!(eventually(PATIENCE, goes_elsewhere).await);
-  assert_eq!(leaves.requests().len(), 1);
+  assert_eq!(decode.requests().len(), 1);
 }
 
-/// Its memory is freed all the same: a seat that was reserved before its word is given back, and what it says in that answer counts.
+/// A slot that was reserved before the notice is still released, which frees its memory.
 #[tokio::test]
-async fn engine_that_comes_to_leave_between_seat_and_stream_is_sent_no_stream_and_gets_its_seat_back()
- {
-  let reader = EndpointStandIn::start(|seen| match engine_reply(seen, EVENTS) {
+async fn engine_that_signals_leaving_after_a_reservation_gets_no_stream_and_its_slot_released() {
+  let prefill = EndpointStandIn::start(|seen| match engine_reply(seen, EVENTS) {
     Reply::Write(text) if seen.is_prompt() => Reply::WriteLater(Duration::from_millis(300), text),
     reply => reply,
   })
   .await;
-  let leaves = EndpointStandIn::start(|seen| leaving(engine_reply(seen, EVENTS))).await;
+  let decode = EndpointStandIn::start(|seen| leaving(engine_reply(seen, EVENTS))).await;
   let gateway = GatewayTest::new()
     .await
-    .with_engines(&reader, &leaves)
+    .with_engines(&prefill, &decode)
     .await;
   let asked = gateway.ask("/resumable/a", "r1").await;
   assert_eq!(asked.status, StatusCode::SERVICE_UNAVAILABLE);
-  assert!(leaves.requests().is_empty());
-  let is_given_back = async || {
-    let mut calls = leaves.seen().into_iter();
+  assert!(decode.requests().is_empty());
+  let is_released = async || {
+    let mut calls = decode.seen().into_iter();
     calls.any(|seen| seen.path.starts_with("/hold-drop/"))
   };
-  assert!(eventually(PATIENCE, is_given_back).await);
+  assert!(eventually(PATIENCE, is_released).await);
 }
 
-/// Requests that come at one moment are on their way when the word comes; none follows.
+/// Only requests that were in flight before the notice reach the endpoint.
 #[tokio::test]
-async fn none_of_many_requests_follows_the_word() {
+async fn no_request_is_sent_after_the_notice() {
   let one = EndpointStandIn::start(|seen| turned_away(seen, "3")).await;
   let other = EndpointStandIn::start(|seen| Reply::ok(seen, "other")).await;
   let gateway = GatewayTest::new().await.with_portals(&one, &other).await;
   for round in 0..4 {
-    let asks =
+    let requests =
       (0..16).map(|number| gateway.ask_in_background("/unsafe/a", &format!("r{round}-{number}")));
-    join_all(asks.collect::<Vec<_>>()).await;
+    join_all(requests.collect::<Vec<_>>()).await;
   }
   let first_round = one
     .requests()
@@ -271,9 +267,9 @@
   assert_eq!(one.requests().len(), first_round);
 }
 
-/// The store lists the endpoint as ready again and again; another life of it may be sent to.
+/// An entry of the same incarnation does not revoke the notice, however often it is written; one of another incarnation does.
 #[tokio::test]
-async fn only_another_life_takes_the_word_back() {
+async fn only_another_incarnation_revokes_the_notice() {
   let one = EndpointStandIn::start(|seen| leaving(Reply::ok(seen, "one"))).await;
   let test = GatewayTest::new().await;
   GatewayTest::enter_plain_life(&test.store, "p-1", one.address, 1_000);
@@ -293,15 +289,15 @@
   assert!(eventually(PATIENCE, is_served).await);
 }
 
-/// Before, callers were told to come back in 0.4 s, to endpoints that wanted none for three.
+/// The retry-after delay must cover the backoff of the endpoints.
 #[tokio::test]
-async fn callers_are_refused_at_once_with_the_true_time_when_all_endpoints_pause() {
-  let pausing = |seen: &Seen| match seen.id() {
+async fn callers_are_rejected_at_once_with_the_remaining_backoff_when_all_endpoints_back_off() {
+  let backing_off = |seen: &Seen| match seen.id() {
     "first" => turned_away(seen, "1.5"),
     _ => Reply::ok(seen, "fine"),
   };
-  let one = EndpointStandIn::start(pausing).await;
-  let other = EndpointStandIn::start(pausing).await;
+  let one = EndpointStandIn::start(backing_off).await;
+  let other = EndpointStandIn::start(backing_off).await;
   let gateway = GatewayTest::new().await.with_portals(&one, &other).await;
   let first = gateway.ask("/unsafe/a", "first").await;
   assert_eq!(first.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -312,7 +308,7 @@
     .unwrap()
     .parse()
     .unwrap();
-  // What is left of the pause, and at most half a second that keeps callers apart.
+  // The remaining backoff, and up to half a second of jitter.
   assert!(seconds > 0.0 && seconds <= 1.5 + 0.1 + 0.5, "{seconds}");
   assert_eq!(one.requests().len() + other.requests().len(), 2);
   sleep(Duration::from_secs_f64(seconds)).await;
@@ -322,10 +318,10 @@
   );
 }
 
-/// What nobody can read is told in the log, and locks nobody out.
+/// An invalid notice is logged and has no effect.
 #[rstest]
 #[tokio::test]
-async fn word_that_cannot_be_read_changes_nothing(
+async fn invalid_notice_is_ignored(
   #[values(
     "retry-after: soon",
     "retry-after: -3",
