--- a/src/gateway/limits/admission.rs
+++ b/src/gateway/limits/admission.rs
@@ -144,7 +144,7 @@
       pending: Some((name.clone(), units)),
       used,
     };
-    match send_usage(&gateway.box_calls, address, &message, COORDINATOR_TIMEOUT).await {
+    match send_usage(&gateway.box_client, address, &message, COORDINATOR_TIMEOUT).await {
       Ok(response) => {
         gateway.last_coordinator.set(Some(address));
         let now_ms = gateway.now_ms();
--- a/src/gateway/limits/messages.rs
+++ b/src/gateway/limits/messages.rs
@@ -72,7 +72,7 @@
   gateway: &Gateway,
   request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-  let Some(report) = read::<UsageReport>(request).await else {
+  let Some(report) = decode_message::<UsageReport>(request).await else {
     return status_answer(StatusCode::BAD_REQUEST);
   };
   let now_ms = gateway.now_ms();
@@ -96,7 +96,7 @@
   gateway: &Gateway,
   request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-  let Some(totals) = read::<UseTotals>(request).await else {
+  let Some(totals) = decode_message::<UseTotals>(request).await else {
     return status_answer(StatusCode::BAD_REQUEST);
   };
   let now_ms = gateway.now_ms();
@@ -109,7 +109,7 @@
   status_answer(StatusCode::OK)
 }
 
-async fn read<M: DeserializeOwned>(request: Request<Incoming>) -> Option<M> {
+async fn decode_message<M: DeserializeOwned>(request: Request<Incoming>) -> Option<M> {
   read_message(request, MAX_BODY_BYTES)
     .await
     .inspect_err(|error| log::info!("E609 usage message rejected: {error}"))
--- a/src/gateway/limits/reporting.rs
+++ b/src/gateway/limits/reporting.rs
@@ -72,7 +72,7 @@
   };
   let totals = &totals;
   let calls = addresses.into_iter().map(|address| async move {
-    if let Err(error) = send_totals(&gateway.box_calls, address, totals, REPORT_TIMEOUT).await {
+    if let Err(error) = send_totals(&gateway.box_client, address, totals, REPORT_TIMEOUT).await {
       log::debug!("totals not sent to {address}: {error}");
     }
   });
@@ -88,7 +88,7 @@
     used: unreported,
   };
   for address in coordinators(gateway).into_iter().take(MAX_REPORT_ATTEMPTS) {
-    match send_usage(&gateway.box_calls, address, &report, REPORT_TIMEOUT).await {
+    match send_usage(&gateway.box_client, address, &report, REPORT_TIMEOUT).await {
       Ok(response) => {
         let now_ms = gateway.now_ms();
         gateway.last_coordinator.set(Some(address));
--- a/src/gateway/permits/acquisition.rs
+++ b/src/gateway/permits/acquisition.rs
@@ -138,7 +138,7 @@
   limit: HeardLimit,
   permit_request: &PermitRequest,
 ) -> (PermitVerdict, DecidedBy) {
-  let life = EndpointLife::of(&entry.id, entry.born_ms);
+  let incarnation = EndpointLife::of(&entry.id, entry.born_ms);
   let order = endpoint_order(
     &gateway.boxes.borrow(),
     &entry.id,
@@ -149,7 +149,7 @@
   if let Some((name, address)) = order.first() {
     if name == own_name {
       return (
-        grant_permits(gateway, life, limit.per_s, permit_request),
+        grant_permits(gateway, incarnation, limit.per_s, permit_request),
         DecidedBy::Local,
       );
     }
@@ -158,7 +158,7 @@
     }
   }
   (
-    decide_isolated(gateway, life, limit, permit_request, &order),
+    decide_isolated(gateway, incarnation, limit, permit_request, &order),
     DecidedBy::Isolated,
   )
 }
@@ -197,7 +197,7 @@
     priority: permit_request.priority,
     unused: permit_request.unused,
   };
-  let result = request_permits(&gateway.box_calls, address, &message, COORDINATOR_TIMEOUT).await;
+  let result = request_permits(&gateway.box_client, address, &message, COORDINATOR_TIMEOUT).await;
   let now_ms = gateway.now_ms();
   match result {
     Ok(response) => {
@@ -227,7 +227,7 @@
 /// can't be computed for an unknown number of isolated boxes.
 fn decide_isolated(
   gateway: &Gateway,
-  life: EndpointLife,
+  incarnation: EndpointLife,
   limit: HeardLimit,
   permit_request: &PermitRequest,
   order: &[(Name, SocketAddr)],
@@ -245,7 +245,7 @@
     ..permit_request.clone()
   };
   gateway.isolated_permits.borrow_mut().ask(
-    life,
+    incarnation,
     lone_limit(per_s),
     &permit_request,
     gateway.now_ms(),
--- a/src/gateway/permits/announcement.rs
+++ b/src/gateway/permits/announcement.rs
@@ -74,7 +74,7 @@
   for address in addresses {
     let (gateway, message) = (gateway.clone(), message.clone());
     spawn_local(async move {
-      let http = &gateway.box_calls;
+      let http = &gateway.box_client;
       if let Err(error) = send_message(http, address, LIMITS_PATH, &message, ANNOUNCE_TIMEOUT).await
       {
         log::debug!("limit not announced to {address}: {error}");
--- a/src/gateway/permits/messages.rs
+++ b/src/gateway/permits/messages.rs
@@ -123,7 +123,7 @@
 /// Grants permits as the coordinator; without a limit as many as requested.
 pub(super) fn grant_permits(
   gateway: &Gateway,
-  life: EndpointLife,
+  incarnation: EndpointLife,
   per_s: Option<f64>,
   permit_request: &PermitRequest,
 ) -> PermitVerdict {
@@ -131,7 +131,7 @@
     return PermitVerdict::Granted(permit_request.permits);
   };
   let verdict = gateway.permit_table.borrow_mut().ask(
-    life,
+    incarnation,
     counted_limit(per_s),
     permit_request,
     gateway.now_ms(),
--- a/src/gateway/permits/metrics.rs
+++ b/src/gateway/permits/metrics.rs
@@ -16,14 +16,14 @@
 pub(crate) fn permit_metrics(gateway: &Gateway) -> String {
   let now_ms = gateway.now_ms();
   let mut text = String::new();
-  for (id, heard) in lowest_limits(gateway) {
-    let age_ms = now_ms.saturating_sub(heard.heard_ms);
-    let per_s = heard.per_s.unwrap_or_default();
+  for (id, limit) in lowest_limits(gateway) {
+    let age_ms = now_ms.saturating_sub(limit.heard_ms);
+    let per_s = limit.per_s.unwrap_or_default();
     // Writing to a `String` cannot fail.
     let _ = writeln!(
       text,
       "rillford_endpoint_limit_per_s{{endpoint=\"{id}\",heard_by=\"{:?}\",age_ms=\"{age_ms}\"}} {per_s}",
-      heard.source
+      limit.source
     );
     if let Some(remaining) = remaining_permits(gateway, &id, now_ms) {
       let _ = writeln!(
@@ -40,10 +40,10 @@
   let mut limits: Vec<_> = endpoints
     .limits()
     .named()
-    .map(|(id, heard)| (id.clone(), heard))
+    .map(|(id, limit)| (id.clone(), limit))
     .collect();
   limits.sort_by(|one, other| {
-    let per_s = |heard: HeardLimit| heard.per_s.unwrap_or_default();
+    let per_s = |limit: HeardLimit| limit.per_s.unwrap_or_default();
     per_s(one.1)
       .total_cmp(&per_s(other.1))
       .then_with(|| one.0.cmp(&other.0))
@@ -55,6 +55,6 @@
 /// The permits remaining for an endpoint; `None` where this box has granted none.
 fn remaining_permits(gateway: &Gateway, id: &str, now_ms: u64) -> Option<f64> {
   let born_ms = gateway.endpoints.borrow().entry(id)?.born_ms;
-  let life = EndpointLife::of(id, born_ms);
-  gateway.permit_table.borrow_mut().left(life, now_ms)
+  let incarnation = EndpointLife::of(id, born_ms);
+  gateway.permit_table.borrow_mut().left(incarnation, now_ms)
 }
--- a/src/gateway/quarantine/sync.rs
+++ b/src/gateway/quarantine/sync.rs
@@ -173,7 +173,7 @@
       .borrow()
       .helpers_for(&identity.name, &identity.hall);
     for address in helpers.into_iter().take(MAX_DELEGATES) {
-      match send_marks(&self.gateway.box_calls, address, &own).await {
+      match send_marks(&self.gateway.box_client, address, &own).await {
         Ok(()) => return own,
         Err(error) => log::debug!("marks not sent to {address}: {error}"),
       }
--- a/src/gateway/roles/role_leader.rs
+++ b/src/gateway/roles/role_leader.rs
@@ -234,15 +234,15 @@
   /// The input of a policy for a service. The load is extrapolated from this box's own to all boxes.
   fn pool_facts(&self, service: &Name, engines: &[EndpointEntry]) -> PoolFacts {
     let boxes = self.gateway.boxes.borrow().len().max(1) as u64;
-    let book = self.gateway.endpoints.borrow();
+    let endpoints = self.gateway.endpoints.borrow();
     let load = |role| {
       with_role(engines, role)
-        .map(|engine| book.own_load(&engine.id))
+        .map(|engine| endpoints.own_load(&engine.id))
         .fold((0, 0), |sum, load| (sum.0 + load.0, sum.1 + load.1))
     };
     let (_, queue_tokens) = load(Role::Prefill);
-    let (seats_taken, _) = load(Role::Decode);
-    let seats: u64 = with_role(engines, Role::Decode)
+    let (slots_taken, _) = load(Role::Decode);
+    let slots: u64 = with_role(engines, Role::Decode)
       .map(|engine| u64::from(engine.seats))
       .sum();
     PoolFacts {
@@ -250,7 +250,7 @@
       model: service.clone(),
       prefill_engines: with_role(engines, Role::Prefill).count() as u64,
       queue_tokens: queue_tokens * boxes,
-      seats_used: (seats_taken * boxes) as f64 / seats.max(1) as f64,
+      seats_used: (slots_taken * boxes) as f64 / slots.max(1) as f64,
     }
   }
 
--- a/src/gateway/state/counters.rs
+++ b/src/gateway/state/counters.rs
@@ -57,10 +57,13 @@
   pub(crate) requests: Counter,
   pub(crate) answered: Counter,
   pub(crate) endpoint_failures: Counter,
+  /// Requests that did not run.
   pub(crate) not_run: Counter,
+  /// Requests whose outcome is unknown.
   pub(crate) unknown: Counter,
   pub(crate) timed_out: Counter,
   pub(crate) rejected: Counter,
+  /// Requests rejected because their organisation was over its limit.
   pub(crate) over_limit: Counter,
   pub(crate) interrupted_streams: Counter,
   /// Requests rejected by quarantine.
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -105,8 +105,7 @@
   /// Permits that it grants itself while isolated from the coordinator.
   pub(crate) isolated_permits: RefCell<PermitBook>,
   pub(crate) unresponsive_boxes: RefCell<UnresponsiveBoxes>,
-  /// The client for calls to other boxes.
-  pub(crate) box_calls: HttpClient,
+  pub(crate) box_client: HttpClient,
   /// Identifies this run of the process.
   pub(crate) incarnation: u64,
   /// Whether a listing of the store has completed; before that, endpoints may be missing.
@@ -134,7 +133,7 @@
   ) -> Self {
     let registry = endpoint_registry(&settings);
     Self {
-      box_calls: HttpClient::default(),
+      box_client: HttpClient::default(),
       boxes: RefCell::default(),
       cached_prompts: RefCell::default(),
       change_log: ChangeLog::default(),
