--- a/src/gateway/permits/messages.rs
+++ b/src/gateway/permits/messages.rs
@@ -138,7 +138,7 @@
   );
   match verdict {
     PermitVerdict::Granted(permits) => gateway.counters.permits_granted.add(permits.into()),
-    PermitVerdict::Refused { .. } => gateway.counters.permits_refused.inc(),
+    PermitVerdict::Refused { .. } => gateway.counters.permits_rejected.inc(),
   }
   verdict
 }
--- a/src/gateway/roles/role_leader.rs
+++ b/src/gateway/roles/role_leader.rs
@@ -303,19 +303,19 @@
 
   /// The fencing token, if the store confirms that this box is leader and its lease is fresh.
   async fn confirmed_fence(&mut self) -> Option<u64> {
-    let asked_ms = self.gateway.now_ms();
+    let requested_ms = self.gateway.now_ms();
     self.gateway.counters.store_calls.inc();
     let leader = self.store.steward().await;
     let name = &self.gateway.settings.identity.name;
     match leader {
       Ok(Some(leader)) if leader.holder == *name && Some(leader.fence) == self.fence => {
-        let answered_ms = self.gateway.now_ms();
+        let confirmed_ms = self.gateway.now_ms();
         let is_fresh = self
           .gateway
           .lease
           .get()
-          .is_some_and(|held| answered_ms < held.renewed_ms + LEASE_FRESH_MS);
-        (is_fresh && answered_ms < asked_ms + CONFIRMATION_TTL_MS).then_some(leader.fence)
+          .is_some_and(|held| confirmed_ms < held.renewed_ms + LEASE_FRESH_MS);
+        (is_fresh && confirmed_ms < requested_ms + CONFIRMATION_TTL_MS).then_some(leader.fence)
       }
       Ok(other) => {
         log::info!("E422 no longer role leader: {other:?}");
--- a/src/gateway/state/counters.rs
+++ b/src/gateway/state/counters.rs
@@ -83,7 +83,7 @@
   /// Permits granted to all boxes, as the coordinator.
   pub(crate) permits_granted: Counter,
   /// Requests for permits rejected as the coordinator.
-  pub(crate) permits_refused: Counter,
+  pub(crate) permits_rejected: Counter,
   /// Stages and calls that were not sent because their endpoint began to leave or back off after it was chosen.
   pub(crate) not_sent: Counter,
   pub(crate) caller_disconnects: Counter,
@@ -121,7 +121,7 @@
       ("rillford_without_place_total", &self.without_permit),
       ("rillford_places_taken_total", &self.permits_taken),
       ("rillford_places_granted_total", &self.permits_granted),
-      ("rillford_places_refused_total", &self.permits_refused),
+      ("rillford_places_refused_total", &self.permits_rejected),
       ("rillford_not_sent_total", &self.not_sent),
       ("rillford_callers_gone_total", &self.caller_disconnects),
       ("rillford_repeats_total", &self.retries),
--- a/src/gateway/state/quarantine.rs
+++ b/src/gateway/state/quarantine.rs
@@ -49,10 +49,10 @@
   fn default() -> Self {
     let (claims, claim_receiver) = mpsc::channel(MAX_CLAIMS);
     Self {
-      registry: RefCell::default(),
       changed: Notify::new(),
-      claims,
       claim_receiver: RefCell::new(Some(claim_receiver)),
+      claims,
+      registry: RefCell::default(),
       unremoved: RefCell::default(),
       unwritten: RefCell::default(),
       urgent: Notify::new(),
