--- a/emulator/src/load/replay.rs
+++ b/emulator/src/load/replay.rs
@@ -11,7 +11,7 @@
   rand_chacha::ChaCha8Rng,
   rillford::{
     decide::Role,
-    gateway::{AllowedHalls, EndpointBook, EndpointEntry, PartEnd, ToldLoad, Wanted},
+    gateway::{AllowedHalls, EndpointEntry, EndpointRegistry, PartEnd, ToldLoad, Wanted},
     ids::Name,
   },
 };
@@ -73,7 +73,7 @@
   variant: Variant,
   random: ChaCha8Rng,
   queue: Queue<Event>,
-  books: Vec<EndpointBook>,
+  books: Vec<EndpointRegistry>,
   /// Streams at each engine.
   running: Vec<u32>,
   figures: Figures,
@@ -143,9 +143,9 @@
 }
 
 /// The book of each box, with all engines in it.
-fn new_books() -> Vec<EndpointBook> {
+fn new_books() -> Vec<EndpointRegistry> {
   let book = |_| {
-    let mut book = EndpointBook::default();
+    let mut book = EndpointRegistry::default();
     (0..ENGINES).for_each(|engine| book.put(entry(engine)));
     book
   };
--- a/emulator/src/notices/replay.rs
+++ b/emulator/src/notices/replay.rs
@@ -14,8 +14,8 @@
   rand_chacha::ChaCha8Rng,
   rillford::{
     gateway::{
-      AllowedHalls, EndpointBook, EndpointEntry, EndpointNotice, NamedLimit, NoticeNews, PartEnd,
-      RetryAllowance, RetryWindow, Wanted, kept_pause_ms, retry_after_pause_ms,
+      AllowedHalls, EndpointEntry, EndpointNotice, EndpointRegistry, NamedLimit, NoticeNews,
+      PartEnd, RetryAllowance, RetryWindow, Wanted, kept_pause_ms, retry_after_pause_ms,
     },
     ids::Name,
   },
@@ -54,7 +54,7 @@
 
 /// A box.
 struct GatewayBox {
-  book: EndpointBook,
+  book: EndpointRegistry,
   window: RetryWindow,
 }
 
@@ -101,8 +101,8 @@
 
 fn new_box(fleet: NoticeFleet, way: NoticeWay) -> GatewayBox {
   let mut book = match way {
-    NoticeWay::Off => EndpointBook::ignoring_notices(),
-    _ => EndpointBook::default(),
+    NoticeWay::Off => EndpointRegistry::ignoring_notices(),
+    _ => EndpointRegistry::default(),
   };
   for number in 0..fleet.endpoints {
     book.put(entry(number));
--- a/src/gateway/decisions/endpoint_book.rs
+++ b/src/gateway/decisions/endpoint_registry.rs
@@ -25,7 +25,7 @@
 
 /// The endpoints by incarnation.
 #[derive(Debug, Default)]
-pub struct EndpointBook {
+pub struct EndpointRegistry {
   /// In order, so that equal draws make equal choices.
   known: BTreeMap<Name, Known>,
   halls: HashMap<Name, HallReach>,
@@ -41,7 +41,7 @@
   store_since_ms: Option<u64>,
 }
 
-impl EndpointBook {
+impl EndpointRegistry {
   /// An empty book in which nothing is decided by what endpoints say of themselves.
   pub fn ignoring_notices() -> Self {
     Self {
--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -8,12 +8,12 @@
 mod choice;
 mod cold_endpoints;
 mod drained_halls;
-mod endpoint_book;
 mod endpoint_counts;
 mod endpoint_life;
 mod endpoint_limit;
 mod endpoint_limits;
 mod endpoint_order;
+mod endpoint_registry;
 mod fingerprint;
 mod follower_list;
 mod hall_reach;
@@ -50,12 +50,12 @@
   choice::{Choice, PartEnd, Wanted},
   cold_endpoints::{ColdEndpoints, ColdSpan},
   drained_halls::{DrainedHalls, HallDrainNews},
-  endpoint_book::EndpointBook,
   endpoint_counts::EndpointCounts,
   endpoint_life::EndpointLife,
   endpoint_limit::{ALONE_BOXES, counted_limit, lone_limit},
   endpoint_limits::EndpointLimits,
   endpoint_order::endpoint_order,
+  endpoint_registry::EndpointRegistry,
   fingerprint::{Fingerprint, RequestIdentity},
   kept_prompts::KeptPrompts,
   limit_book::{HeardLimit, LimitBook, LimitNews, LimitSource},
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,7 +1,7 @@
 //! A box that routes requests by host and path to endpoints that come and go.
 //!
 //! A request's way: [`front`](requests) reads it and finds its [`Route`], `requests` choose endpoints from the
-//! [`EndpointBook`] within the [`RetryWindow`], `parts` send it over `connections`, and the answer goes back unchanged.
+//! [`EndpointRegistry`] within the [`RetryWindow`], `parts` send it over `connections`, and the answer goes back unchanged.
 //! `membership` keeps routes and endpoints as the store has them. What a platform calls all this stands behind [`Dialect`]
 //! and [`Store`].
 //!
@@ -28,7 +28,7 @@
   connections::remove_connection_headers,
   decisions::{
     ALONE_BOXES, AllowedHalls, Availability, BoxEntry, BoxList, Choice, ColdEndpoints, ColdSpan,
-    DrainedHalls, EndpointBook, EndpointCounts, EndpointLife, EndpointLimits, Fingerprint,
+    DrainedHalls, EndpointCounts, EndpointLife, EndpointLimits, EndpointRegistry, Fingerprint,
     HallDrainNews, HeardLimit, KeptPrompts, LimitBook, LimitNews, LimitSource, LimitWay,
     LocalPermit, LocalVerdict, NoticeBook, NoticeNews, PartEnd, PermitAccount, PermitBook,
     PermitLedger, PermitRequest, PermitVerdict, QuarantineBook, QuarantineKey, QuarantineMark,
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -10,8 +10,8 @@
     gateway::{
       connections::{Connection, ConnectionPool},
       decisions::{
-        BoxList, Choice, ColdSpan, EndpointBook, EndpointCounts, KeptPrompts, PartEnd, PermitBook,
-        RetryWindow, SeatForecast, SeatQueue, Unavailable, UseBook, UseLedger, Wanted,
+        BoxList, Choice, ColdSpan, EndpointCounts, EndpointRegistry, KeptPrompts, PartEnd,
+        PermitBook, RetryWindow, SeatForecast, SeatQueue, Unavailable, UseBook, UseLedger, Wanted,
         retry_after_pause_ms,
       },
       edge::{ColdStart, Dialect, EndpointEntry, RouteTable, StoreLease},
@@ -68,7 +68,7 @@
   pub(crate) dialect: Rc<dyn Dialect>,
   pub(crate) settings: GatewaySettings,
   pub(crate) policy: RoutePolicy,
-  pub(crate) book: RefCell<EndpointBook>,
+  pub(crate) book: RefCell<EndpointRegistry>,
   pub(crate) pool: ConnectionPool,
   pub(crate) counters: Counters,
   pub(crate) phase: watch::Sender<Phase>,
@@ -449,12 +449,12 @@
 }
 
 /// A book of endpoints that heeds what the settings say.
-fn new_book(settings: &GatewaySettings) -> EndpointBook {
+fn new_book(settings: &GatewaySettings) -> EndpointRegistry {
   let mechanisms = &settings.mechanisms;
   let book = if mechanisms.endpoint_notices {
-    EndpointBook::default()
+    EndpointRegistry::default()
   } else {
-    EndpointBook::ignoring_notices()
+    EndpointRegistry::ignoring_notices()
   };
   if mechanisms.endpoint_limits {
     book
--- a/tests/gateway/choice.rs
+++ b/tests/gateway/choice.rs
@@ -3,7 +3,9 @@
 use {
   rillford::{
     decide::Role,
-    gateway::{AllowedHalls, EndpointBook, EndpointEntry, PartEnd, ToldLoad, Unavailable, Wanted},
+    gateway::{
+      AllowedHalls, EndpointEntry, EndpointRegistry, PartEnd, ToldLoad, Unavailable, Wanted,
+    },
   },
   rstest::rstest,
   std::collections::HashMap,
@@ -23,8 +25,8 @@
   }
 }
 
-fn book(ids: &[&str]) -> EndpointBook {
-  let mut book = EndpointBook::default();
+fn book(ids: &[&str]) -> EndpointRegistry {
+  let mut book = EndpointRegistry::default();
   for id in ids {
     book.put(entry(id, "north", None));
   }
@@ -50,7 +52,7 @@
   }
 }
 
-fn chosen(book: &EndpointBook, wanted: Wanted, now_ms: u64) -> String {
+fn chosen(book: &EndpointRegistry, wanted: Wanted, now_ms: u64) -> String {
   book
     .choose(wanted, now_ms, || 0.5)
     .unwrap()
@@ -80,7 +82,7 @@
 
 #[test]
 fn own_hall_goes_first_and_load_beats_it() {
-  let mut book = EndpointBook::default();
+  let mut book = EndpointRegistry::default();
   book.put(entry("far", "south", None));
   book.put(entry("near", "north", None));
   assert_eq!(chosen(&book, wanted(), 0), "near");
@@ -131,7 +133,7 @@
 
 #[test]
 fn roles_and_services_and_leaving_are_heeded() {
-  let mut book = EndpointBook::default();
+  let mut book = EndpointRegistry::default();
   book.put(entry("reads", "north", Some(Role::Prefill)));
   book.put(entry("writes", "north", Some(Role::Decode)));
   let reading = Wanted {
@@ -185,7 +187,7 @@
 
 #[test]
 fn overdue_endpoint_is_left_alone_and_two_mark_their_hall() {
-  let mut book = EndpointBook::default();
+  let mut book = EndpointRegistry::default();
   for (id, hall) in [
     ("n-1", "north"),
     ("s-1", "south"),
@@ -238,7 +240,7 @@
     born_ms: Some(born_ms),
     ..entry("a", "north", None)
   };
-  let mut book = EndpointBook::default();
+  let mut book = EndpointRegistry::default();
   book.put(life(1));
   assert_eq!(book.check(&life(1), 0), Ok(()));
   book.put(life(2));
--- a/tests/gateway/hall_drain.rs
+++ b/tests/gateway/hall_drain.rs
@@ -20,7 +20,8 @@
   rillford::{
     decide::Role,
     gateway::{
-      AllowedHalls, DrainedHalls, EndpointBook, EndpointEntry, HallDrainNews, Unavailable, Wanted,
+      AllowedHalls, DrainedHalls, EndpointEntry, EndpointRegistry, HallDrainNews, Unavailable,
+      Wanted,
     },
   },
   rstest::rstest,
@@ -262,7 +263,7 @@
 
 #[test]
 fn choice_and_check_heed_a_drain_and_the_steward_counts_its_engines_as_leaving() {
-  let mut book = EndpointBook::default();
+  let mut book = EndpointRegistry::default();
   book.put(entry("a", OWN_HALL));
   book.put(entry("b", OTHER_HALL));
   book.drained_halls_mut().note(&OWN_HALL.into(), true, 7);
--- a/tests/gateway/notice_book.rs
+++ b/tests/gateway/notice_book.rs
@@ -5,7 +5,7 @@
   http::{HeaderMap, HeaderValue},
   rillford::{
     gateway::{
-      AllowedHalls, Availability, EndpointBook, EndpointCounts, EndpointEntry, EndpointNotice,
+      AllowedHalls, Availability, EndpointCounts, EndpointEntry, EndpointNotice, EndpointRegistry,
       Unavailable, Wanted,
     },
     retry_after_ms,
@@ -41,15 +41,15 @@
   }
 }
 
-fn book(ids: &[&str]) -> EndpointBook {
-  let mut book = EndpointBook::default();
+fn book(ids: &[&str]) -> EndpointRegistry {
+  let mut book = EndpointRegistry::default();
   for id in ids {
     book.put(entry(id, Some(1)));
   }
   book
 }
 
-fn chosen(book: &EndpointBook, now_ms: u64) -> Option<String> {
+fn chosen(book: &EndpointRegistry, now_ms: u64) -> Option<String> {
   let wanted = Wanted {
     allowed_halls: &AllowedHalls::Any,
     hall: "north",
--- a/tests/gateway/places.rs
+++ b/tests/gateway/places.rs
@@ -4,7 +4,7 @@
 use {
   emulator::places::{PlaceFleet, PlacePattern, PlaceWay, replay_places},
   rillford::gateway::{
-    ALONE_BOXES, AllowedHalls, BoxEntry, BoxList, EndpointBook, EndpointEntry, EndpointLimits,
+    ALONE_BOXES, AllowedHalls, BoxEntry, BoxList, EndpointEntry, EndpointLimits, EndpointRegistry,
     HeardLimit, LimitNews, LimitSource, LocalPermit, NamedLimit, PermitAccount, PermitLedger,
     PermitRequest, PermitVerdict, Wanted, counted_limit, endpoint_order, lone_limit,
   },
@@ -290,14 +290,14 @@
 /// An endpoint without a place is not chosen, though it looks the least busy; when none has one, callers are told when the first has.
 #[test]
 fn endpoint_without_a_place_is_passed_by() {
-  let mut book = EndpointBook::default();
+  let mut book = EndpointRegistry::default();
   let (one, other) = (entry("a", 1), entry("b", 1));
   book.put(one.clone());
   book.put(other.clone());
   for _ in 0..5 {
     book.sent("b", 1);
   }
-  let chosen = |book: &EndpointBook, now_ms| {
+  let chosen = |book: &EndpointRegistry, now_ms| {
     let wanted = Wanted {
       allowed_halls: &AllowedHalls::Any,
       hall: "north",
@@ -332,7 +332,7 @@
 
 #[test]
 fn book_that_ignores_limits_chooses_as_before() {
-  let mut book = EndpointBook::default().ignoring_limits();
+  let mut book = EndpointRegistry::default().ignoring_limits();
   let one = entry("a", 1);
   book.put(one.clone());
   book.note_limit(&one, NamedLimit::PerS(0.0), 1_000, 1_000);
