--- a/emulator/src/notices/replay.rs
+++ b/emulator/src/notices/replay.rs
@@ -14,7 +14,7 @@
   rand_chacha::ChaCha8Rng,
   rillford::{
     gateway::{
-      AllowedHalls, EndpointEntry, EndpointNotice, EndpointRegistry, NamedLimit, NoticeNews,
+      AllowedHalls, EndpointEntry, EndpointNotice, EndpointRegistry, NamedLimit, NoticeChange,
       PartEnd, RetryAllowance, RetryWindow, Wanted, kept_pause_ms, retry_after_pause_ms,
     },
     ids::Name,
@@ -351,7 +351,7 @@
     let news = self.boxes[at]
       .book
       .note_notice(&entry(endpoint), &notice, now_ms);
-    if self.way != NoticeWay::Told || news == NoticeNews::default() {
+    if self.way != NoticeWay::Told || news == NoticeChange::default() {
       return;
     }
     for other in (0..self.fleet.boxes).filter(|other| *other != at) {
--- a/src/gateway/decisions/endpoint_registry.rs
+++ b/src/gateway/decisions/endpoint_registry.rs
@@ -9,7 +9,7 @@
     hall_reach::HallReach,
     known_endpoint::{Known, ON_TRIAL_RANK, Peers, Told},
     limit_book::LimitNews,
-    notice_book::{Availability, NoticeBook, NoticeNews},
+    notice_tracker::{Availability, NoticeChange, NoticeTracker},
     unavailable::Unavailable,
   },
   crate::{
@@ -32,7 +32,7 @@
   /// The halls that operators drain.
   drained_halls: DrainedHalls,
   /// What they have said of themselves; outlasts entries that go and come back.
-  notices: NoticeBook,
+  notices: NoticeTracker,
   /// The limits that they name.
   limits: EndpointLimits,
   /// Whether what they have said of themselves decides nothing.
@@ -291,9 +291,9 @@
     entry: &EndpointEntry,
     notice: &EndpointNotice,
     now_ms: u64,
-  ) -> NoticeNews {
+  ) -> NoticeChange {
     if self.has_later_life(entry) {
-      return NoticeNews::default();
+      return NoticeChange::default();
     }
     self.notices.note(entry, notice, now_ms)
   }
--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -21,7 +21,7 @@
 mod known_endpoint;
 mod limit_book;
 mod limit_way;
-mod notice_book;
+mod notice_tracker;
 mod pause_turn;
 mod peer_use;
 mod permit_account;
@@ -60,7 +60,7 @@
   kept_prompts::KeptPrompts,
   limit_book::{HeardLimit, LimitBook, LimitNews, LimitSource},
   limit_way::LimitWay,
-  notice_book::{Availability, NoticeBook, NoticeNews},
+  notice_tracker::{Availability, NoticeChange, NoticeTracker},
   pause_turn::kept_pause_ms,
   permit_account::{PermitAccount, PermitRequest, PermitVerdict},
   permit_book::PermitBook,
--- a/src/gateway/decisions/notice_book.rs
+++ b/src/gateway/decisions/notice_tracker.rs
@@ -57,7 +57,7 @@
 
 /// What is new in a notice.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct NoticeNews {
+pub struct NoticeChange {
   /// It was not known that the endpoint leaves.
   pub leaves: bool,
   /// A pause begins, and ends at this time.
@@ -82,11 +82,11 @@
 
 /// What endpoints have said of themselves, by id; the word of an earlier life counts for nothing.
 #[derive(Debug, Default)]
-pub struct NoticeBook {
+pub struct NoticeTracker {
   noted: HashMap<Name, Noted>,
 }
 
-impl NoticeBook {
+impl NoticeTracker {
   /// Whether nothing that was said counts any more.
   pub fn is_empty(&self) -> bool {
     self.noted.is_empty()
@@ -98,9 +98,9 @@
     entry: &EndpointEntry,
     notice: &EndpointNotice,
     now_ms: u64,
-  ) -> NoticeNews {
+  ) -> NoticeChange {
     if !notice.leaving && notice.pause_ms.is_none_or(|pause_ms| pause_ms == 0) {
-      return NoticeNews::default();
+      return NoticeChange::default();
     }
     let before = self.availability(entry, now_ms);
     let noted = self
@@ -116,7 +116,7 @@
     if let Some(pause_ms) = notice.pause_ms {
       noted.pause(pause_ms, now_ms);
     }
-    NoticeNews::between(before, self.availability(entry, now_ms))
+    NoticeChange::between(before, self.availability(entry, now_ms))
   }
 
   /// Whether a life of an endpoint may be sent work.
@@ -178,7 +178,7 @@
   }
 }
 
-impl NoticeNews {
+impl NoticeChange {
   fn between(before: Availability, after: Availability) -> Self {
     let was_pausing = matches!(before, Availability::Pausing { .. });
     Self {
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -30,7 +30,7 @@
     ALONE_BOXES, AllowedHalls, Availability, BoxEntry, BoxList, Choice, ColdEndpoints, ColdSpan,
     DrainedHalls, EndpointCounts, EndpointLife, EndpointLimits, EndpointRegistry, Fingerprint,
     HallDrainNews, HeardLimit, KeptPrompts, LimitBook, LimitNews, LimitSource, LimitWay,
-    LocalPermit, LocalVerdict, NoticeBook, NoticeNews, PartEnd, PermitAccount, PermitBook,
+    LocalPermit, LocalVerdict, NoticeChange, NoticeTracker, PartEnd, PermitAccount, PermitBook,
     PermitLedger, PermitRequest, PermitVerdict, QuarantineBook, QuarantineKey, QuarantineMark,
     QuarantineVerdict, QuarantineWay, RecentEngines, RequestIdentity, RetryAllowance, RetryWindow,
     SeatForecast, SeatPlace, SeatQueue, SeatUrgency, Surplus, ToldSpan, Unavailable, UseBook,
--- a/src/gateway/parts/notice.rs
+++ b/src/gateway/parts/notice.rs
@@ -3,7 +3,7 @@
 use {
   super::purpose::Purpose,
   crate::gateway::{
-    decisions::{LimitNews, NoticeNews, kept_pause_ms},
+    decisions::{LimitNews, NoticeChange, kept_pause_ms},
     edge::{EndpointEntry, EndpointNotice, NamedLimit},
     permits::tell_limit,
     state::Gateway,
@@ -138,10 +138,10 @@
   gateway: &Gateway,
   entry: &EndpointEntry,
   answer: &response::Parts,
-  news: NoticeNews,
+  news: NoticeChange,
   now_ms: u64,
 ) {
-  if news == NoticeNews::default() {
+  if news == NoticeChange::default() {
     return;
   }
   let facts = gateway.dialect.answer_facts(&answer.headers);
