--- a/emulator/src/places/replay.rs
+++ b/emulator/src/places/replay.rs
@@ -14,7 +14,7 @@
   rand_chacha::ChaCha8Rng,
   rillford::{
     gateway::{
-      ALONE_BOXES, BoxList, EndpointEntry, EndpointLife, HeardLimit, LimitNews, LimitSource,
+      ALONE_BOXES, AdvertisedLimit, BoxList, EndpointEntry, EndpointLife, LimitChange, LimitSource,
       LocalPermit, NamedLimit, PermitRequest, PermitVerdict, ToldSpan, UseBucket, UseLimit,
       UseTotals, UseVerdict, counted_limit, endpoint_order, lone_limit,
     },
@@ -398,8 +398,8 @@
     self.message(to, from, ANSWER_BYTES, answer);
   }
 
-  fn take_over(&mut self, at: usize, word: Word) -> LimitNews {
-    let heard = HeardLimit {
+  fn take_over(&mut self, at: usize, word: Word) -> LimitChange {
+    let heard = AdvertisedLimit {
       heard_ms: word.heard_ms,
       per_s: Some(word.per_s),
       source: LimitSource::Box,
@@ -501,7 +501,7 @@
     let said = NamedLimit::PerS(per_s);
     let limits = &mut self.boxes[at].limits;
     let news = limits.note_answer(&self.entry, said, sent_ms, now_ms);
-    if news != LimitNews::Begins || self.way != PlaceWay::AskedAndTold {
+    if news != LimitChange::Started || self.way != PlaceWay::AskedAndTold {
       return;
     }
     let name = PlaceFleet::name(at);
@@ -524,7 +524,7 @@
   }
 
   fn told(&mut self, to: usize, word: Word, is_told_on: bool) {
-    if !self.is_up(to) || self.take_over(to, word) != LimitNews::Begins || is_told_on {
+    if !self.is_up(to) || self.take_over(to, word) != LimitChange::Started || is_told_on {
       return;
     }
     for address in self.list.told_on_by(&PlaceFleet::name(to)) {
--- a/src/gateway/decisions/limit_book.rs
+++ b/src/gateway/decisions/advertised_limits.rs
@@ -30,7 +30,7 @@
 
 /// An endpoint's newest word.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct HeardLimit {
+pub struct AdvertisedLimit {
   /// Requests a second that it takes of all boxes together; nothing when it has ceased to name a limit.
   pub per_s: Option<f64>,
   /// When it was heard, by whichever box.
@@ -39,7 +39,7 @@
   pub source: LimitSource,
 }
 
-impl HeardLimit {
+impl AdvertisedLimit {
   /// The figure; above all others when there is none.
   pub(super) fn per_s_or_infinite(&self) -> f64 {
     self.per_s.unwrap_or(f64::INFINITY)
@@ -48,45 +48,45 @@
 
 /// What is new in an endpoint's word.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum LimitNews {
+pub enum LimitChange {
   /// Nothing.
-  Nothing,
+  Unchanged,
   /// It names a limit, and did not before.
-  Begins,
+  Started,
   /// It names another figure than this one.
-  Changes(f64),
+  Changed(f64),
   /// It names none any more.
-  Ends,
+  Ended,
 }
 
 /// What one life of an endpoint has named.
 #[derive(Clone, Debug)]
 struct Noted {
   born_ms: Option<u64>,
-  limit: HeardLimit,
+  limit: AdvertisedLimit,
   /// When a limit was last heard, whatever was heard since.
   named_ms: u64,
 }
 
 /// The endpoints' words, by id; that of an earlier life counts for nothing.
 #[derive(Debug, Default)]
-pub struct LimitBook {
+pub struct AdvertisedLimits {
   noted: HashMap<Name, Noted>,
 }
 
-impl LimitBook {
+impl AdvertisedLimits {
   /// Whether no endpoint has named a limit.
   pub fn is_empty(&self) -> bool {
     self.noted.is_empty()
   }
 
   /// The newest word of a life of an endpoint, if it has named a limit.
-  pub fn heard(&self, entry: &EndpointEntry) -> Option<HeardLimit> {
+  pub fn heard(&self, entry: &EndpointEntry) -> Option<AdvertisedLimit> {
     self.heard_of(&entry.id, entry.born_ms)
   }
 
   /// The same of a life that may not be listed.
-  pub fn heard_of(&self, id: &str, born_ms: Option<u64>) -> Option<HeardLimit> {
+  pub fn heard_of(&self, id: &str, born_ms: Option<u64>) -> Option<AdvertisedLimit> {
     self.noted(id, born_ms).map(|noted| noted.limit)
   }
 
@@ -102,12 +102,12 @@
     said: NamedLimit,
     sent_ms: u64,
     now_ms: u64,
-  ) -> LimitNews {
+  ) -> LimitChange {
     let before = self.noted(&entry.id, entry.born_ms).cloned();
     let per_s = match (said, before) {
-      (NamedLimit::Unreadable, _) | (NamedLimit::Unsaid, None) => return LimitNews::Nothing,
+      (NamedLimit::Unreadable, _) | (NamedLimit::Unsaid, None) => return LimitChange::Unchanged,
       (NamedLimit::Unsaid, Some(before)) if !before.may_end(sent_ms, now_ms) => {
-        return LimitNews::Nothing;
+        return LimitChange::Unchanged;
       }
       (NamedLimit::Unsaid, Some(_)) => None,
       // Both answers were on their way at once, and nobody knows which the endpoint gave first.
@@ -116,7 +116,7 @@
       }
       (NamedLimit::PerS(said), _) => Some(said),
     };
-    let limit = HeardLimit {
+    let limit = AdvertisedLimit {
       heard_ms: now_ms,
       per_s,
       source: LimitSource::Answer,
@@ -125,12 +125,17 @@
   }
 
   /// Takes over a word that another box heard, if it is newer.
-  pub fn note_told(&mut self, id: &Name, born_ms: Option<u64>, limit: HeardLimit) -> LimitNews {
+  pub fn note_told(
+    &mut self,
+    id: &Name,
+    born_ms: Option<u64>,
+    limit: AdvertisedLimit,
+  ) -> LimitChange {
     let is_newer = self
       .noted(id, born_ms)
       .is_none_or(|noted| limit.heard_ms > noted.limit.heard_ms);
     if !is_newer {
-      return LimitNews::Nothing;
+      return LimitChange::Unchanged;
     }
     self.put(id, born_ms, limit)
   }
@@ -143,7 +148,7 @@
   }
 
   /// The endpoints that name a limit, with it.
-  pub fn named(&self) -> impl Iterator<Item = (&Name, HeardLimit)> {
+  pub fn named(&self) -> impl Iterator<Item = (&Name, AdvertisedLimit)> {
     let limits = self.noted.iter().map(|(id, noted)| (id, noted.limit));
     limits.filter(|(_, limit)| limit.per_s.is_some())
   }
@@ -152,13 +157,13 @@
     self.noted.get(id).filter(|noted| noted.born_ms == born_ms)
   }
 
-  fn put(&mut self, id: &Name, born_ms: Option<u64>, limit: HeardLimit) -> LimitNews {
+  fn put(&mut self, id: &Name, born_ms: Option<u64>, limit: AdvertisedLimit) -> LimitChange {
     let before = self.noted(id, born_ms);
     let named_ms = match (limit.per_s, before) {
       (None, Some(before)) => before.named_ms,
       _ => limit.heard_ms,
     };
-    let news = LimitNews::between(before.and_then(|noted| noted.limit.per_s), limit.per_s);
+    let news = LimitChange::between(before.and_then(|noted| noted.limit.per_s), limit.per_s);
     let noted = Noted {
       born_ms,
       limit,
@@ -169,14 +174,14 @@
   }
 }
 
-impl LimitNews {
+impl LimitChange {
   fn between(before: Option<f64>, after: Option<f64>) -> Self {
     match (before, after) {
-      (None, None) => Self::Nothing,
-      (None, Some(_)) => Self::Begins,
-      (Some(_), None) => Self::Ends,
-      (Some(before), Some(after)) if before == after => Self::Nothing,
-      (Some(before), Some(_)) => Self::Changes(before),
+      (None, None) => Self::Unchanged,
+      (None, Some(_)) => Self::Started,
+      (Some(_), None) => Self::Ended,
+      (Some(before), Some(after)) if before == after => Self::Unchanged,
+      (Some(before), Some(_)) => Self::Changed(before),
     }
   }
 }
--- a/src/gateway/decisions/endpoint_limits.rs
+++ b/src/gateway/decisions/endpoint_limits.rs
@@ -3,8 +3,8 @@
 
 use {
   super::{
+    advertised_limits::{AdvertisedLimit, AdvertisedLimits, LimitChange, LimitSource},
     cold_endpoints::{ColdEndpoints, ColdSpan},
-    limit_book::{HeardLimit, LimitBook, LimitNews, LimitSource},
     permit_ledger::PermitLedger,
   },
   crate::{
@@ -19,7 +19,7 @@
 /// Endpoints' words and this box's permits.
 #[derive(Debug, Default)]
 pub struct EndpointLimits {
-  words: LimitBook,
+  words: AdvertisedLimits,
   cold: ColdEndpoints,
   permits: PermitLedger,
   /// Whether limits decide nothing.
@@ -53,18 +53,19 @@
 
   /// The lower of the limits that are in force at a life of an endpoint: the one that it names, and what it carries while it
   /// is cold.
-  pub fn in_force(&self, entry: &EndpointEntry, now_ms: u64) -> Option<HeardLimit> {
+  pub fn in_force(&self, entry: &EndpointEntry, now_ms: u64) -> Option<AdvertisedLimit> {
     if self.is_ignoring {
       return None;
     }
     self.lowest_limit(&entry.id, entry.born_ms, now_ms)
   }
 
-  fn lowest_limit(&self, id: &str, born_ms: Option<u64>, now_ms: u64) -> Option<HeardLimit> {
-    let is_limit = |limit: &HeardLimit| limit.per_s.is_some_and(|per_s| per_s < NO_LIMIT_PER_S);
+  fn lowest_limit(&self, id: &str, born_ms: Option<u64>, now_ms: u64) -> Option<AdvertisedLimit> {
+    let is_limit =
+      |limit: &AdvertisedLimit| limit.per_s.is_some_and(|per_s| per_s < NO_LIMIT_PER_S);
     let named = self.words.heard_of(id, born_ms).filter(is_limit);
     let cold = self.cold_span(id, born_ms, now_ms);
-    let cold = cold.map(HeardLimit::from);
+    let cold = cold.map(AdvertisedLimit::from);
     [named, cold].into_iter().flatten().min_by(|one, other| {
       one
         .per_s_or_infinite()
@@ -85,12 +86,12 @@
   }
 
   /// A life's newest word, if it has named a limit.
-  pub fn heard(&self, entry: &EndpointEntry) -> Option<HeardLimit> {
+  pub fn heard(&self, entry: &EndpointEntry) -> Option<AdvertisedLimit> {
     self.words.heard(entry)
   }
 
   /// The newest word of a life that this box may not list.
-  pub fn heard_of(&self, id: &str, born_ms: Option<u64>) -> Option<HeardLimit> {
+  pub fn heard_of(&self, id: &str, born_ms: Option<u64>) -> Option<AdvertisedLimit> {
     self.words.heard_of(id, born_ms)
   }
 
@@ -109,13 +110,18 @@
     said: NamedLimit,
     sent_ms: u64,
     now_ms: u64,
-  ) -> LimitNews {
+  ) -> LimitChange {
     let news = self.words.note_answer(entry, said, sent_ms, now_ms);
     self.note_news(&entry.id, news)
   }
 
   /// Takes over a word that another box heard, if it is newer.
-  pub fn note_told(&mut self, id: &Name, born_ms: Option<u64>, limit: HeardLimit) -> LimitNews {
+  pub fn note_told(
+    &mut self,
+    id: &Name,
+    born_ms: Option<u64>,
+    limit: AdvertisedLimit,
+  ) -> LimitChange {
     let news = self.words.note_told(id, born_ms, limit);
     self.note_news(id, news)
   }
@@ -133,20 +139,20 @@
   }
 
   /// The endpoints that name a limit, with it.
-  pub fn named(&self) -> impl Iterator<Item = (&Name, HeardLimit)> {
+  pub fn named(&self) -> impl Iterator<Item = (&Name, AdvertisedLimit)> {
     self.words.named()
   }
 
   /// What is known of permits is of the limit that has ended, or of an earlier life.
-  fn note_news(&mut self, id: &Name, news: LimitNews) -> LimitNews {
-    if matches!(news, LimitNews::Begins | LimitNews::Ends) {
+  fn note_news(&mut self, id: &Name, news: LimitChange) -> LimitChange {
+    if matches!(news, LimitChange::Started | LimitChange::Ended) {
       self.permits.open(id);
     }
     news
   }
 }
 
-impl From<ColdSpan> for HeardLimit {
+impl From<ColdSpan> for AdvertisedLimit {
   fn from(span: ColdSpan) -> Self {
     Self {
       heard_ms: span.noted_ms,
--- a/src/gateway/decisions/endpoint_registry.rs
+++ b/src/gateway/decisions/endpoint_registry.rs
@@ -2,13 +2,13 @@
 
 use {
   super::{
+    advertised_limits::LimitChange,
     choice::{Choice, PartEnd, Wanted},
     drained_halls::DrainedHalls,
     endpoint_counts::EndpointCounts,
     endpoint_limits::EndpointLimits,
     hall_reach::HallReach,
     known_endpoint::{Known, ON_TRIAL_RANK, Peers, Told},
-    limit_book::LimitNews,
     notice_tracker::{Availability, NoticeChange, NoticeTracker},
     unavailable::Unavailable,
   },
@@ -306,9 +306,9 @@
     said: NamedLimit,
     sent_ms: u64,
     now_ms: u64,
-  ) -> LimitNews {
+  ) -> LimitChange {
     if self.has_later_life(entry) {
-      return LimitNews::Nothing;
+      return LimitChange::Unchanged;
     }
     self.limits.note_answer(entry, said, sent_ms, now_ms)
   }
--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -3,6 +3,7 @@
 //!
 //! Imports `edge` alone: a decision gets the time, what was seen and a random number, and answers with what to do.
 
+mod advertised_limits;
 mod allowed_halls;
 mod box_list;
 mod choice;
@@ -19,7 +20,6 @@
 mod hall_reach;
 mod kept_prompts;
 mod known_endpoint;
-mod limit_book;
 mod limit_way;
 mod notice_tracker;
 mod pause_turn;
@@ -45,6 +45,7 @@
 mod use_verdict;
 
 pub use self::{
+  advertised_limits::{AdvertisedLimit, AdvertisedLimits, LimitChange, LimitSource},
   allowed_halls::AllowedHalls,
   box_list::{BoxEntry, BoxList},
   choice::{Choice, PartEnd, Wanted},
@@ -58,7 +59,6 @@
   endpoint_registry::EndpointRegistry,
   fingerprint::{Fingerprint, RequestIdentity},
   kept_prompts::KeptPrompts,
-  limit_book::{HeardLimit, LimitBook, LimitNews, LimitSource},
   limit_way::LimitWay,
   notice_tracker::{Availability, NoticeChange, NoticeTracker},
   pause_turn::kept_pause_ms,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -27,9 +27,9 @@
 pub use self::{
   connections::remove_connection_headers,
   decisions::{
-    ALONE_BOXES, AllowedHalls, Availability, BoxEntry, BoxList, Choice, ColdEndpoints, ColdSpan,
-    DrainedHalls, EndpointCounts, EndpointLife, EndpointLimits, EndpointRegistry, Fingerprint,
-    HallDrainNews, HeardLimit, KeptPrompts, LimitBook, LimitNews, LimitSource, LimitWay,
+    ALONE_BOXES, AdvertisedLimit, AdvertisedLimits, AllowedHalls, Availability, BoxEntry, BoxList,
+    Choice, ColdEndpoints, ColdSpan, DrainedHalls, EndpointCounts, EndpointLife, EndpointLimits,
+    EndpointRegistry, Fingerprint, HallDrainNews, KeptPrompts, LimitChange, LimitSource, LimitWay,
     LocalPermit, LocalVerdict, NoticeChange, NoticeTracker, PartEnd, PermitAccount, PermitBook,
     PermitLedger, PermitRequest, PermitVerdict, QuarantineBook, QuarantineKey, QuarantineMark,
     QuarantineVerdict, QuarantineWay, RecentEngines, RequestIdentity, RetryAllowance, RetryWindow,
--- a/src/gateway/parts/notice.rs
+++ b/src/gateway/parts/notice.rs
@@ -3,7 +3,7 @@
 use {
   super::purpose::Purpose,
   crate::gateway::{
-    decisions::{LimitNews, NoticeChange, kept_pause_ms},
+    decisions::{LimitChange, NoticeChange, kept_pause_ms},
     edge::{EndpointEntry, EndpointNotice, NamedLimit},
     permits::tell_limit,
     state::Gateway,
@@ -89,7 +89,7 @@
     .book
     .borrow_mut()
     .note_limit(entry, said, sent_ms, now_ms);
-  if news == LimitNews::Begins {
+  if news == LimitChange::Started {
     gateway.counters.limit_notices.inc();
     if gateway.settings.mechanisms.endpoint_limits {
       tell_limit(gateway, &entry.id, entry.born_ms);
@@ -103,13 +103,13 @@
   gateway: &Gateway,
   entry: &EndpointEntry,
   answer: &response::Parts,
-  news: LimitNews,
+  news: LimitChange,
   now_ms: u64,
 ) {
   let is_due = match news {
-    LimitNews::Nothing => false,
-    LimitNews::Changes(_) => gateway.limit_lines.is_over(now_ms),
-    LimitNews::Begins | LimitNews::Ends => true,
+    LimitChange::Unchanged => false,
+    LimitChange::Changed(_) => gateway.limit_lines.is_over(now_ms),
+    LimitChange::Started | LimitChange::Ended => true,
   };
   if !is_due {
     return;
@@ -121,7 +121,7 @@
   let status = answer.status.as_u16();
   let (id, born_ms) = (&entry.id, entry.born_ms);
   match (news, per_s) {
-    (LimitNews::Changes(before), Some(per_s)) => log::info!(
+    (LimitChange::Changed(before), Some(per_s)) => log::info!(
       "E540 names a limit: {id} born {born_ms:?} takes {per_s} requests a second of all boxes, {before} before, in its answer {status} to {request}"
     ),
     (_, Some(per_s)) => log::info!(
--- a/src/gateway/permits/figures.rs
+++ b/src/gateway/permits/figures.rs
@@ -2,7 +2,7 @@
 
 use {
   crate::gateway::{
-    decisions::{EndpointLife, HeardLimit},
+    decisions::{AdvertisedLimit, EndpointLife},
     state::Gateway,
   },
   crate::ids::Name,
@@ -32,7 +32,7 @@
   text
 }
 
-fn lowest_limits(gateway: &Gateway) -> Vec<(Name, HeardLimit)> {
+fn lowest_limits(gateway: &Gateway) -> Vec<(Name, AdvertisedLimit)> {
   let book = gateway.book.borrow();
   let mut named: Vec<_> = book
     .limits()
@@ -40,7 +40,7 @@
     .map(|(id, heard)| (id.clone(), heard))
     .collect();
   named.sort_by(|one, other| {
-    let per_s = |heard: HeardLimit| heard.per_s.unwrap_or_default();
+    let per_s = |heard: AdvertisedLimit| heard.per_s.unwrap_or_default();
     per_s(one.1)
       .total_cmp(&per_s(other.1))
       .then_with(|| one.0.cmp(&other.0))
--- a/src/gateway/permits/taking.rs
+++ b/src/gateway/permits/taking.rs
@@ -9,7 +9,7 @@
   crate::{
     gateway::{
       decisions::{
-        ALONE_BOXES, EndpointLife, HeardLimit, LocalPermit, PermitRequest, PermitVerdict,
+        ALONE_BOXES, AdvertisedLimit, EndpointLife, LocalPermit, PermitRequest, PermitVerdict,
         Unavailable, endpoint_order, lone_limit,
       },
       edge::EndpointEntry,
@@ -123,7 +123,7 @@
 }
 
 /// The limit that is in force at an endpoint.
-fn limit_at(gateway: &Gateway, entry: &EndpointEntry) -> Option<HeardLimit> {
+fn limit_at(gateway: &Gateway, entry: &EndpointEntry) -> Option<AdvertisedLimit> {
   let now_ms = gateway.now_ms();
   gateway.book.borrow().limits().in_force(entry, now_ms)
 }
@@ -132,7 +132,7 @@
 async fn decide(
   gateway: &Gateway,
   entry: &EndpointEntry,
-  heard: HeardLimit,
+  heard: AdvertisedLimit,
   permit_request: &PermitRequest,
 ) -> (PermitVerdict, DecidedBy) {
   let life = EndpointLife::of(&entry.id, entry.born_ms);
@@ -221,7 +221,7 @@
 fn decide_alone(
   gateway: &Gateway,
   life: EndpointLife,
-  heard: HeardLimit,
+  heard: AdvertisedLimit,
   permit_request: &PermitRequest,
   order: &[(Name, SocketAddr)],
 ) -> PermitVerdict {
@@ -253,12 +253,12 @@
   gateway: &Gateway,
   entry: &EndpointEntry,
   caller: PermitCaller,
-  heard: HeardLimit,
+  heard: AdvertisedLimit,
   verdict: PermitVerdict,
   decided_by: DecidedBy,
 ) {
   let PermitCaller { request, priority } = caller;
-  let HeardLimit { per_s, source, .. } = heard;
+  let AdvertisedLimit { per_s, source, .. } = heard;
   let per_s = per_s.unwrap_or_default();
   let age_ms = gateway.now_ms().saturating_sub(heard.heard_ms);
   let id = &entry.id;
--- a/src/gateway/permits/telling.rs
+++ b/src/gateway/permits/telling.rs
@@ -5,7 +5,7 @@
   crate::{
     gateway::{
       connections::{read_message, send_message, status_answer},
-      decisions::{HeardLimit, LimitNews},
+      decisions::{AdvertisedLimit, LimitChange},
       state::Gateway,
     },
     ids::Name,
@@ -100,7 +100,7 @@
     endpoint, born_ms, ..
   } = &message;
   let told = message.told.heard(now_ms);
-  if note_told(gateway, endpoint, *born_ms, told) == LimitNews::Begins && !message.is_told_on {
+  if note_told(gateway, endpoint, *born_ms, told) == LimitChange::Started && !message.is_told_on {
     let addresses = {
       let boxes = gateway.boxes.borrow();
       boxes.told_on_by(&gateway.settings.identity.name)
@@ -115,11 +115,11 @@
   gateway: &Gateway,
   endpoint: &Name,
   born_ms: Option<u64>,
-  told: HeardLimit,
-) -> LimitNews {
+  told: AdvertisedLimit,
+) -> LimitChange {
   let mut book = gateway.book.borrow_mut();
   let news = book.limits_mut().note_told(endpoint, born_ms, told);
-  if news == LimitNews::Begins {
+  if news == LimitChange::Started {
     log::info!(
       "E540 names a limit: {endpoint} born {born_ms:?} takes {} requests a second of all boxes, as another box heard {} ms ago",
       told.per_s.unwrap_or_default(),
--- a/src/gateway/permits/told_limit.rs
+++ b/src/gateway/permits/told_limit.rs
@@ -1,7 +1,7 @@
 //! An endpoint's word on its limit on its way between boxes.
 
 use {
-  crate::gateway::decisions::{HeardLimit, LimitSource},
+  crate::gateway::decisions::{AdvertisedLimit, LimitSource},
   serde::{Deserialize, Serialize},
 };
 
@@ -16,7 +16,7 @@
 
 impl ToldLimit {
   /// A word that was heard here.
-  pub(super) fn new(heard: HeardLimit, now_ms: u64) -> Self {
+  pub(super) fn new(heard: AdvertisedLimit, now_ms: u64) -> Self {
     Self {
       age_ms: now_ms.saturating_sub(heard.heard_ms),
       per_s: heard.per_s,
@@ -24,8 +24,8 @@
   }
 
   /// It as heard by the box that is told. A figure that no endpoint can name is none.
-  pub(super) fn heard(self, now_ms: u64) -> HeardLimit {
-    HeardLimit {
+  pub(super) fn heard(self, now_ms: u64) -> AdvertisedLimit {
+    AdvertisedLimit {
       heard_ms: now_ms.saturating_sub(self.age_ms),
       per_s: self
         .per_s
--- a/tests/gateway/cold_endpoints.rs
+++ b/tests/gateway/cold_endpoints.rs
@@ -10,8 +10,8 @@
   rand::{RngExt, SeedableRng},
   rand_chacha::ChaCha8Rng,
   rillford::gateway::{
-    ColdSpan, EndpointEntry, EndpointLife, EndpointLimits, HeardLimit, LimitSource, LocalPermit,
-    NamedLimit, PermitBook, PermitRequest, PermitVerdict, counted_limit,
+    AdvertisedLimit, ColdSpan, EndpointEntry, EndpointLife, EndpointLimits, LimitSource,
+    LocalPermit, NamedLimit, PermitBook, PermitRequest, PermitVerdict, counted_limit,
   },
   rstest::rstest,
   serde_json::{Value, json},
@@ -203,7 +203,7 @@
   let mut limits = EndpointLimits::default();
   limits.note_answer(&entry, NamedLimit::PerS(named.parse().unwrap()), 0, 10);
   limits.note_cold(&entry.id, entry.born_ms, span(10, 1_000));
-  let in_force: HeardLimit = limits.in_force(&entry, 500).unwrap();
+  let in_force: AdvertisedLimit = limits.in_force(&entry, 500).unwrap();
   assert_eq!(in_force.source, source);
   assert_eq!(
     limits.in_force(&entry, 1_000).unwrap().source,
--- a/tests/gateway/places.rs
+++ b/tests/gateway/places.rs
@@ -4,9 +4,9 @@
 use {
   emulator::places::{PlaceFleet, PlacePattern, PlaceWay, replay_places},
   rillford::gateway::{
-    ALONE_BOXES, AllowedHalls, BoxEntry, BoxList, EndpointEntry, EndpointLimits, EndpointRegistry,
-    HeardLimit, LimitNews, LimitSource, LocalPermit, NamedLimit, PermitAccount, PermitLedger,
-    PermitRequest, PermitVerdict, Wanted, counted_limit, endpoint_order, lone_limit,
+    ALONE_BOXES, AdvertisedLimit, AllowedHalls, BoxEntry, BoxList, EndpointEntry, EndpointLimits,
+    EndpointRegistry, LimitChange, LimitSource, LocalPermit, NamedLimit, PermitAccount,
+    PermitLedger, PermitRequest, PermitVerdict, Wanted, counted_limit, endpoint_order, lone_limit,
   },
   rstest::rstest,
 };
@@ -230,21 +230,21 @@
   // Sent before the word was heard: nobody knows which answer the endpoint gave first.
   assert_eq!(
     limits.note_answer(&entry, NamedLimit::Unsaid, 9_990, 12_000),
-    LimitNews::Nothing
+    LimitChange::Unchanged
   );
   // An endpoint that names it on and off names it.
   assert_eq!(
     limits.note_answer(&entry, NamedLimit::Unsaid, 10_100, 10_200),
-    LimitNews::Nothing
+    LimitChange::Unchanged
   );
   assert_eq!(
     limits.note_answer(&entry, NamedLimit::Unreadable, 11_900, 12_000),
-    LimitNews::Nothing
+    LimitChange::Unchanged
   );
   assert_eq!(limits.per_s(&entry, 0), Some(2.0));
   assert_eq!(
     limits.note_answer(&entry, NamedLimit::Unsaid, 11_900, 12_000),
-    LimitNews::Ends
+    LimitChange::Ended
   );
   assert_eq!(limits.per_s(&entry, 0), None);
 }
@@ -272,18 +272,18 @@
 fn newest_word_holds_whichever_box_heard_it() {
   let entry = entry("e-1", 1);
   let mut limits = limits(&entry, 2.0, 10_000);
-  let told = |per_s, heard_ms| HeardLimit {
+  let told = |per_s, heard_ms| AdvertisedLimit {
     heard_ms,
     per_s,
     source: LimitSource::Box,
   };
   let older = limits.note_told(&entry.id, entry.born_ms, told(Some(9.0), 9_000));
-  assert_eq!(older, LimitNews::Nothing);
+  assert_eq!(older, LimitChange::Unchanged);
   let newer = limits.note_told(&entry.id, entry.born_ms, told(Some(3.0), 11_000));
-  assert_eq!(newer, LimitNews::Changes(2.0));
+  assert_eq!(newer, LimitChange::Changed(2.0));
   assert_eq!(limits.per_s(&entry, 0), Some(3.0));
   let ended = limits.note_told(&entry.id, entry.born_ms, told(None, 12_000));
-  assert_eq!(ended, LimitNews::Ends);
+  assert_eq!(ended, LimitChange::Ended);
   assert_eq!(limits.per_s(&entry, 0), None);
 }
 
