--- a/src/gateway/decisions/drained_halls.rs
+++ b/src/gateway/decisions/drained_halls.rs
@@ -7,13 +7,13 @@
 
 /// What is new in the word on a hall.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum HallDrainNews {
+pub enum HallDrainChange {
   /// It was known, or is older than what is known.
-  Nothing,
+  Unchanged,
   /// The hall is to be sent nothing new from now on.
-  Begins,
+  Started,
   /// The hall may be used again.
-  Ends,
+  Ended,
 }
 
 /// The newest word on one hall.
@@ -27,13 +27,13 @@
 /// The halls that were ever drained, by name; a hall may have no endpoints.
 ///
 /// ```
-/// use rillford::gateway::{DrainedHalls, HallDrainNews};
+/// use rillford::gateway::{DrainedHalls, HallDrainChange};
 /// let mut halls = DrainedHalls::default();
-/// assert_eq!(halls.note(&"north".into(), true, 7), HallDrainNews::Begins);
+/// assert_eq!(halls.note(&"north".into(), true, 7), HallDrainChange::Started);
 /// assert!(halls.is_drained("north"));
 /// // An older word that comes late changes nothing.
-/// assert_eq!(halls.note(&"north".into(), false, 5), HallDrainNews::Nothing);
-/// assert_eq!(halls.note(&"north".into(), false, 9), HallDrainNews::Ends);
+/// assert_eq!(halls.note(&"north".into(), false, 5), HallDrainChange::Unchanged);
+/// assert_eq!(halls.note(&"north".into(), false, 9), HallDrainChange::Ended);
 /// assert!(halls.is_empty());
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -44,10 +44,10 @@
 
 impl DrainedHalls {
   /// Takes over the store's word on a hall, as it was at a revision.
-  pub fn note(&mut self, hall: &Name, is_drained: bool, revision: u64) -> HallDrainNews {
+  pub fn note(&mut self, hall: &Name, is_drained: bool, revision: u64) -> HallDrainChange {
     let before = self.by_hall.get(hall).copied();
     if before.is_some_and(|before| revision <= before.revision) {
-      return HallDrainNews::Nothing;
+      return HallDrainChange::Unchanged;
     }
     let word = HallDrain {
       is_drained,
@@ -55,9 +55,9 @@
     };
     self.by_hall.insert(hall.clone(), word);
     match (before.is_some_and(|before| before.is_drained), is_drained) {
-      (false, true) => HallDrainNews::Begins,
-      (true, false) => HallDrainNews::Ends,
-      (true, true) | (false, false) => HallDrainNews::Nothing,
+      (false, true) => HallDrainChange::Started,
+      (true, false) => HallDrainChange::Ended,
+      (true, true) | (false, false) => HallDrainChange::Unchanged,
     }
   }
 
--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -50,7 +50,7 @@
   box_list::{BoxEntry, BoxList},
   choice::{Choice, PartEnd, Wanted},
   cold_endpoints::{ColdEndpoints, ColdSpan},
-  drained_halls::{DrainedHalls, HallDrainNews},
+  drained_halls::{DrainedHalls, HallDrainChange},
   endpoint_counts::EndpointCounts,
   endpoint_life::EndpointLife,
   endpoint_limit::{ALONE_BOXES, counted_limit, lone_limit},
--- a/src/gateway/membership/store_view.rs
+++ b/src/gateway/membership/store_view.rs
@@ -4,7 +4,7 @@
   super::listing::Listing,
   crate::{
     gateway::{
-      decisions::{HallDrainNews, QuarantineKey, QuarantineWay},
+      decisions::{HallDrainChange, QuarantineKey, QuarantineWay},
       edge::{RouteTable, StoreError, StoreItem, StoreKey},
       quarantine::mark_age_ms,
       state::Gateway,
@@ -148,11 +148,11 @@
       .drained_halls_mut()
       .note(hall, is_drained, revision);
     match news {
-      HallDrainNews::Nothing => {}
-      HallDrainNews::Begins => {
+      HallDrainChange::Unchanged => {}
+      HallDrainChange::Started => {
         log::info!("E412 hall drained: {hall} is sent nothing new, revision {revision}");
       }
-      HallDrainNews::Ends => {
+      HallDrainChange::Ended => {
         log::info!("E413 drain ended: {hall}, revision {revision}");
         self.gateway.note_hall_cold(hall);
       }
--- a/tests/gateway/hall_drain.rs
+++ b/tests/gateway/hall_drain.rs
@@ -20,7 +20,7 @@
   rillford::{
     decide::Role,
     gateway::{
-      AllowedHalls, DrainedHalls, EndpointEntry, EndpointRegistry, HallDrainNews, Unavailable,
+      AllowedHalls, DrainedHalls, EndpointEntry, EndpointRegistry, HallDrainChange, Unavailable,
       Wanted,
     },
   },
@@ -290,12 +290,12 @@
 fn newest_word_on_a_hall_holds_in_whatever_order_it_comes() {
   let mut halls = DrainedHalls::default();
   let hall = OWN_HALL.into();
-  assert_eq!(halls.note(&hall, true, 10), HallDrainNews::Begins);
-  assert_eq!(halls.note(&hall, true, 10), HallDrainNews::Nothing);
-  assert_eq!(halls.note(&hall, false, 20), HallDrainNews::Ends);
-  assert_eq!(halls.note(&hall, true, 10), HallDrainNews::Nothing);
+  assert_eq!(halls.note(&hall, true, 10), HallDrainChange::Started);
+  assert_eq!(halls.note(&hall, true, 10), HallDrainChange::Unchanged);
+  assert_eq!(halls.note(&hall, false, 20), HallDrainChange::Ended);
+  assert_eq!(halls.note(&hall, true, 10), HallDrainChange::Unchanged);
   assert!(!halls.is_drained(OWN_HALL));
-  assert_eq!(halls.note(&hall, true, 30), HallDrainNews::Begins);
-  assert_eq!(halls.note(&hall, false, 20), HallDrainNews::Nothing);
+  assert_eq!(halls.note(&hall, true, 30), HallDrainChange::Started);
+  assert_eq!(halls.note(&hall, false, 20), HallDrainChange::Unchanged);
   assert!(halls.is_drained(OWN_HALL) && !halls.is_drained(OTHER_HALL));
 }
