--- a/emulator/src/places/place_box.rs
+++ b/emulator/src/places/place_box.rs
@@ -1,15 +1,15 @@
 //! A box in a replay of places.
 
 use {
-  rillford::gateway::{EndpointLimits, PermitBook, UseBook, UseBucket},
+  rillford::gateway::{EndpointLimits, PermitTable, UseBook, UseBucket},
   std::collections::HashSet,
 };
 
 /// A box.
 pub(super) struct PlaceBox {
   pub(super) limits: EndpointLimits,
-  pub(super) counted: PermitBook,
-  pub(super) alone: PermitBook,
+  pub(super) counted: PermitTable,
+  pub(super) alone: PermitTable,
   /// Until then the box that counts is not asked.
   pub(super) unheard_until_ms: u64,
   /// Questions that wait for an answer.
@@ -26,10 +26,10 @@
 impl Default for PlaceBox {
   fn default() -> Self {
     Self {
-      alone: PermitBook::default(),
+      alone: PermitTable::default(),
       answered_ms: None,
       bytes: 0,
-      counted: PermitBook::default(),
+      counted: PermitTable::default(),
       even: None,
       limits: EndpointLimits::default(),
       lists_counting: true,
--- a/emulator/src/places/replay.rs
+++ b/emulator/src/places/replay.rs
@@ -15,7 +15,7 @@
   rillford::{
     gateway::{
       ALONE_BOXES, AdvertisedLimit, BoxList, EndpointEntry, EndpointLife, LimitChange, LimitSource,
-      LocalPermit, NamedLimit, PermitRequest, PermitVerdict, ToldSpan, UseBucket, UseLimit,
+      LocalPermitVerdict, NamedLimit, PermitRequest, PermitVerdict, ToldSpan, UseBucket, UseLimit,
       UseTotals, UseVerdict, counted_limit, endpoint_order, lone_limit,
     },
     ids::Name,
@@ -296,9 +296,9 @@
     }
     let id = self.entry.id.clone();
     match self.boxes[at].limits.permits().take(&id, now_ms) {
-      LocalPermit::Granted => self.send(at),
-      LocalPermit::Refused { .. } => self.figures.elsewhere += 1,
-      LocalPermit::Ask { permits, unused } => {
+      LocalPermitVerdict::Granted => self.send(at),
+      LocalPermitVerdict::Refused { .. } => self.figures.elsewhere += 1,
+      LocalPermitVerdict::Ask { permits, unused } => {
         let wish = PermitRequest {
           box_name: PlaceFleet::name(at).as_str().into(),
           permits,
--- a/src/gateway/decisions/endpoint_limits.rs
+++ b/src/gateway/decisions/endpoint_limits.rs
@@ -5,7 +5,7 @@
   super::{
     advertised_limits::{AdvertisedLimit, AdvertisedLimits, LimitChange, LimitSource},
     cold_endpoints::{ColdEndpoints, ColdSpan},
-    permit_ledger::PermitLedger,
+    local_permits::LocalPermits,
   },
   crate::{
     gateway::edge::{EndpointEntry, NamedLimit},
@@ -21,7 +21,7 @@
 pub struct EndpointLimits {
   words: AdvertisedLimits,
   cold: ColdEndpoints,
-  permits: PermitLedger,
+  permits: LocalPermits,
   /// Whether limits decide nothing.
   is_ignoring: bool,
 }
@@ -127,7 +127,7 @@
   }
 
   /// This box's permits.
-  pub fn permits(&mut self) -> &mut PermitLedger {
+  pub fn permits(&mut self) -> &mut LocalPermits {
     &mut self.permits
   }
 
--- a/src/gateway/decisions/permit_ledger.rs
+++ b/src/gateway/decisions/local_permits.rs
@@ -19,7 +19,7 @@
 
 /// What a box makes of a request for an endpoint by itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum LocalPermit {
+pub enum LocalPermitVerdict {
   /// It has a permit left.
   Granted,
   /// There is none for so long.
@@ -65,11 +65,11 @@
 
 /// The endpoints' standings, by id.
 #[derive(Debug, Default)]
-pub struct PermitLedger {
+pub struct LocalPermits {
   standings: HashMap<Name, Standing>,
 }
 
-impl PermitLedger {
+impl LocalPermits {
   /// How long there is no permit at an endpoint; 0 when there may be one.
   pub fn closed_for_ms(&self, id: &str, now_ms: u64) -> u64 {
     let standing = self.standings.get(id);
@@ -77,20 +77,20 @@
   }
 
   /// Takes a permit for a request, if this box has one left.
-  pub fn take(&mut self, id: &Name, now_ms: u64) -> LocalPermit {
+  pub fn take(&mut self, id: &Name, now_ms: u64) -> LocalPermitVerdict {
     let standing = self.standings.entry(id.clone()).or_default();
     standing.asked_ms = now_ms;
     let wait_ms = standing.closed_for_ms(now_ms);
     if wait_ms > 0 {
-      return LocalPermit::Refused { wait_ms };
+      return LocalPermitVerdict::Refused { wait_ms };
     }
     standing.wanted.note(1.0, now_ms);
     if standing.has_spare(now_ms) {
       standing.spare -= 1;
-      return LocalPermit::Granted;
+      return LocalPermitVerdict::Granted;
     }
     let soon = standing.wanted.per_s(now_ms) * PLACE_GOOD_MS as f64 / 1_000.0;
-    LocalPermit::Ask {
+    LocalPermitVerdict::Ask {
       permits: (soon as u32).clamp(1, MOST_PLACES),
       unused: std::mem::take(&mut standing.spare),
     }
--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -21,12 +21,12 @@
 mod kept_prompts;
 mod known_endpoint;
 mod limit_way;
+mod local_permits;
 mod notice_tracker;
 mod pause_turn;
 mod peer_use;
 mod permit_account;
-mod permit_book;
-mod permit_ledger;
+mod permit_table;
 mod quarantine_book;
 mod quarantine_key;
 mod quarantine_way;
@@ -60,11 +60,11 @@
   fingerprint::{Fingerprint, RequestIdentity},
   kept_prompts::KeptPrompts,
   limit_way::LimitWay,
+  local_permits::{LocalPermitVerdict, LocalPermits},
   notice_tracker::{Availability, NoticeChange, NoticeTracker},
   pause_turn::kept_pause_ms,
   permit_account::{PermitAccount, PermitRequest, PermitVerdict},
-  permit_book::PermitBook,
-  permit_ledger::{LocalPermit, PermitLedger},
+  permit_table::PermitTable,
   quarantine_book::{QuarantineBook, QuarantineVerdict},
   quarantine_key::{QuarantineKey, QuarantineMark},
   quarantine_way::QuarantineWay,
--- a/src/gateway/decisions/permit_book.rs
+++ b/src/gateway/decisions/permit_table.rs
@@ -14,11 +14,11 @@
 
 /// Accounts by endpoint's life.
 #[derive(Clone, Debug, Default)]
-pub struct PermitBook {
+pub struct PermitTable {
   accounts: HashMap<EndpointLife, PermitAccount>,
 }
 
-impl PermitBook {
+impl PermitTable {
   /// Gives out permits at a life of an endpoint within a limit, or says when to ask again.
   pub fn ask(
     &mut self,
--- a/src/gateway/permits/taking.rs
+++ b/src/gateway/permits/taking.rs
@@ -9,8 +9,8 @@
   crate::{
     gateway::{
       decisions::{
-        ALONE_BOXES, AdvertisedLimit, EndpointLife, LocalPermit, PermitRequest, PermitVerdict,
-        Unavailable, endpoint_order, lone_limit,
+        ALONE_BOXES, AdvertisedLimit, EndpointLife, LocalPermitVerdict, PermitRequest,
+        PermitVerdict, Unavailable, endpoint_order, lone_limit,
       },
       edge::EndpointEntry,
       state::Gateway,
@@ -82,12 +82,12 @@
     .permits()
     .take(&entry.id, now_ms);
   let permit_request = match local {
-    LocalPermit::Granted => {
+    LocalPermitVerdict::Granted => {
       gateway.counters.permits_taken.inc();
       return Ok(Permit::Taken);
     }
-    LocalPermit::Refused { wait_ms } => return Err(no_permit(gateway, wait_ms)),
-    LocalPermit::Ask { permits, unused } => PermitRequest {
+    LocalPermitVerdict::Refused { wait_ms } => return Err(no_permit(gateway, wait_ms)),
+    LocalPermitVerdict::Ask { permits, unused } => PermitRequest {
       box_name: gateway.settings.identity.name.clone(),
       permits,
       priority: caller.priority,
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -11,7 +11,7 @@
       connections::{Connection, ConnectionPool},
       decisions::{
         BoxList, Choice, ColdSpan, EndpointCounts, EndpointRegistry, KeptPrompts, PartEnd,
-        PermitBook, RetryWindow, SeatForecast, SeatQueue, Unavailable, UseBook, UseLedger, Wanted,
+        PermitTable, RetryWindow, SeatForecast, SeatQueue, Unavailable, UseBook, UseLedger, Wanted,
         retry_after_pause_ms,
       },
       edge::{ColdStart, Dialect, EndpointEntry, RouteTable, StoreLease},
@@ -102,9 +102,9 @@
   /// The box that counts and answered last.
   pub(crate) counting_box: Cell<Option<SocketAddr>>,
   /// Places at endpoints that this box gives out for all boxes.
-  pub(crate) permit_book: RefCell<PermitBook>,
+  pub(crate) permit_book: RefCell<PermitTable>,
   /// Places that it gives out by itself while it does not reach the box that does.
-  pub(crate) lone_permits: RefCell<PermitBook>,
+  pub(crate) lone_permits: RefCell<PermitTable>,
   /// Boxes that did not answer a moment ago.
   pub(crate) unheard_boxes: RefCell<UnheardBoxes>,
   /// For calls to other boxes.
--- a/tests/gateway/cold_endpoints.rs
+++ b/tests/gateway/cold_endpoints.rs
@@ -11,7 +11,7 @@
   rand_chacha::ChaCha8Rng,
   rillford::gateway::{
     AdvertisedLimit, ColdSpan, EndpointEntry, EndpointLife, EndpointLimits, LimitSource,
-    LocalPermit, NamedLimit, PermitBook, PermitRequest, PermitVerdict, counted_limit,
+    LocalPermitVerdict, NamedLimit, PermitRequest, PermitTable, PermitVerdict, counted_limit,
   },
   rstest::rstest,
   serde_json::{Value, json},
@@ -267,7 +267,7 @@
   let entry = entry();
   let life = EndpointLife::of(&entry.id, entry.born_ms);
   let mut random = ChaCha8Rng::seed_from_u64(boxes as u64);
-  let mut counting = PermitBook::default();
+  let mut counting = PermitTable::default();
   let mut fleet: Vec<ReplayBox> = (0..boxes)
     .map(|number| {
       let mut limits = EndpointLimits::default();
@@ -287,9 +287,9 @@
     let here = &mut fleet[at];
     let local = here.limits.permits().take(&entry.id, now_ms);
     let granted = match local {
-      LocalPermit::Granted => true,
-      LocalPermit::Refused { .. } => false,
-      LocalPermit::Ask { permits, unused } => {
+      LocalPermitVerdict::Granted => true,
+      LocalPermitVerdict::Refused { .. } => false,
+      LocalPermitVerdict::Ask { permits, unused } => {
         questions += 1;
         let wish = PermitRequest {
           box_name: here.name.as_str().into(),
--- a/tests/gateway/places.rs
+++ b/tests/gateway/places.rs
@@ -5,8 +5,8 @@
   emulator::places::{PlaceFleet, PlacePattern, PlaceWay, replay_places},
   rillford::gateway::{
     ALONE_BOXES, AdvertisedLimit, AllowedHalls, BoxEntry, BoxList, EndpointEntry, EndpointLimits,
-    EndpointRegistry, LimitChange, LimitSource, LocalPermit, NamedLimit, PermitAccount,
-    PermitLedger, PermitRequest, PermitVerdict, Wanted, counted_limit, endpoint_order, lone_limit,
+    EndpointRegistry, LimitChange, LimitSource, LocalPermitVerdict, LocalPermits, NamedLimit,
+    PermitAccount, PermitRequest, PermitVerdict, Wanted, counted_limit, endpoint_order, lone_limit,
   },
   rstest::rstest,
 };
@@ -200,18 +200,18 @@
 
 #[test]
 fn places_that_are_not_used_in_time_go_back() {
-  let mut ledger = PermitLedger::default();
+  let mut ledger = LocalPermits::default();
   let id = "e-1".into();
   for at_ms in 0..200 {
     ledger.take(&id, at_ms);
   }
-  let LocalPermit::Ask { permits, unused: 0 } = ledger.take(&id, 200) else {
+  let LocalPermitVerdict::Ask { permits, unused: 0 } = ledger.take(&id, 200) else {
     panic!("nothing was given yet");
   };
   assert!(permits > 1);
   assert!(ledger.note_verdict(&id, PermitVerdict::Granted(3), 200));
-  assert_eq!(ledger.take(&id, 201), LocalPermit::Granted);
-  let LocalPermit::Ask { unused, .. } = ledger.take(&id, 1_000) else {
+  assert_eq!(ledger.take(&id, 201), LocalPermitVerdict::Granted);
+  let LocalPermitVerdict::Ask { unused, .. } = ledger.take(&id, 1_000) else {
     panic!("what was given is too old");
   };
   assert_eq!(unused, 1);
