--- a/emulator/src/quarantine/replay.rs
+++ b/emulator/src/quarantine/replay.rs
@@ -13,8 +13,8 @@
   rand::{RngExt, SeedableRng},
   rand_chacha::ChaCha8Rng,
   rillford::gateway::{
-    Fingerprint, QuarantineBook, QuarantineKey, QuarantineMark, QuarantineVerdict, QuarantineWay,
-    RequestIdentity,
+    Fingerprint, QuarantineKey, QuarantineMark, QuarantineRegistry, QuarantineStrategy,
+    QuarantineVerdict, RequestIdentity,
   },
   std::collections::{BTreeSet, HashSet},
 };
@@ -53,13 +53,13 @@
 pub(super) struct CrashReplay {
   pub(super) pattern: CrashPattern,
   pub(super) fleet: CrashFleet,
-  pub(super) way: QuarantineWay,
+  pub(super) way: QuarantineStrategy,
   random: ChaCha8Rng,
   /// Draws how long words take: ways that tell more change nothing else.
   pub(super) words: ChaCha8Rng,
   pub(super) queue: Queue<Event>,
   engines: Vec<Engine>,
-  pub(super) books: Vec<QuarantineBook>,
+  pub(super) books: Vec<QuarantineRegistry>,
   /// What the store has.
   pub(super) stored: BTreeSet<QuarantineKey>,
   requests: Vec<Request>,
@@ -74,12 +74,12 @@
 pub fn replay_crashes(
   pattern: CrashPattern,
   fleet: CrashFleet,
-  way: QuarantineWay,
+  way: QuarantineStrategy,
   seed: u64,
 ) -> CrashFigures {
   let mut replay = CrashReplay {
     bodies: 0,
-    books: vec![QuarantineBook::default(); fleet.boxes],
+    books: vec![QuarantineRegistry::default(); fleet.boxes],
     crashing: Vec::new(),
     engines: vec![Engine::default(); fleet.engines],
     figures: CrashFigures::default(),
@@ -167,7 +167,7 @@
       Event::HearsClear { at, fingerprint } => drop(self.books[at].clear(fingerprint)),
       Event::AllNew => {
         for book in &mut self.books {
-          *book = QuarantineBook::default();
+          *book = QuarantineRegistry::default();
           for key in &self.stored {
             book.note(*key, now_ms);
           }
@@ -230,16 +230,16 @@
   fn send(&mut self, number: usize, now_ms: u64) {
     let request = self.requests[number];
     match self.verdict(&request, now_ms) {
-      QuarantineVerdict::Free => {}
-      QuarantineVerdict::Trial { number: trial } if request.attempts_left == ATTEMPTS => {
+      QuarantineVerdict::Allowed => {}
+      QuarantineVerdict::Probe { number: trial } if request.attempts_left == ATTEMPTS => {
         if !self.take_trial(&request, trial, now_ms) {
           return self.held(number, 1_000, now_ms);
         }
         self.requests[number].is_trial = true;
       }
       // Held between two engines: the try is over.
-      QuarantineVerdict::Trial { .. } => return self.comes_again(number, RETURN_MS, now_ms),
-      QuarantineVerdict::Held { retry_after_ms } => {
+      QuarantineVerdict::Probe { .. } => return self.comes_again(number, RETURN_MS, now_ms),
+      QuarantineVerdict::Quarantined { retry_after_ms } => {
         return self.held(number, retry_after_ms, now_ms);
       }
     }
@@ -277,8 +277,8 @@
   }
 
   fn verdict(&self, request: &Request, now_ms: u64) -> QuarantineVerdict {
-    if self.way == QuarantineWay::Off {
-      return QuarantineVerdict::Free;
+    if self.way == QuarantineStrategy::Off {
+      return QuarantineVerdict::Allowed;
     }
     self.books[request.at].verdict(request.fingerprint, now_ms)
   }
@@ -287,10 +287,10 @@
   fn take_trial(&mut self, request: &Request, trial: u32, now_ms: u64) -> bool {
     let key = QuarantineKey {
       fingerprint: request.fingerprint,
-      mark: QuarantineMark::Trial(trial),
+      mark: QuarantineMark::Probe(trial),
     };
     self.books[request.at].note(key, now_ms);
-    if self.way == QuarantineWay::OwnBox {
+    if self.way == QuarantineStrategy::OwnBox {
       return true;
     }
     self.figures.store_calls += 1;
@@ -389,7 +389,7 @@
       let request = self.requests[number];
       let key = QuarantineKey {
         fingerprint: request.fingerprint,
-        mark: QuarantineMark::Ended(life),
+        mark: QuarantineMark::Crashed(life),
       };
       self.note_end(request.at, key, now_ms);
       if request.attempts_left > 0 && !request.is_trial {
--- a/emulator/src/quarantine/report.rs
+++ b/emulator/src/quarantine/report.rs
@@ -3,7 +3,7 @@
 use {
   super::{CrashFigures, CrashFleet, CrashPattern, replay_crashes},
   bpaf::Bpaf,
-  rillford::gateway::QuarantineWay,
+  rillford::gateway::QuarantineStrategy,
 };
 
 /// Which table is wanted.
@@ -32,9 +32,9 @@
   println!("| --- | --- | ---: | ---: | ---: | ---: | ---: | ---: |");
   for pattern in CrashPattern::ALL {
     for way in [
-      QuarantineWay::Off,
-      QuarantineWay::OwnBox,
-      QuarantineWay::Shared,
+      QuarantineStrategy::Off,
+      QuarantineStrategy::OwnBox,
+      QuarantineStrategy::Shared,
     ] {
       let plays: Vec<CrashFigures> = (1..=report.seeds)
         .map(|seed| replay_crashes(pattern, fleet, way, seed))
@@ -44,7 +44,7 @@
   }
 }
 
-fn print_row(pattern: CrashPattern, way: QuarantineWay, plays: &[CrashFigures]) {
+fn print_row(pattern: CrashPattern, way: QuarantineStrategy, plays: &[CrashFigures]) {
   let mean =
     |figure: fn(&CrashFigures) -> f64| plays.iter().map(figure).sum::<f64>() / plays.len() as f64;
   let most_late = plays.iter().map(|play| play.most_late).max();
--- a/emulator/src/quarantine/words.rs
+++ b/emulator/src/quarantine/words.rs
@@ -3,7 +3,7 @@
 use {
   super::{event::Event, replay::CrashReplay},
   rand::RngExt,
-  rillford::gateway::{Fingerprint, QuarantineKey, QuarantineWay},
+  rillford::gateway::{Fingerprint, QuarantineKey, QuarantineStrategy},
 };
 
 /// First ends are gathered over this time for each box.
@@ -12,11 +12,11 @@
 impl CrashReplay {
   /// A box saw an end, and tells the others.
   pub(super) fn note_end(&mut self, at: usize, key: QuarantineKey, now_ms: u64) {
-    if self.way == QuarantineWay::Off || !self.books[at].note(key, now_ms) {
+    if self.way == QuarantineStrategy::Off || !self.books[at].note(key, now_ms) {
       return;
     }
     self.note_book(at);
-    if self.way == QuarantineWay::OwnBox {
+    if self.way == QuarantineStrategy::OwnBox {
       return;
     }
     let is_first = self.books[at].counts(key.fingerprint).0 == 1;
@@ -47,7 +47,7 @@
     cleared: &[QuarantineKey],
     now_ms: u64,
   ) {
-    if self.way != QuarantineWay::Shared {
+    if self.way != QuarantineStrategy::Shared {
       return;
     }
     self.figures.store_calls += 1;
--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -27,9 +27,9 @@
 mod peer_use;
 mod permit_account;
 mod permit_table;
-mod quarantine_book;
 mod quarantine_key;
-mod quarantine_way;
+mod quarantine_registry;
+mod quarantine_strategy;
 mod recent_engines;
 mod recent_use;
 mod retry_after;
@@ -65,9 +65,9 @@
   pause_turn::kept_pause_ms,
   permit_account::{PermitAccount, PermitRequest, PermitVerdict},
   permit_table::PermitTable,
-  quarantine_book::{QuarantineBook, QuarantineVerdict},
   quarantine_key::{QuarantineKey, QuarantineMark},
-  quarantine_way::QuarantineWay,
+  quarantine_registry::{QuarantineRegistry, QuarantineVerdict},
+  quarantine_strategy::QuarantineStrategy,
   recent_engines::{RecentEngines, staying_engines},
   retry_after::retry_after_pause_ms,
   retry_pause::retry_pause_ms,
--- a/src/gateway/decisions/quarantine_key.rs
+++ b/src/gateway/decisions/quarantine_key.rs
@@ -9,9 +9,9 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum QuarantineMark {
   /// A life of an endpoint ended while it had the request.
-  Ended(EndpointLife),
+  Crashed(EndpointLife),
   /// A box took the trial with this number, from 1.
-  Trial(u32),
+  Probe(u32),
 }
 
 /// What is known of which request.
@@ -21,7 +21,7 @@
 /// let fingerprint = Fingerprint::of(RequestIdentity {
 ///   body: b"", host: "lectures.example", method: "GET", organisation: None, path: "/a/1",
 /// });
-/// let key = QuarantineKey { fingerprint, mark: QuarantineMark::Trial(2) };
+/// let key = QuarantineKey { fingerprint, mark: QuarantineMark::Probe(2) };
 /// assert_eq!(QuarantineKey::parse(&key.text()), Some(key));
 /// assert_eq!(QuarantineKey::parse("anything"), None);
 /// ```
@@ -37,8 +37,8 @@
   /// The last part of its key in the store: the fingerprint, a slash, and the mark.
   pub fn text(&self) -> Name {
     let mark = match self.mark {
-      QuarantineMark::Ended(life) => format!("ended-{}", life.key()),
-      QuarantineMark::Trial(number) => format!("trial-{number}"),
+      QuarantineMark::Crashed(life) => format!("ended-{}", life.key()),
+      QuarantineMark::Probe(number) => format!("trial-{number}"),
     };
     format!("{}/{mark}", self.fingerprint.key()).into()
   }
@@ -47,8 +47,8 @@
   pub fn parse(text: &str) -> Option<Self> {
     let (fingerprint, mark) = text.split_once('/')?;
     let mark = match mark.split_once('-')? {
-      ("ended", life) => QuarantineMark::Ended(EndpointLife::parse(life)?),
-      ("trial", number) => QuarantineMark::Trial(number.parse().ok()?),
+      ("ended", life) => QuarantineMark::Crashed(EndpointLife::parse(life)?),
+      ("trial", number) => QuarantineMark::Probe(number.parse().ok()?),
       _ => return None,
     };
     Some(Self {
--- a/src/gateway/decisions/quarantine_book.rs
+++ b/src/gateway/decisions/quarantine_registry.rs
@@ -38,14 +38,14 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QuarantineVerdict {
   /// As any other.
-  Free,
+  Allowed,
   /// Once, by the box that takes the trial with this number.
-  Trial {
+  Probe {
     /// From 1.
     number: u32,
   },
   /// Not now.
-  Held {
+  Quarantined {
     /// When it may be asked for again.
     retry_after_ms: u64,
   },
@@ -70,29 +70,29 @@
 
   fn verdict(&self, now_ms: u64) -> QuarantineVerdict {
     if !self.is_held() {
-      return QuarantineVerdict::Free;
+      return QuarantineVerdict::Allowed;
     }
     let latest = self.trials.last_key_value();
     let (taken, since_ms) = latest.map_or((0, 0), |(number, at_ms)| (*number, *at_ms));
     let Some(pause_ms) = TRIAL_PAUSES_MS.get(taken as usize) else {
-      return QuarantineVerdict::Held {
+      return QuarantineVerdict::Quarantined {
         retry_after_ms: KEPT_MS,
       };
     };
     let left_ms = (since_ms + pause_ms).saturating_sub(now_ms);
     if left_ms == 0 {
-      return QuarantineVerdict::Trial { number: taken + 1 };
+      return QuarantineVerdict::Probe { number: taken + 1 };
     }
     // While the trial may still be running, its end is worth waiting for.
     let is_under_way = now_ms < since_ms + TRIAL_WAIT_MS;
-    QuarantineVerdict::Held {
+    QuarantineVerdict::Quarantined {
       retry_after_ms: if is_under_way { TRIAL_WAIT_MS } else { left_ms },
     }
   }
 
   fn keys(&self, fingerprint: Fingerprint) -> Vec<QuarantineKey> {
-    let ended = self.ended.keys().copied().map(QuarantineMark::Ended);
-    let trials = self.trials.keys().copied().map(QuarantineMark::Trial);
+    let ended = self.ended.keys().copied().map(QuarantineMark::Crashed);
+    let trials = self.trials.keys().copied().map(QuarantineMark::Probe);
     ended
       .chain(trials)
       .map(|mark| QuarantineKey { fingerprint, mark })
@@ -104,27 +104,27 @@
 ///
 /// ```
 /// use rillford::gateway::{
-///   EndpointLife, Fingerprint, QuarantineBook, QuarantineKey, QuarantineMark, QuarantineVerdict, RequestIdentity,
+///   EndpointLife, Fingerprint, QuarantineRegistry, QuarantineKey, QuarantineMark, QuarantineVerdict, RequestIdentity,
 /// };
 /// let fingerprint = Fingerprint::of(RequestIdentity {
 ///   body: b"prompt", host: "lectures.example", method: "POST", organisation: None, path: "/a/1",
 /// });
-/// let mut book = QuarantineBook::default();
+/// let mut book = QuarantineRegistry::default();
 /// for born_ms in [1, 2, 3] {
-///   assert_eq!(book.verdict(fingerprint, 0), QuarantineVerdict::Free);
-///   let mark = QuarantineMark::Ended(EndpointLife::of("e-1", Some(born_ms)));
+///   assert_eq!(book.verdict(fingerprint, 0), QuarantineVerdict::Allowed);
+///   let mark = QuarantineMark::Crashed(EndpointLife::of("e-1", Some(born_ms)));
 ///   book.note(QuarantineKey { fingerprint, mark }, 0);
 /// }
-/// assert_eq!(book.verdict(fingerprint, 0), QuarantineVerdict::Trial { number: 1 });
+/// assert_eq!(book.verdict(fingerprint, 0), QuarantineVerdict::Probe { number: 1 });
 /// book.clear(fingerprint);
-/// assert_eq!(book.verdict(fingerprint, 0), QuarantineVerdict::Free);
+/// assert_eq!(book.verdict(fingerprint, 0), QuarantineVerdict::Allowed);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct QuarantineBook {
+pub struct QuarantineRegistry {
   cases: HashMap<Fingerprint, Case>,
 }
 
-impl QuarantineBook {
+impl QuarantineRegistry {
   /// Takes over something that this box saw or heard of, and since when it stands; whether it is new to it.
   pub fn note(&mut self, key: QuarantineKey, since_ms: u64) -> bool {
     if !self.cases.contains_key(&key.fingerprint) && self.cases.len() >= MOST_KEPT {
@@ -132,8 +132,8 @@
     }
     let case = self.cases.entry(key.fingerprint).or_default();
     let before = match key.mark {
-      QuarantineMark::Ended(life) => case.ended.insert(life, since_ms),
-      QuarantineMark::Trial(number) => case.trials.insert(number, since_ms),
+      QuarantineMark::Crashed(life) => case.ended.insert(life, since_ms),
+      QuarantineMark::Probe(number) => case.trials.insert(number, since_ms),
     };
     before.is_none()
   }
@@ -144,8 +144,8 @@
       return;
     };
     match key.mark {
-      QuarantineMark::Ended(life) => case.ended.remove(&life),
-      QuarantineMark::Trial(number) => case.trials.remove(&number),
+      QuarantineMark::Crashed(life) => case.ended.remove(&life),
+      QuarantineMark::Probe(number) => case.trials.remove(&number),
     };
     if case.ended.is_empty() && case.trials.is_empty() {
       self.cases.remove(&key.fingerprint);
@@ -177,7 +177,7 @@
   pub fn verdict(&self, fingerprint: Fingerprint, now_ms: u64) -> QuarantineVerdict {
     match self.cases.get(&fingerprint) {
       Some(case) => case.verdict(now_ms),
-      None => QuarantineVerdict::Free,
+      None => QuarantineVerdict::Allowed,
     }
   }
 
--- a/src/gateway/decisions/quarantine_way.rs
+++ b/src/gateway/decisions/quarantine_strategy.rs
@@ -5,7 +5,7 @@
 /// The ways that can be chosen under `[quarantine]` in the settings.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
-pub enum QuarantineWay {
+pub enum QuarantineStrategy {
   /// Nothing is kept: each try is bounded by itself alone.
   Off,
   /// Each box keeps what it has seen itself.
--- a/src/gateway/parts/sending_check.rs
+++ b/src/gateway/parts/sending_check.rs
@@ -3,7 +3,7 @@
 use {
   super::{request::RoutedRequest, sending::Sending},
   crate::gateway::{
-    decisions::{Fingerprint, QuarantineVerdict, QuarantineWay},
+    decisions::{Fingerprint, QuarantineStrategy, QuarantineVerdict},
     edge::Part,
     state::Gateway,
   },
@@ -50,8 +50,8 @@
 /// Whether a fingerprint is held; it is worked out only when something is.
 fn is_held(gateway: &Gateway, fingerprint: impl FnOnce() -> Fingerprint) -> bool {
   let book = gateway.quarantine.book.borrow();
-  if book.is_empty() || gateway.settings.quarantine.way == QuarantineWay::Off {
+  if book.is_empty() || gateway.settings.quarantine.way == QuarantineStrategy::Off {
     return false;
   }
-  book.verdict(fingerprint(), gateway.now_ms()) != QuarantineVerdict::Free
+  book.verdict(fingerprint(), gateway.now_ms()) != QuarantineVerdict::Allowed
 }
--- a/src/gateway/quarantine/endpoint_end.rs
+++ b/src/gateway/quarantine/endpoint_end.rs
@@ -3,7 +3,7 @@
 use {
   super::vetting::share,
   crate::gateway::{
-    decisions::{EndpointLife, Fingerprint, QuarantineKey, QuarantineMark, QuarantineWay},
+    decisions::{EndpointLife, Fingerprint, QuarantineKey, QuarantineMark, QuarantineStrategy},
     edge::EndpointEntry,
     parts::RoutedRequest,
     state::Gateway,
@@ -82,7 +82,7 @@
     return;
   }
   gateway.counters.lost_with_endpoint.inc();
-  if gateway.settings.quarantine.way != QuarantineWay::Off {
+  if gateway.settings.quarantine.way != QuarantineStrategy::Off {
     let life = reached_life(&gateway, &entry, fingerprint, sent_ms).await;
     note_end(&gateway, fingerprint, life);
   }
@@ -126,7 +126,7 @@
 fn note_end(gateway: &Gateway, fingerprint: Fingerprint, life: EndpointLife) {
   let key = QuarantineKey {
     fingerprint,
-    mark: QuarantineMark::Ended(life),
+    mark: QuarantineMark::Crashed(life),
   };
   let now_ms = gateway.now_ms();
   let mut book = gateway.quarantine.book.borrow_mut();
--- a/src/gateway/quarantine/vetting.rs
+++ b/src/gateway/quarantine/vetting.rs
@@ -2,7 +2,9 @@
 
 use {
   crate::gateway::{
-    decisions::{Fingerprint, QuarantineKey, QuarantineMark, QuarantineVerdict, QuarantineWay},
+    decisions::{
+      Fingerprint, QuarantineKey, QuarantineMark, QuarantineStrategy, QuarantineVerdict,
+    },
     parts::{RoutedRequest, Sending},
     state::{Gateway, MarkOrigin},
   },
@@ -21,7 +23,7 @@
 
 /// Lets a request pass, or takes a trial for it. One that is held is refused at once: no endpoint sees it.
 pub(crate) async fn vet(gateway: &Rc<Gateway>, request: &RoutedRequest) -> Result<(), Held> {
-  let is_off = gateway.settings.quarantine.way == QuarantineWay::Off;
+  let is_off = gateway.settings.quarantine.way == QuarantineStrategy::Off;
   if is_off || gateway.quarantine.book.borrow().is_empty() {
     return Ok(());
   }
@@ -36,8 +38,8 @@
   };
   keep_longer(gateway, &due, now_ms);
   let held = match verdict {
-    QuarantineVerdict::Free => return Ok(()),
-    QuarantineVerdict::Trial { number } => {
+    QuarantineVerdict::Allowed => return Ok(()),
+    QuarantineVerdict::Probe { number } => {
       if take_trial(gateway, request, number).await {
         return Ok(());
       }
@@ -45,7 +47,7 @@
         retry_after_ms: CLAIM_WAIT_MS,
       }
     }
-    QuarantineVerdict::Held { retry_after_ms } => Held { retry_after_ms },
+    QuarantineVerdict::Quarantined { retry_after_ms } => Held { retry_after_ms },
   };
   gateway.counters.held.inc();
   log_held(gateway, request, held);
@@ -69,12 +71,12 @@
 async fn take_trial(gateway: &Gateway, request: &RoutedRequest, number: u32) -> bool {
   let key = QuarantineKey {
     fingerprint: request.fingerprint(),
-    mark: QuarantineMark::Trial(number),
+    mark: QuarantineMark::Probe(number),
   };
   let is_own = match gateway.settings.quarantine.way {
-    QuarantineWay::Off => false,
-    QuarantineWay::OwnBox => true,
-    QuarantineWay::Shared => gateway.quarantine.claim(key).await,
+    QuarantineStrategy::Off => false,
+    QuarantineStrategy::OwnBox => true,
+    QuarantineStrategy::Shared => gateway.quarantine.claim(key).await,
   };
   // One that is not this box's is another's, or the store does not say: this box waits either way.
   let now_ms = gateway.now_ms();
@@ -108,7 +110,7 @@
   if let Sending::Trial(number) = request.sending.get() {
     let key = QuarantineKey {
       fingerprint: request.fingerprint(),
-      mark: QuarantineMark::Trial(number),
+      mark: QuarantineMark::Probe(number),
     };
     gateway.quarantine.book.borrow_mut().forget(key);
     gateway.quarantine.remove(&[key]);
@@ -140,7 +142,7 @@
 
 /// Tells the other boxes, where boxes share what they know.
 pub(super) fn share(gateway: &Gateway, keys: &[QuarantineKey], is_pressing: bool) {
-  if gateway.settings.quarantine.way == QuarantineWay::Shared {
+  if gateway.settings.quarantine.way == QuarantineStrategy::Shared {
     gateway.quarantine.write(keys, MarkOrigin::Own, is_pressing);
   }
 }
--- a/src/gateway/settings/quarantine.rs
+++ b/src/gateway/settings/quarantine.rs
@@ -1,16 +1,16 @@
 //! What is done about requests that end endpoints.
 
-use {crate::gateway::decisions::QuarantineWay, serde::Deserialize};
+use {crate::gateway::decisions::QuarantineStrategy, serde::Deserialize};
 
 /// `[quarantine]` in the settings.
 ///
 /// ```
-/// use rillford::gateway::{QuarantineSettings, QuarantineWay};
-/// assert_eq!(QuarantineSettings::default().way, QuarantineWay::Shared);
+/// use rillford::gateway::{QuarantineSettings, QuarantineStrategy};
+/// assert_eq!(QuarantineSettings::default().way, QuarantineStrategy::Shared);
 /// ```
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct QuarantineSettings {
   /// How far boxes share what they know.
-  pub way: QuarantineWay,
+  pub way: QuarantineStrategy,
 }
--- a/src/gateway/state/quarantine.rs
+++ b/src/gateway/state/quarantine.rs
@@ -1,7 +1,7 @@
 //! What a box keeps of requests that end endpoints: what it knows, and what it has still to share.
 
 use {
-  crate::gateway::decisions::{QuarantineBook, QuarantineKey},
+  crate::gateway::decisions::{QuarantineKey, QuarantineRegistry},
   std::{
     cell::RefCell,
     collections::{BTreeMap, BTreeSet},
@@ -33,7 +33,7 @@
 
 /// The book, and the way to the store.
 pub(crate) struct Quarantine {
-  pub(crate) book: RefCell<QuarantineBook>,
+  pub(crate) book: RefCell<QuarantineRegistry>,
   /// What is known and not yet in the store.
   pub(crate) unwritten: RefCell<BTreeMap<QuarantineKey, MarkOrigin>>,
   /// What no longer holds and may still be in the store.
--- a/tests/gateway/quarantine.rs
+++ b/tests/gateway/quarantine.rs
@@ -4,8 +4,8 @@
   emulator::quarantine::{CrashFleet, CrashPattern, replay_crashes},
   proptest::prelude::*,
   rillford::gateway::{
-    EndpointLife, Fingerprint, QuarantineBook, QuarantineKey, QuarantineMark, QuarantineVerdict,
-    QuarantineWay, RequestIdentity,
+    EndpointLife, Fingerprint, QuarantineKey, QuarantineMark, QuarantineRegistry,
+    QuarantineStrategy, QuarantineVerdict, RequestIdentity,
   },
   rstest::rstest,
 };
@@ -29,20 +29,20 @@
 fn ended(request: u64, engine: &str, born_ms: u64) -> QuarantineKey {
   QuarantineKey {
     fingerprint: fingerprint(request),
-    mark: QuarantineMark::Ended(EndpointLife::of(engine, Some(born_ms))),
+    mark: QuarantineMark::Crashed(EndpointLife::of(engine, Some(born_ms))),
   }
 }
 
 fn trial(request: u64, number: u32) -> QuarantineKey {
   QuarantineKey {
     fingerprint: fingerprint(request),
-    mark: QuarantineMark::Trial(number),
+    mark: QuarantineMark::Probe(number),
   }
 }
 
 /// A book in which a request is held since a time.
-fn holding(request: u64, since_ms: u64) -> QuarantineBook {
-  let mut book = QuarantineBook::default();
+fn holding(request: u64, since_ms: u64) -> QuarantineRegistry {
+  let mut book = QuarantineRegistry::default();
   for engine in ["e-1", "e-2", "e-3"] {
     book.note(ended(request, engine, 1), since_ms);
   }
@@ -64,31 +64,31 @@
 
 #[test]
 fn one_life_counts_once_and_three_hold() {
-  let mut book = QuarantineBook::default();
+  let mut book = QuarantineRegistry::default();
   for _ in 0..9 {
     book.note(ended(1, "e-1", 1), 0);
   }
   assert_eq!(book.counts(fingerprint(1)), (1, 0));
   book.note(ended(1, "e-1", 2), 0);
-  assert_eq!(book.verdict(fingerprint(1), 0), QuarantineVerdict::Free);
+  assert_eq!(book.verdict(fingerprint(1), 0), QuarantineVerdict::Allowed);
   book.note(ended(1, "e-1", 3), 0);
   assert_eq!(
     book.verdict(fingerprint(1), 0),
-    QuarantineVerdict::Trial { number: 1 }
+    QuarantineVerdict::Probe { number: 1 }
   );
-  assert_eq!(book.verdict(fingerprint(2), 0), QuarantineVerdict::Free);
+  assert_eq!(book.verdict(fingerprint(2), 0), QuarantineVerdict::Allowed);
 }
 
 #[test]
 fn two_trials_the_second_much_later_and_then_none() {
   let mut book = holding(1, 0);
   book.note(trial(1, 1), 100);
-  let held = |retry_after_ms| QuarantineVerdict::Held { retry_after_ms };
+  let held = |retry_after_ms| QuarantineVerdict::Quarantined { retry_after_ms };
   assert_eq!(book.verdict(fingerprint(1), 200), held(1_000));
   assert_eq!(book.verdict(fingerprint(1), 5_100), held(10_000));
   assert_eq!(
     book.verdict(fingerprint(1), 15_100),
-    QuarantineVerdict::Trial { number: 2 }
+    QuarantineVerdict::Probe { number: 2 }
   );
   book.note(ended(1, "e-4", 1), 15_200);
   book.note(trial(1, 2), 15_200);
@@ -119,7 +119,7 @@
 /// what was before, and one that meets all three ends in a row is held for one run.
 #[test]
 fn rack_that_goes_three_times_holds_only_who_met_all_ends_in_a_row() {
-  let mut book = QuarantineBook::default();
+  let mut book = QuarantineRegistry::default();
   for (turn, born_ms) in [1, 2, 3].into_iter().enumerate() {
     for stream in 0..128 {
       book.note(ended(stream, "e-1", born_ms), turn as u64 * 20_000);
@@ -129,12 +129,12 @@
       book.clear(fingerprint(stream));
     }
   }
-  let verdict = |book: &QuarantineBook, stream| book.verdict(fingerprint(stream), 60_000);
-  assert!((0..64).all(|stream| verdict(&book, stream) == QuarantineVerdict::Free));
-  assert!((64..128).all(|stream| verdict(&book, stream) == QuarantineVerdict::Trial { number: 1 }));
+  let verdict = |book: &QuarantineRegistry, stream| book.verdict(fingerprint(stream), 60_000);
+  assert!((0..64).all(|stream| verdict(&book, stream) == QuarantineVerdict::Allowed));
+  assert!((64..128).all(|stream| verdict(&book, stream) == QuarantineVerdict::Probe { number: 1 }));
   book.note(trial(100, 1), 60_000);
   book.clear(fingerprint(100));
-  assert_eq!(verdict(&book, 100), QuarantineVerdict::Free);
+  assert_eq!(verdict(&book, 100), QuarantineVerdict::Allowed);
 }
 
 /// Somebody sends ten thousand bodies, each of which ends an engine.
@@ -147,7 +147,7 @@
   assert!(book.len() <= 4_096, "{}", book.len());
   assert_eq!(
     book.verdict(fingerprint(1), 11_000),
-    QuarantineVerdict::Trial { number: 1 }
+    QuarantineVerdict::Probe { number: 1 }
   );
   // The newest are the ones that are kept.
   assert_eq!(book.counts(fingerprint(10_001)), (1, 0));
@@ -157,7 +157,7 @@
 fn marks_that_are_removed_free_the_request() {
   let mut book = holding(1, 0);
   book.forget(ended(1, "e-3", 1));
-  assert_eq!(book.verdict(fingerprint(1), 0), QuarantineVerdict::Free);
+  assert_eq!(book.verdict(fingerprint(1), 0), QuarantineVerdict::Allowed);
   book.forget(ended(1, "e-2", 1));
   book.forget(ended(1, "e-1", 1));
   assert!(book.is_empty());
@@ -176,7 +176,7 @@
   pattern: CrashPattern,
 ) {
   for seed in 1..=3 {
-    let play = replay_crashes(pattern, CrashFleet::SMALL, QuarantineWay::Shared, seed);
+    let play = replay_crashes(pattern, CrashFleet::SMALL, QuarantineStrategy::Shared, seed);
     assert!(play.most_late <= 3, "seed {seed}: {play:?}");
   }
 }
@@ -187,14 +187,17 @@
   #[values(CrashPattern::OneBodySlowWord, CrashPattern::OneBodyStoreAway)] pattern: CrashPattern,
 ) {
   let ended = |way| replay_crashes(pattern, CrashFleet::SMALL, way, 1).ended;
-  let (own, shared) = (ended(QuarantineWay::OwnBox), ended(QuarantineWay::Shared));
+  let (own, shared) = (
+    ended(QuarantineStrategy::OwnBox),
+    ended(QuarantineStrategy::Shared),
+  );
   assert!(2 * shared < own, "{shared} beside {own}");
 }
 
 /// What is bounded for one try, or for one box, is not bounded over all.
 #[test]
 fn what_each_box_keeps_for_itself_breaks_the_bound() {
-  for way in [QuarantineWay::Off, QuarantineWay::OwnBox] {
+  for way in [QuarantineStrategy::Off, QuarantineStrategy::OwnBox] {
     let play = replay_crashes(CrashPattern::OneBody, CrashFleet::SMALL, way, 1);
     assert!(play.most_late > 3, "{way:?}: {play:?}");
   }
@@ -210,7 +213,10 @@
     let plays = (1..=4).map(|seed| replay_crashes(pattern, CrashFleet::SMALL, way, seed));
     plays.map(|play| play.served_share()).sum::<f64>() / 4.0
   };
-  let (before, after) = (served(QuarantineWay::Off), served(QuarantineWay::Shared));
+  let (before, after) = (
+    served(QuarantineStrategy::Off),
+    served(QuarantineStrategy::Shared),
+  );
   assert!(after > before - 0.02, "{before} before, {after} after");
 }
 
@@ -228,8 +234,8 @@
         _ => trial(*request, mark - 3),
       })
       .collect();
-    let mut one = QuarantineBook::default();
-    let mut other = QuarantineBook::default();
+    let mut one = QuarantineRegistry::default();
+    let mut other = QuarantineRegistry::default();
     for key in &keys {
       one.note(*key, 1_000);
     }
