--- a/emulator/src/limits/replay.rs
+++ b/emulator/src/limits/replay.rs
@@ -13,8 +13,8 @@
   rand_chacha::ChaCha8Rng,
   rillford::{
     gateway::{
-      BoxList, LimitSettings, LimitWay, LocalVerdict, ToldSpan, UseLimit, UseRequest, UseTotals,
-      UseVerdict,
+      BoxList, LimitSettings, LimitStrategy, LocalVerdict, ToldSpan, UseLimit, UseRequest,
+      UseTotals, UseVerdict,
     },
     ids::Name,
   },
@@ -29,7 +29,7 @@
 const SETTINGS: LimitSettings = LimitSettings {
   overage: 0.1,
   slack_units: 190_000.0,
-  way: LimitWay::AskedWhenShort,
+  way: LimitStrategy::AskNearLimit,
 };
 /// Bytes of an entry with a name and a number in a message.
 const ENTRY_BYTES: usize = 14;
@@ -37,7 +37,7 @@
 struct LimitReplay {
   pattern: LimitPattern,
   fleet: LimitFleet,
-  way: LimitWay,
+  way: LimitStrategy,
   random: ChaCha8Rng,
   queue: Queue<Event>,
   list: BoxList,
@@ -53,7 +53,7 @@
 pub fn replay_limits(
   pattern: LimitPattern,
   fleet: LimitFleet,
-  way: LimitWay,
+  way: LimitStrategy,
   seed: u64,
 ) -> LimitFigures {
   let mut replay = LimitReplay {
--- a/emulator/src/limits/report.rs
+++ b/emulator/src/limits/report.rs
@@ -3,7 +3,7 @@
 use {
   super::{LimitFigures, LimitFleet, LimitPattern, replay_limits},
   bpaf::Bpaf,
-  rillford::gateway::LimitWay,
+  rillford::gateway::LimitStrategy,
 };
 
 /// Which table is wanted.
@@ -36,9 +36,9 @@
   println!("| --- | --- | ---: | ---: | ---: | ---: | ---: |");
   for pattern in LimitPattern::ALL {
     for way in [
-      LimitWay::EvenParts,
-      LimitWay::ToldSums,
-      LimitWay::AskedWhenShort,
+      LimitStrategy::EvenSplit,
+      LimitStrategy::ReportedTotals,
+      LimitStrategy::AskNearLimit,
     ] {
       let plays: Vec<LimitFigures> = (1..=report.seeds)
         .map(|seed| replay_limits(pattern, fleet, way, seed))
@@ -48,7 +48,7 @@
   }
 }
 
-fn print_row(pattern: LimitPattern, way: LimitWay, plays: &[LimitFigures]) {
+fn print_row(pattern: LimitPattern, way: LimitStrategy, plays: &[LimitFigures]) {
   let most = |figure: fn(&LimitFigures) -> f64| plays.iter().map(figure).fold(0.0, f64::max);
   let mean =
     |figure: fn(&LimitFigures) -> f64| plays.iter().map(figure).sum::<f64>() / plays.len() as f64;
--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -20,7 +20,7 @@
 mod hall_reach;
 mod kept_prompts;
 mod known_endpoint;
-mod limit_way;
+mod limit_strategy;
 mod local_permits;
 mod notice_tracker;
 mod pause_turn;
@@ -59,7 +59,7 @@
   endpoint_registry::EndpointRegistry,
   fingerprint::{Fingerprint, RequestIdentity},
   kept_prompts::KeptPrompts,
-  limit_way::LimitWay,
+  limit_strategy::LimitStrategy,
   local_permits::{LocalPermitVerdict, LocalPermits},
   notice_tracker::{Availability, NoticeChange, NoticeTracker},
   pause_turn::kept_pause_ms,
--- a/src/gateway/decisions/use_ledger.rs
+++ b/src/gateway/decisions/use_ledger.rs
@@ -7,7 +7,8 @@
 
 use {
   super::{
-    limit_way::LimitWay, recent_use::RecentUse, use_bucket::UseBucket, use_verdict::UseVerdict,
+    limit_strategy::LimitStrategy, recent_use::RecentUse, use_bucket::UseBucket,
+    use_verdict::UseVerdict,
   },
   crate::{gateway::edge::UseLimit, ids::Name},
   std::collections::{BTreeMap, HashMap},
@@ -57,17 +58,17 @@
 /// The limits as a box that does not count sees them.
 ///
 /// ```
-/// use rillford::gateway::{LimitWay, LocalVerdict, UseLedger, UseLimit, UseRequest, UseVerdict};
+/// use rillford::gateway::{LimitStrategy, LocalVerdict, UseLedger, UseLimit, UseRequest, UseVerdict};
 /// let lectures = "lectures".into();
 /// let limit = UseLimit { burst: 100.0, rate_per_s: 10.0 };
 /// let mut ledger = UseLedger::default();
 /// ledger.heard(vec![], 0);
 /// let request = UseRequest { boxes: 10, limit, now_ms: 0, organisation: &lectures, units: 80 };
-/// let verdict = ledger.admit(request, LimitWay::AskedWhenShort);
+/// let verdict = ledger.admit(request, LimitStrategy::AskNearLimit);
 /// assert_eq!(verdict, LocalVerdict::Settled(UseVerdict::Within));
 /// assert_eq!(ledger.take_untold(), vec![("lectures".into(), 80)]);
 /// ledger.heard(vec![("lectures".into(), 20.0)], 100);
-/// let verdict = ledger.admit(UseRequest { now_ms: 100, ..request }, LimitWay::AskedWhenShort);
+/// let verdict = ledger.admit(UseRequest { now_ms: 100, ..request }, LimitStrategy::AskNearLimit);
 /// assert_eq!(verdict, LocalVerdict::Ask);
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -93,16 +94,16 @@
 
 impl UseLedger {
   /// Decides on a request of an organisation, and notes it when it is within the limit.
-  pub fn admit(&mut self, request: UseRequest, way: LimitWay) -> LocalVerdict {
+  pub fn admit(&mut self, request: UseRequest, way: LimitStrategy) -> LocalVerdict {
     match way {
-      LimitWay::EvenParts => LocalVerdict::Settled(self.admit_by_even_part(request)),
+      LimitStrategy::EvenSplit => LocalVerdict::Settled(self.admit_by_even_part(request)),
       // A box that has just started is not alone yet.
-      LimitWay::AskedWhenShort if self.heard_ms.is_none() && !self.is_unreached => {
+      LimitStrategy::AskNearLimit if self.heard_ms.is_none() && !self.is_unreached => {
         LocalVerdict::Ask
       }
       _ if self.is_alone(request.now_ms) => LocalVerdict::Settled(self.admit_alone(request)),
-      LimitWay::ToldSums => LocalVerdict::Settled(self.admit_by_told(request)),
-      LimitWay::AskedWhenShort => self.admit_or_ask(request),
+      LimitStrategy::ReportedTotals => LocalVerdict::Settled(self.admit_by_told(request)),
+      LimitStrategy::AskNearLimit => self.admit_or_ask(request),
     }
   }
 
--- a/src/gateway/settings/limits.rs
+++ b/src/gateway/settings/limits.rs
@@ -1,7 +1,7 @@
 //! How organisations' limits are kept, and how closely.
 
 use {
-  crate::gateway::{decisions::LimitWay, edge::UseLimit},
+  crate::gateway::{decisions::LimitStrategy, edge::UseLimit},
   serde::Deserialize,
 };
 
@@ -21,7 +21,7 @@
 #[serde(default, deny_unknown_fields)]
 pub struct LimitSettings {
   /// How they are kept over all boxes.
-  pub way: LimitWay,
+  pub way: LimitStrategy,
   /// Part of a limit that use may go beyond it.
   pub overage: f64,
   /// Units that use may go beyond it besides, in the users' window.
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -7,7 +7,7 @@
   proptest::{prelude::*, proptest},
   rillford::{
     gateway::{
-      LimitWay, LocalVerdict, ToldSpan, UseBook, UseLedger, UseLimit, UseRequest, UseTotals,
+      LimitStrategy, LocalVerdict, ToldSpan, UseBook, UseLedger, UseLimit, UseRequest, UseTotals,
       UseVerdict,
     },
     ids::Name,
@@ -18,7 +18,7 @@
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=2;
 
-fn plays(pattern: LimitPattern, way: LimitWay) -> Vec<LimitFigures> {
+fn plays(pattern: LimitPattern, way: LimitStrategy) -> Vec<LimitFigures> {
   SEEDS
     .map(|seed| replay_limits(pattern, LimitFleet::USERS, way, seed))
     .collect()
@@ -43,7 +43,7 @@
 #[case::limits_cut(LimitPattern::LimitsCut)]
 #[case::callers_of_one_hall(LimitPattern::OneHall)]
 fn bound_holds_and_nobody_inside_a_limit_is_refused(#[case] pattern: LimitPattern) {
-  let plays = plays(pattern, LimitWay::AskedWhenShort);
+  let plays = plays(pattern, LimitStrategy::AskNearLimit);
   assert!(most_used(&plays) < 1.0, "{plays:?}");
   assert!(refused_inside(&plays) < 0.001, "{plays:?}");
 }
@@ -51,7 +51,7 @@
 /// Every fourth box reaches no other while an organisation is hot.
 #[test]
 fn bound_holds_while_boxes_are_alone() {
-  let plays = plays(LimitPattern::HotAndLoneBoxes, LimitWay::AskedWhenShort);
+  let plays = plays(LimitPattern::HotAndLoneBoxes, LimitStrategy::AskNearLimit);
   assert!(most_used(&plays) < 1.0, "{plays:?}");
   assert!(refused_inside(&plays) < 0.05, "{plays:?}");
 }
@@ -59,22 +59,22 @@
 /// A box that counts claims a thousand times its counts: that refuses callers, and lets nobody go beyond a limit.
 #[test]
 fn box_that_lies_lets_nobody_beyond_a_limit() {
-  let plays = plays(LimitPattern::HotAndLiar, LimitWay::AskedWhenShort);
+  let plays = plays(LimitPattern::HotAndLiar, LimitStrategy::AskNearLimit);
   assert!(most_used(&plays) < 1.0, "{plays:?}");
 }
 
 /// An even part of the limit for each box refuses half of the callers who are inside it.
 #[test]
 fn counting_together_serves_those_whom_even_parts_refuse() {
-  assert!(refused_inside(&plays(LimitPattern::Calm, LimitWay::EvenParts)) > 0.3);
+  assert!(refused_inside(&plays(LimitPattern::Calm, LimitStrategy::EvenSplit)) > 0.3);
 }
 
 /// What others admit while a message is on its way goes beyond the limit; asking first keeps that small.
 #[test]
 fn asking_when_short_goes_less_beyond_a_limit_than_telling_afterwards() {
   for pattern in [LimitPattern::Hot, LimitPattern::HotAndLag] {
-    let told = plays(pattern, LimitWay::ToldSums);
-    let asked = plays(pattern, LimitWay::AskedWhenShort);
+    let told = plays(pattern, LimitStrategy::ReportedTotals);
+    let asked = plays(pattern, LimitStrategy::AskNearLimit);
     assert!(most_used(&asked) < most_used(&told), "{pattern:?}");
   }
 }
@@ -83,7 +83,7 @@
 /// much.
 #[test]
 fn little_is_admitted_untold_while_messages_lag() {
-  let plays = plays(LimitPattern::HotAndLag, LimitWay::AskedWhenShort);
+  let plays = plays(LimitPattern::HotAndLag, LimitStrategy::AskNearLimit);
   assert!(most_used(&plays) < 1.25, "{plays:?}");
 }
 
@@ -211,7 +211,7 @@
     organisation: &organisation,
     units: 5,
   };
-  let way = LimitWay::AskedWhenShort;
+  let way = LimitStrategy::AskNearLimit;
   assert_eq!(ledger.admit(request, way), LocalVerdict::Ask);
   if is_unreached {
     ledger.note_unreached();
