--- a/emulator/src/limits/event.rs
+++ b/emulator/src/limits/event.rs
@@ -1,6 +1,6 @@
 //! What happens in a replay of limits.
 
-use rillford::{gateway::UseTotals, ids::Name};
+use rillford::{gateway::UsageTotals, ids::Name};
 
 /// What happens at a moment.
 pub(super) enum Event {
@@ -9,7 +9,7 @@
   /// A box tells what it has to tell.
   Tells { from: usize },
   /// A box that counts hears another's totals.
-  HearsTotals { at: usize, totals: UseTotals },
+  HearsTotals { at: usize, totals: UsageTotals },
   /// A box that counts hears a report.
   HearsReport {
     at: usize,
--- a/emulator/src/limits/replay.rs
+++ b/emulator/src/limits/replay.rs
@@ -13,8 +13,8 @@
   rand_chacha::ChaCha8Rng,
   rillford::{
     gateway::{
-      BoxList, LimitSettings, LimitStrategy, LocalVerdict, ToldSpan, UseLimit, UseRequest,
-      UseTotals, UseVerdict,
+      BoxList, LimitSettings, LimitStrategy, LocalVerdict, ReportScope, UsageRequest, UsageTotals,
+      UsageVerdict, UseLimit,
     },
     ids::Name,
   },
@@ -203,7 +203,7 @@
     };
     if self.way.is_told() && self.is_counting(at) {
       let verdict = self.boxes[at].book.admit(&name, REQUEST_UNITS, now_ms);
-      return verdict == UseVerdict::Within;
+      return verdict == UsageVerdict::WithinLimit;
     }
     let request = self.request(&name, limit, now_ms);
     let local = self.boxes[at].ledger.admit(request, self.way);
@@ -211,11 +211,11 @@
       LocalVerdict::Settled(verdict) => verdict,
       LocalVerdict::Ask => self.ask(at, &name, limit, now_ms),
     };
-    verdict == UseVerdict::Within
+    verdict == UsageVerdict::WithinLimit
   }
 
-  fn request<'a>(&self, organisation: &'a Name, limit: UseLimit, now_ms: u64) -> UseRequest<'a> {
-    UseRequest {
+  fn request<'a>(&self, organisation: &'a Name, limit: UseLimit, now_ms: u64) -> UsageRequest<'a> {
+    UsageRequest {
       boxes: self.fleet.boxes,
       limit,
       now_ms,
@@ -225,7 +225,7 @@
   }
 
   /// Asks the first box that counts and is reached; in the replay it answers at once.
-  fn ask(&mut self, at: usize, name: &Name, limit: UseLimit, now_ms: u64) -> UseVerdict {
+  fn ask(&mut self, at: usize, name: &Name, limit: UseLimit, now_ms: u64) -> UsageVerdict {
     let Some(counting) = self.first_reached(at, now_ms) else {
       let request = self.request(name, limit, now_ms);
       let ledger = &mut self.boxes[at].ledger;
@@ -245,8 +245,8 @@
     let ledger = &mut self.boxes[at].ledger;
     ledger.heard(short, now_ms);
     match verdict {
-      UseVerdict::Within => ledger.note_counted(name, REQUEST_UNITS, now_ms),
-      UseVerdict::Beyond { left, wait_ms } => ledger.note_refused(name, left, wait_ms, now_ms),
+      UsageVerdict::WithinLimit => ledger.note_counted(name, REQUEST_UNITS, now_ms),
+      UsageVerdict::OverLimit { left, wait_ms } => ledger.note_refused(name, left, wait_ms, now_ms),
     }
     verdict
   }
@@ -280,8 +280,8 @@
     let place = self.fleet.place(from);
     let teller = &mut self.boxes[from];
     let span = match teller.turns % WHOLE_TURNS {
-      0 => ToldSpan::All,
-      _ => ToldSpan::Changes,
+      0 => ReportScope::All,
+      _ => ReportScope::Changed,
     };
     teller.turns += 1;
     teller.book.set_box_count(self.fleet.boxes, now_ms);
@@ -291,7 +291,7 @@
       let units = self.pattern.claims(place, units, now_ms);
       (name, units)
     });
-    let totals = UseTotals {
+    let totals = UsageTotals {
       box_name: name.clone(),
       followers,
       incarnation: teller.started_ms,
--- a/emulator/src/places/event.rs
+++ b/emulator/src/places/event.rs
@@ -1,6 +1,6 @@
 //! What happens in a replay of places.
 
-use rillford::gateway::{PermitRequest, PermitVerdict, UseTotals};
+use rillford::gateway::{PermitRequest, PermitVerdict, UsageTotals};
 
 /// What happens at a moment.
 pub(super) enum Event {
@@ -42,7 +42,7 @@
   /// A box's turn to tell its sum.
   Turn { at: usize },
   /// A sum is heard.
-  Totals { to: usize, totals: Box<UseTotals> },
+  Totals { to: usize, totals: Box<UsageTotals> },
   /// A box hears of a change of the list.
   Listed { at: usize, has_counting: bool },
   /// The box that counts starts with nothing.
--- a/emulator/src/places/place_box.rs
+++ b/emulator/src/places/place_box.rs
@@ -1,7 +1,7 @@
 //! A box in a replay of places.
 
 use {
-  rillford::gateway::{EndpointLimits, PermitTable, UseBook, UseBucket},
+  rillford::gateway::{EndpointLimits, PermitTable, TokenBucket, UsageTable},
   std::collections::HashSet,
 };
 
@@ -16,8 +16,8 @@
   pub(super) open: HashSet<u32>,
   /// Whether its list has the box that counts at first.
   pub(super) lists_counting: bool,
-  pub(super) even: Option<UseBucket>,
-  pub(super) sums: UseBook,
+  pub(super) even: Option<TokenBucket>,
+  pub(super) sums: UsageTable,
   /// When it was first told of the limit by the endpoint.
   pub(super) answered_ms: Option<u64>,
   pub(super) bytes: u64,
@@ -34,7 +34,7 @@
       limits: EndpointLimits::default(),
       lists_counting: true,
       open: HashSet::new(),
-      sums: UseBook::default(),
+      sums: UsageTable::default(),
       unheard_until_ms: 0,
     }
   }
--- a/emulator/src/places/replay.rs
+++ b/emulator/src/places/replay.rs
@@ -15,8 +15,8 @@
   rillford::{
     gateway::{
       ALONE_BOXES, AdvertisedLimit, BoxList, EndpointEntry, EndpointLife, LimitChange, LimitSource,
-      LocalPermitVerdict, NamedLimit, PermitRequest, PermitVerdict, ToldSpan, UseBucket, UseLimit,
-      UseTotals, UseVerdict, counted_limit, endpoint_order, lone_limit,
+      LocalPermitVerdict, NamedLimit, PermitRequest, PermitVerdict, ReportScope, TokenBucket,
+      UsageTotals, UsageVerdict, UseLimit, counted_limit, endpoint_order, lone_limit,
     },
     ids::Name,
   },
@@ -248,7 +248,7 @@
         };
         let bucket = self.boxes[at]
           .even
-          .get_or_insert_with(|| UseBucket::empty(now_ms));
+          .get_or_insert_with(|| TokenBucket::empty(now_ms));
         let has_place = bucket.left(part, now_ms) >= 1.0;
         if has_place {
           bucket.charge(part, 1.0);
@@ -263,7 +263,7 @@
           sums.set_limits([(name.clone(), limit)], now_ms);
         }
         let verdict = sums.admit(&name, 1, now_ms);
-        self.send_or_not(at, verdict == UseVerdict::Within);
+        self.send_or_not(at, verdict == UsageVerdict::WithinLimit);
       }
       PlaceWay::Asked | PlaceWay::AskedAndTold => self.look_for_place(at),
     }
@@ -541,8 +541,8 @@
     if !self.is_up(at) || self.boxes[at].sums.is_empty() {
       return;
     }
-    let totals = self.boxes[at].sums.totals_to_tell(ToldSpan::All);
-    let totals = UseTotals {
+    let totals = self.boxes[at].sums.totals_to_tell(ReportScope::All);
+    let totals = UsageTotals {
       box_name: name.as_str().into(),
       followers: 0,
       incarnation: 1,
--- a/src/gateway/decisions/local_permits.rs
+++ b/src/gateway/decisions/local_permits.rs
@@ -5,7 +5,7 @@
 //! where there may be a permit.
 
 use {
-  super::{permit_account::PermitVerdict, recent_use::RecentUse},
+  super::{permit_account::PermitVerdict, recent_usage::RecentUsage},
   crate::ids::Name,
   std::collections::HashMap,
 };
@@ -45,7 +45,7 @@
   spare: u32,
   spare_until_ms: u64,
   /// Requests of late, for which a permit was looked for.
-  wanted: RecentUse,
+  wanted: RecentUsage,
   asked_ms: u64,
 }
 
--- a/src/gateway/decisions/use_ledger.rs
+++ b/src/gateway/decisions/local_usage.rs
@@ -7,8 +7,8 @@
 
 use {
   super::{
-    limit_strategy::LimitStrategy, recent_use::RecentUse, use_bucket::UseBucket,
-    use_verdict::UseVerdict,
+    limit_strategy::LimitStrategy, recent_usage::RecentUsage, token_bucket::TokenBucket,
+    usage_verdict::UsageVerdict,
   },
   crate::{gateway::edge::UseLimit, ids::Name},
   std::collections::{BTreeMap, HashMap},
@@ -25,7 +25,7 @@
 
 /// A request of an organisation that has a limit.
 #[derive(Clone, Copy, Debug)]
-pub struct UseRequest<'a> {
+pub struct UsageRequest<'a> {
   /// The organisation.
   pub organisation: &'a Name,
   /// Its limit over all boxes.
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LocalVerdict {
   /// It knows enough.
-  Settled(UseVerdict),
+  Settled(UsageVerdict),
   /// A box that counts has to be asked.
   Ask,
 }
@@ -58,27 +58,27 @@
 /// The limits as a box that does not count sees them.
 ///
 /// ```
-/// use rillford::gateway::{LimitStrategy, LocalVerdict, UseLedger, UseLimit, UseRequest, UseVerdict};
+/// use rillford::gateway::{LimitStrategy, LocalVerdict, LocalUsage, UseLimit, UsageRequest, UsageVerdict};
 /// let lectures = "lectures".into();
 /// let limit = UseLimit { burst: 100.0, rate_per_s: 10.0 };
-/// let mut ledger = UseLedger::default();
+/// let mut ledger = LocalUsage::default();
 /// ledger.heard(vec![], 0);
-/// let request = UseRequest { boxes: 10, limit, now_ms: 0, organisation: &lectures, units: 80 };
+/// let request = UsageRequest { boxes: 10, limit, now_ms: 0, organisation: &lectures, units: 80 };
 /// let verdict = ledger.admit(request, LimitStrategy::AskNearLimit);
-/// assert_eq!(verdict, LocalVerdict::Settled(UseVerdict::Within));
+/// assert_eq!(verdict, LocalVerdict::Settled(UsageVerdict::WithinLimit));
 /// assert_eq!(ledger.take_untold(), vec![("lectures".into(), 80)]);
 /// ledger.heard(vec![("lectures".into(), 20.0)], 100);
-/// let verdict = ledger.admit(UseRequest { now_ms: 100, ..request }, LimitStrategy::AskNearLimit);
+/// let verdict = ledger.admit(UsageRequest { now_ms: 100, ..request }, LimitStrategy::AskNearLimit);
 /// assert_eq!(verdict, LocalVerdict::Ask);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct UseLedger {
+pub struct LocalUsage {
   untold: BTreeMap<Name, i64>,
   short: HashMap<Name, ShortLimit>,
   heard_ms: Option<u64>,
   /// Whether the boxes that count did not answer at the last try.
   is_unreached: bool,
-  recent: HashMap<Name, RecentUse>,
+  recent: HashMap<Name, RecentUsage>,
   /// Buckets of a box that is alone, or of the way that needs no others.
   own: HashMap<Name, OwnPart>,
 }
@@ -89,12 +89,12 @@
   /// The limit that it is a part of.
   of: UseLimit,
   part: UseLimit,
-  bucket: UseBucket,
+  bucket: TokenBucket,
 }
 
-impl UseLedger {
+impl LocalUsage {
   /// Decides on a request of an organisation, and notes it when it is within the limit.
-  pub fn admit(&mut self, request: UseRequest, way: LimitStrategy) -> LocalVerdict {
+  pub fn admit(&mut self, request: UsageRequest, way: LimitStrategy) -> LocalVerdict {
     match way {
       LimitStrategy::EvenSplit => LocalVerdict::Settled(self.admit_by_even_part(request)),
       // A box that has just started is not alone yet.
@@ -108,27 +108,27 @@
   }
 
   /// Decides by what was left when it was heard.
-  fn admit_by_told(&mut self, request: UseRequest) -> UseVerdict {
+  fn admit_by_told(&mut self, request: UsageRequest) -> UsageVerdict {
     let verdict = match self.short.get(request.organisation) {
       Some(short) => short.verdict(request.limit, request.units),
-      None => UseVerdict::Within,
+      None => UsageVerdict::WithinLimit,
     };
-    if verdict == UseVerdict::Within {
+    if verdict == UsageVerdict::WithinLimit {
       self.note_request(request);
     }
     verdict
   }
 
   /// Decides where the limit is far off, or where a refusal was heard just now.
-  fn admit_or_ask(&mut self, request: UseRequest) -> LocalVerdict {
+  fn admit_or_ask(&mut self, request: UsageRequest) -> LocalVerdict {
     match self.short.get(request.organisation) {
       None if self.has_much_untold(request) => LocalVerdict::Ask,
       None => {
         self.note_request(request);
-        LocalVerdict::Settled(UseVerdict::Within)
+        LocalVerdict::Settled(UsageVerdict::WithinLimit)
       }
       Some(short) if request.now_ms < short.refused_until_ms => {
-        LocalVerdict::Settled(UseVerdict::Beyond {
+        LocalVerdict::Settled(UsageVerdict::OverLimit {
           left: short.left,
           wait_ms: short.refused_until_ms - request.now_ms,
         })
@@ -137,7 +137,7 @@
     }
   }
 
-  fn note_request(&mut self, request: UseRequest) {
+  fn note_request(&mut self, request: UsageRequest) {
     self.own.remove(request.organisation);
     self.note(request.organisation, request.units as i64, request.now_ms);
   }
@@ -156,7 +156,7 @@
   }
 
   /// Whether a request comes on top of so much that others have not heard of that it is asked for.
-  fn has_much_untold(&self, request: UseRequest) -> bool {
+  fn has_much_untold(&self, request: UsageRequest) -> bool {
     let untold = self.untold.get(request.organisation).copied().unwrap_or(0);
     untold > 0 && untold as f64 + request.units as f64 > request.limit.burst * UNTOLD_SHARE
   }
@@ -229,8 +229,8 @@
   }
 
   /// Decides without any other box, when none answers: by the rate that this box had, fixed when it is first needed.
-  pub fn admit_alone(&mut self, request: UseRequest) -> UseVerdict {
-    let UseRequest { limit, now_ms, .. } = request;
+  pub fn admit_alone(&mut self, request: UsageRequest) -> UsageVerdict {
+    let UsageRequest { limit, now_ms, .. } = request;
     let even = limit.rate_per_s / request.boxes.max(1) as f64;
     let before = self.recent.get(request.organisation);
     let as_before = before.map_or(0.0, |before| before.per_s(now_ms) * ALONE_FACTOR);
@@ -243,8 +243,8 @@
   }
 
   /// Decides by an even part of the limit.
-  fn admit_by_even_part(&mut self, request: UseRequest) -> UseVerdict {
-    let UseRequest { limit, now_ms, .. } = request;
+  fn admit_by_even_part(&mut self, request: UsageRequest) -> UsageVerdict {
+    let UsageRequest { limit, now_ms, .. } = request;
     let part = part_of(request, limit.rate_per_s / request.boxes.max(1) as f64);
     let mut own = match self.own.get(request.organisation) {
       Some(own) => *own,
@@ -256,17 +256,17 @@
   }
 
   /// Takes a request from a part of the limit, if it is there, and keeps the part.
-  fn take_from(&mut self, mut own: OwnPart, request: UseRequest) -> UseVerdict {
-    let UseRequest { now_ms, units, .. } = request;
+  fn take_from(&mut self, mut own: OwnPart, request: UsageRequest) -> UsageVerdict {
+    let UsageRequest { now_ms, units, .. } = request;
     // Where the part is smaller than a request, one goes when the bucket is full.
     let wanted = (units as f64).min(own.part.burst);
     let left = own.bucket.left(own.part, now_ms);
     let verdict = if left < wanted {
       let wait_ms = own.bucket.wait_ms(own.part, wanted, now_ms);
-      UseVerdict::Beyond { left, wait_ms }
+      UsageVerdict::OverLimit { left, wait_ms }
     } else {
       own.bucket.charge(own.part, units as f64);
-      UseVerdict::Within
+      UsageVerdict::WithinLimit
     };
     self.own.insert(request.organisation.clone(), own);
     verdict
@@ -274,7 +274,7 @@
 }
 
 /// The part of a limit with a rate; it holds one request at least.
-fn part_of(request: UseRequest, rate_per_s: f64) -> UseLimit {
+fn part_of(request: UsageRequest, rate_per_s: f64) -> UseLimit {
   let UseLimit {
     burst,
     rate_per_s: whole_per_s,
@@ -288,7 +288,7 @@
 impl OwnPart {
   fn new(of: UseLimit, part: UseLimit, now_ms: u64) -> Self {
     Self {
-      bucket: UseBucket::full(part, now_ms),
+      bucket: TokenBucket::full(part, now_ms),
       of,
       part,
     }
@@ -297,13 +297,13 @@
 
 impl ShortLimit {
   /// Whether a request is within what was left when it was heard, less what was admitted since.
-  fn verdict(&self, limit: UseLimit, units: u64) -> UseVerdict {
+  fn verdict(&self, limit: UseLimit, units: u64) -> UsageVerdict {
     let wanted = (units as f64).min(limit.burst);
     if self.left >= wanted {
-      return UseVerdict::Within;
+      return UsageVerdict::WithinLimit;
     }
     let missing_s = (wanted - self.left) / limit.rate_per_s;
-    UseVerdict::Beyond {
+    UsageVerdict::OverLimit {
       left: self.left,
       wait_ms: (missing_s * 1_000.0) as u64,
     }
--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -22,27 +22,27 @@
 mod known_endpoint;
 mod limit_strategy;
 mod local_permits;
+mod local_usage;
 mod notice_tracker;
 mod pause_turn;
-mod peer_use;
+mod peer_usage;
 mod permit_account;
 mod permit_table;
 mod quarantine_key;
 mod quarantine_registry;
 mod quarantine_strategy;
 mod recent_engines;
-mod recent_use;
+mod recent_usage;
 mod retry_after;
 mod retry_pause;
 mod retry_window;
 mod role_plan;
 mod seat_forecast;
 mod seat_queue;
+mod token_bucket;
 mod unavailable;
-mod use_book;
-mod use_bucket;
-mod use_ledger;
-mod use_verdict;
+mod usage_table;
+mod usage_verdict;
 
 pub use self::{
   advertised_limits::{AdvertisedLimit, AdvertisedLimits, LimitChange, LimitSource},
@@ -61,6 +61,7 @@
   kept_prompts::KeptPrompts,
   limit_strategy::LimitStrategy,
   local_permits::{LocalPermitVerdict, LocalPermits},
+  local_usage::{LocalUsage, LocalVerdict, UsageRequest},
   notice_tracker::{Availability, NoticeChange, NoticeTracker},
   pause_turn::kept_pause_ms,
   permit_account::{PermitAccount, PermitRequest, PermitVerdict},
@@ -75,11 +76,10 @@
   role_plan::{Surplus, surplus},
   seat_forecast::SeatForecast,
   seat_queue::{SeatPlace, SeatQueue, SeatUrgency},
+  token_bucket::TokenBucket,
   unavailable::Unavailable,
-  use_book::{ToldSpan, UseBook, UseTotals},
-  use_bucket::UseBucket,
-  use_ledger::{LocalVerdict, UseLedger, UseRequest},
-  use_verdict::UseVerdict,
+  usage_table::{ReportScope, UsageTable, UsageTotals},
+  usage_verdict::UsageVerdict,
 };
 
 pub(crate) use self::{
--- a/src/gateway/decisions/peer_use.rs
+++ b/src/gateway/decisions/peer_usage.rs
@@ -1,6 +1,6 @@
 //! What another counting box has told of its counts. Free of I/O.
 
-use {super::recent_use::RecentUse, crate::ids::Name, std::collections::HashMap};
+use {super::recent_usage::RecentUsage, crate::ids::Name, std::collections::HashMap};
 
 /// A counting box that has not been heard for this long counts as cut off: several messages were due.
 const SILENT_MS: u64 = 600;
@@ -16,17 +16,17 @@
   pub(super) is_counting: bool,
   /// Whether its first totals are charged.
   counts_from_start: bool,
-  used: HashMap<Name, PeerUse>,
+  used: HashMap<Name, PeerUsage>,
 }
 
 /// Its counts for one organisation.
 #[derive(Clone, Copy, Debug, Default)]
-struct PeerUse {
+struct PeerUsage {
   total: i64,
   /// Units that it was taken to use since it was last heard, and up to when.
   assumed: f64,
   assumed_to_ms: u64,
-  recent: RecentUse,
+  recent: RecentUsage,
   /// Its part of the rate, as of when it fell silent.
   silent_share: Option<f64>,
 }
--- a/src/gateway/decisions/permit_account.rs
+++ b/src/gateway/decisions/permit_account.rs
@@ -4,7 +4,7 @@
 //! other, so that neither all ask at once nor a permit lies idle.
 
 use {
-  super::use_bucket::UseBucket,
+  super::token_bucket::TokenBucket,
   crate::{gateway::edge::UseLimit, ids::Name},
   serde::{Deserialize, Serialize},
   std::collections::HashMap,
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug)]
 pub struct PermitAccount {
   limit: UseLimit,
-  bucket: UseBucket,
+  bucket: TokenBucket,
   /// When the last of the boxes is called in that found no permit.
   last_turn_ms: u64,
   /// When each of them is.
@@ -78,7 +78,7 @@
   pub fn new(limit: UseLimit, now_ms: u64) -> Self {
     Self {
       asked_ms: now_ms,
-      bucket: UseBucket::empty(now_ms),
+      bucket: TokenBucket::empty(now_ms),
       limit,
       last_turn_ms: now_ms,
       turns_ms: HashMap::new(),
--- a/src/gateway/decisions/recent_use.rs
+++ b/src/gateway/decisions/recent_usage.rs
@@ -3,19 +3,19 @@
 /// Time after which a use counts for a third: longer than the pauses between the requests of a small organisation, shorter than
 /// the time in which its callers move to another hall.
 const MEMORY_MS: f64 = 4_000.0;
-/// Age of the sum that [`RecentUse::before_cut`] tells, at least: a cut is noticed that late.
+/// Age of the sum that [`RecentUsage::before_cut`] tells, at least: a cut is noticed that late.
 const CUT_NOTICED_MS: u64 = 600;
 
 /// A sum of units that fades as they get older.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct RecentUse {
+pub(super) struct RecentUsage {
   units: f64,
   at_ms: u64,
   /// The sum at two earlier times, the older one first.
   before: [(f64, u64); 2],
 }
 
-impl RecentUse {
+impl RecentUsage {
   /// Units were used, or given back.
   pub(super) fn note(&mut self, units: f64, now_ms: u64) {
     let sum = self.units(now_ms);
--- a/src/gateway/decisions/use_bucket.rs
+++ b/src/gateway/decisions/token_bucket.rs
@@ -9,9 +9,9 @@
 /// What is left of a limit. It may be in debt: units that others report late have been used all the same.
 ///
 /// ```
-/// use rillford::gateway::{UseBucket, UseLimit};
+/// use rillford::gateway::{TokenBucket, UseLimit};
 /// let limit = UseLimit { burst: 100.0, rate_per_s: 10.0 };
-/// let mut bucket = UseBucket::full(limit, 0);
+/// let mut bucket = TokenBucket::full(limit, 0);
 /// bucket.charge(limit, 105.0);
 /// assert_eq!(bucket.left(limit, 0), -5.0);
 /// assert_eq!(bucket.left(limit, 200), -3.0);
@@ -21,12 +21,12 @@
 /// assert_eq!(bucket.left(limit, 60_000), 100.0);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct UseBucket {
+pub struct TokenBucket {
   left: f64,
   at_ms: u64,
 }
 
-impl UseBucket {
+impl TokenBucket {
   /// A bucket that nothing was taken from.
   pub fn full(limit: UseLimit, now_ms: u64) -> Self {
     Self {
--- a/src/gateway/decisions/use_book.rs
+++ b/src/gateway/decisions/usage_table.rs
@@ -8,8 +8,8 @@
 
 use {
   super::{
-    follower_list::FollowerList, peer_use::Peer, recent_use::RecentUse, use_bucket::UseBucket,
-    use_verdict::UseVerdict,
+    follower_list::FollowerList, peer_usage::Peer, recent_usage::RecentUsage,
+    token_bucket::TokenBucket, usage_verdict::UsageVerdict,
   },
   crate::{gateway::edge::UseLimit, ids::Name},
   serde::{Deserialize, Serialize},
@@ -28,16 +28,16 @@
 
 /// Which totals are told.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum ToldSpan {
+pub enum ReportScope {
   /// All, so that what was lost on the way is made up for.
   All,
   /// Those that have changed.
-  Changes,
+  Changed,
 }
 
 /// What a counting box tells the others.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct UseTotals {
+pub struct UsageTotals {
   /// The box.
   pub box_name: Name,
   /// Tells its starts apart.
@@ -54,12 +54,12 @@
 #[derive(Clone, Debug)]
 struct Account {
   limit: UseLimit,
-  bucket: UseBucket,
+  bucket: TokenBucket,
   /// Units that this box has counted since it started.
   total: i64,
   /// The total as it was last told.
   told: i64,
-  recent: RecentUse,
+  recent: RecentUsage,
   /// Up to when a part was kept back for boxes that are alone.
   kept_back_to_ms: u64,
 }
@@ -67,20 +67,20 @@
 /// The accounts of a counting box.
 ///
 /// ```
-/// use rillford::gateway::{UseBook, UseLimit, UseVerdict};
-/// let mut book = UseBook::default();
+/// use rillford::gateway::{UsageTable, UseLimit, UsageVerdict};
+/// let mut book = UsageTable::default();
 /// let limit = UseLimit { burst: 100.0, rate_per_s: 10.0 };
 /// let lectures = "lectures".into();
 /// book.set_limits([("lectures".into(), limit)], 0);
-/// assert_eq!(book.admit(&lectures, 80, 0), UseVerdict::Within);
+/// assert_eq!(book.admit(&lectures, 80, 0), UsageVerdict::WithinLimit);
 /// let refused = book.admit(&lectures, 40, 0);
-/// assert_eq!(refused, UseVerdict::Beyond { left: 20.0, wait_ms: 2_000 });
-/// assert_eq!(book.admit(&lectures, 40, 2_000), UseVerdict::Within);
+/// assert_eq!(refused, UsageVerdict::OverLimit { left: 20.0, wait_ms: 2_000 });
+/// assert_eq!(book.admit(&lectures, 40, 2_000), UsageVerdict::WithinLimit);
 /// // Who has no limit is always within it.
-/// assert_eq!(book.admit(&"captions".into(), 1_000_000, 0), UseVerdict::Within);
+/// assert_eq!(book.admit(&"captions".into(), 1_000_000, 0), UsageVerdict::WithinLimit);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct UseBook {
+pub struct UsageTable {
   accounts: HashMap<Name, Account>,
   /// Totals of organisations that have no limit any more.
   former_totals: HashMap<Name, i64>,
@@ -90,7 +90,7 @@
   lone_share: f64,
 }
 
-impl UseBook {
+impl UsageTable {
   /// Puts limits in force. Of organisations that have none any more the totals are kept, since others go by their growth.
   pub fn set_limits(&mut self, limits: impl IntoIterator<Item = (Name, UseLimit)>, now_ms: u64) {
     let mut accounts = HashMap::new();
@@ -119,20 +119,20 @@
   }
 
   /// Counts a request if it is within its organisation's limit.
-  pub fn admit(&mut self, organisation: &Name, units: u64, now_ms: u64) -> UseVerdict {
+  pub fn admit(&mut self, organisation: &Name, units: u64, now_ms: u64) -> UsageVerdict {
     self.settle_unheard(organisation, now_ms);
     let Some(account) = self.accounts.get_mut(organisation) else {
-      return UseVerdict::Within;
+      return UsageVerdict::WithinLimit;
     };
     let left = account.bucket.left(account.limit, now_ms);
     // A request larger than the bucket is admitted when the bucket is full.
     let wanted = (units as f64).min(account.limit.burst);
     if left < wanted {
       let wait_ms = account.bucket.wait_ms(account.limit, wanted, now_ms);
-      return UseVerdict::Beyond { left, wait_ms };
+      return UsageVerdict::OverLimit { left, wait_ms };
     }
     account.count(units as i64, now_ms);
-    UseVerdict::Within
+    UsageVerdict::WithinLimit
   }
 
   /// Counts what a follower has admitted, or given back.
@@ -173,13 +173,13 @@
   }
 
   /// What this box has counted since it started, by organisation: all of it, or what has changed enough to matter to others.
-  pub fn totals_to_tell(&mut self, span: ToldSpan) -> Vec<(Name, i64)> {
+  pub fn totals_to_tell(&mut self, span: ReportScope) -> Vec<(Name, i64)> {
     let mut totals = Vec::new();
     for (name, account) in &mut self.accounts {
       let untold = (account.total - account.told).abs() as f64;
       let is_due = match span {
-        ToldSpan::All => account.total != 0,
-        ToldSpan::Changes => untold > account.limit.burst * CHANGE_SHARE,
+        ReportScope::All => account.total != 0,
+        ReportScope::Changed => untold > account.limit.burst * CHANGE_SHARE,
       };
       if is_due {
         account.told = account.total;
@@ -190,7 +190,7 @@
   }
 
   /// Charges what another counting box has counted since it was last heard.
-  pub fn hear(&mut self, from: &UseTotals, own_uptime_ms: u64, now_ms: u64) {
+  pub fn hear(&mut self, from: &UsageTotals, own_uptime_ms: u64, now_ms: u64) {
     let is_new = match self.peers.get(&from.box_name) {
       Some(peer) => peer.incarnation != from.incarnation,
       None => true,
@@ -270,10 +270,10 @@
   fn new(limit: UseLimit, former_total: Option<i64>, now_ms: u64) -> Self {
     let total = former_total.unwrap_or(0);
     Self {
-      bucket: UseBucket::full(limit, now_ms),
+      bucket: TokenBucket::full(limit, now_ms),
       kept_back_to_ms: now_ms,
       limit,
-      recent: RecentUse::default(),
+      recent: RecentUsage::default(),
       told: total,
       total,
     }
--- a/src/gateway/decisions/use_verdict.rs
+++ b/src/gateway/decisions/usage_verdict.rs
@@ -4,11 +4,11 @@
 
 /// Whether a request is within the limit.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
-pub enum UseVerdict {
+pub enum UsageVerdict {
   /// It is, and was counted.
-  Within,
+  WithinLimit,
   /// It is not, and nothing was counted.
-  Beyond {
+  OverLimit {
     /// Units that were left; below 0 when more was used than the limit allows.
     left: f64,
     /// Time until there is room for it, if nobody else asks.
--- a/src/gateway/limits/admission.rs
+++ b/src/gateway/limits/admission.rs
@@ -7,7 +7,7 @@
   },
   crate::{
     gateway::{
-      decisions::{LocalVerdict, UseRequest, UseVerdict},
+      decisions::{LocalVerdict, UsageRequest, UsageVerdict},
       edge::{CallerFacts, Organisation, UseLimit},
       state::Gateway,
     },
@@ -95,8 +95,8 @@
     (verdict, CountedBy::Ledger)
   };
   match verdict {
-    UseVerdict::Within => Ok(charge(counted_by)),
-    UseVerdict::Beyond { left, wait_ms } => {
+    UsageVerdict::WithinLimit => Ok(charge(counted_by)),
+    UsageVerdict::OverLimit { left, wait_ms } => {
       gateway.counters.beyond_limit.inc();
       log_beyond(gateway, facts, name, units, left);
       // Those who are refused together don't come back together.
@@ -114,8 +114,8 @@
   name: &Name,
   limit: UseLimit,
   units: u64,
-) -> UseVerdict {
-  let request = || UseRequest {
+) -> UsageVerdict {
+  let request = || UsageRequest {
     boxes: gateway.box_count(),
     limit,
     now_ms: gateway.now_ms(),
@@ -134,7 +134,7 @@
 }
 
 /// Asks the boxes that count; nothing when none answers in time.
-async fn ask(gateway: &Gateway, name: &Name, units: u64) -> Option<UseVerdict> {
+async fn ask(gateway: &Gateway, name: &Name, units: u64) -> Option<UsageVerdict> {
   for address in candidates(gateway).into_iter().take(MOST_ASKED) {
     let used = gateway.use_ledger.borrow_mut().take_untold();
     let message = UseReport {
@@ -149,8 +149,8 @@
         let mut ledger = gateway.use_ledger.borrow_mut();
         ledger.heard(answer.short, now_ms);
         match answer.verdict {
-          Some(UseVerdict::Within) => ledger.note_counted(name, units, now_ms),
-          Some(UseVerdict::Beyond { left, wait_ms }) => {
+          Some(UsageVerdict::WithinLimit) => ledger.note_counted(name, units, now_ms),
+          Some(UsageVerdict::OverLimit { left, wait_ms }) => {
             ledger.note_refused(name, left, wait_ms, now_ms);
           }
           None => {}
--- a/src/gateway/limits/messages.rs
+++ b/src/gateway/limits/messages.rs
@@ -5,7 +5,7 @@
     CallError, HttpClient,
     gateway::{
       connections::{message_answer, read_message, send_message, status_answer},
-      decisions::{UseTotals, UseVerdict},
+      decisions::{UsageTotals, UsageVerdict},
       state::Gateway,
     },
     ids::Name,
@@ -42,7 +42,7 @@
   /// The organisations that are short, each with the units that are left.
   pub(crate) short: Vec<(Name, f64)>,
   /// What becomes of the request that was asked for.
-  pub(crate) verdict: Option<UseVerdict>,
+  pub(crate) verdict: Option<UsageVerdict>,
 }
 
 /// Tells a box that counts of use, and asks it.
@@ -60,7 +60,7 @@
 pub(super) async fn tell_totals(
   http: &HttpClient,
   address: SocketAddr,
-  totals: &UseTotals,
+  totals: &UsageTotals,
   limit: Duration,
 ) -> Result<(), CallError> {
   send_message(http, address, TOTALS_PATH, totals, limit)
@@ -97,7 +97,7 @@
   gateway: &Gateway,
   request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-  let Some(totals) = read::<UseTotals>(request).await else {
+  let Some(totals) = read::<UsageTotals>(request).await else {
     return status_answer(StatusCode::BAD_REQUEST);
   };
   let now_ms = gateway.now_ms();
--- a/src/gateway/limits/telling.rs
+++ b/src/gateway/limits/telling.rs
@@ -3,7 +3,7 @@
 use {
   super::messages::{UseReport, report, tell_totals},
   crate::gateway::{
-    decisions::{ToldSpan, UseTotals},
+    decisions::{ReportScope, UsageTotals},
     state::Gateway,
   },
   futures_util::future::join_all,
@@ -35,8 +35,8 @@
     }
     if gateway.is_counting() {
       let span = match turn % WHOLE_TURNS {
-        0 => ToldSpan::All,
-        _ => ToldSpan::Changes,
+        0 => ReportScope::All,
+        _ => ReportScope::Changed,
       };
       turn = turn.wrapping_add(1);
       tell_the_others(&gateway, span).await;
@@ -52,7 +52,7 @@
 }
 
 /// Sends this box's totals to the others that count.
-async fn tell_the_others(gateway: &Gateway, span: ToldSpan) {
+async fn tell_the_others(gateway: &Gateway, span: ReportScope) {
   let name = gateway.settings.identity.name.clone();
   let (addresses, names) = {
     let boxes = gateway.boxes.borrow();
@@ -63,7 +63,7 @@
     book.set_counting(|peer| names.iter().any(|name| &**name == peer));
     let now_ms = gateway.now_ms();
     book.set_box_count(gateway.box_count(), now_ms);
-    UseTotals {
+    UsageTotals {
       box_name: name,
       followers: book.follower_count(now_ms),
       incarnation: gateway.incarnation,
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -10,9 +10,9 @@
     gateway::{
       connections::{Connection, ConnectionPool},
       decisions::{
-        BoxList, Choice, ColdSpan, EndpointCounts, EndpointRegistry, KeptPrompts, PartEnd,
-        PermitTable, RetryWindow, SeatForecast, SeatQueue, Unavailable, UseBook, UseLedger, Wanted,
-        retry_after_pause_ms,
+        BoxList, Choice, ColdSpan, EndpointCounts, EndpointRegistry, KeptPrompts, LocalUsage,
+        PartEnd, PermitTable, RetryWindow, SeatForecast, SeatQueue, Unavailable, UsageTable,
+        Wanted, retry_after_pause_ms,
       },
       edge::{ColdStart, Dialect, EndpointEntry, RouteTable, StoreLease},
       settings::{GatewaySettings, RoutePolicy},
@@ -96,9 +96,9 @@
   /// This box's lease in the store, and when it was last renewed.
   pub(crate) lease: Cell<Option<HeldLease>>,
   /// Organisations' use, as far as this box counts it.
-  pub(crate) use_book: RefCell<UseBook>,
+  pub(crate) use_book: RefCell<UsageTable>,
   /// Organisations' use, as far as others count it.
-  pub(crate) use_ledger: RefCell<UseLedger>,
+  pub(crate) use_ledger: RefCell<LocalUsage>,
   /// The box that counts and answered last.
   pub(crate) counting_box: Cell<Option<SocketAddr>>,
   /// Places at endpoints that this box gives out for all boxes.
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -7,8 +7,8 @@
   proptest::{prelude::*, proptest},
   rillford::{
     gateway::{
-      LimitStrategy, LocalVerdict, ToldSpan, UseBook, UseLedger, UseLimit, UseRequest, UseTotals,
-      UseVerdict,
+      LimitStrategy, LocalUsage, LocalVerdict, ReportScope, UsageRequest, UsageTable, UsageTotals,
+      UsageVerdict, UseLimit,
     },
     ids::Name,
   },
@@ -94,14 +94,14 @@
   }
 }
 
-fn book(now_ms: u64) -> UseBook {
-  let mut book = UseBook::default();
+fn book(now_ms: u64) -> UsageTable {
+  let mut book = UsageTable::default();
   book.set_limits([("a".into(), limit())], now_ms);
   book
 }
 
-fn totals(box_name: &str, incarnation: u64, uptime_ms: u64, units: i64) -> UseTotals {
-  UseTotals {
+fn totals(box_name: &str, incarnation: u64, uptime_ms: u64, units: i64) -> UsageTotals {
+  UsageTotals {
     box_name: box_name.into(),
     followers: 0,
     incarnation,
@@ -110,7 +110,7 @@
   }
 }
 
-fn left(book: &mut UseBook, now_ms: u64) -> f64 {
+fn left(book: &mut UsageTable, now_ms: u64) -> f64 {
   // Settles what is assumed of others.
   book.short(now_ms);
   book.left("a", now_ms).unwrap().0
@@ -175,12 +175,15 @@
   };
   book.set_limits([("a".into(), lower)], 0);
   let a: Name = "a".into();
-  assert_eq!(book.admit(&a, 10, 0), UseVerdict::Within);
-  assert!(matches!(book.admit(&a, 10, 0), UseVerdict::Beyond { .. }));
+  assert_eq!(book.admit(&a, 10, 0), UsageVerdict::WithinLimit);
+  assert!(matches!(
+    book.admit(&a, 10, 0),
+    UsageVerdict::OverLimit { .. }
+  ));
   book.set_limits([("a".into(), limit())], 0);
-  assert_eq!(book.admit(&a, 90, 0), UseVerdict::Within);
+  assert_eq!(book.admit(&a, 90, 0), UsageVerdict::WithinLimit);
   book.set_limits([], 0);
-  assert_eq!(book.admit(&a, 1_000, 0), UseVerdict::Within);
+  assert_eq!(book.admit(&a, 1_000, 0), UsageVerdict::WithinLimit);
 }
 
 /// Totals that fell back to nothing would be taken for units given back.
@@ -191,7 +194,7 @@
   counting.set_limits([], 0);
   counting.set_limits([("a".into(), limit())], 0);
   assert_eq!(
-    counting.totals_to_tell(ToldSpan::All),
+    counting.totals_to_tell(ReportScope::All),
     [(Name::from("a"), 80)]
   );
 }
@@ -201,10 +204,10 @@
 #[case::silence(false, 1_001)]
 #[case::no_answer(true, 10)]
 fn box_that_is_alone_asks_nobody(#[case] is_unreached: bool, #[case] now_ms: u64) {
-  let mut ledger = UseLedger::default();
+  let mut ledger = LocalUsage::default();
   ledger.heard(vec![("a".into(), 10.0)], 0);
   let organisation = "a".into();
-  let mut request = UseRequest {
+  let mut request = UsageRequest {
     boxes: 10,
     limit: limit(),
     now_ms: 0,
@@ -217,7 +220,7 @@
     ledger.note_unreached();
   }
   request.now_ms = now_ms;
-  let within = LocalVerdict::Settled(UseVerdict::Within);
+  let within = LocalVerdict::Settled(UsageVerdict::WithinLimit);
   assert_eq!(ledger.admit(request, way), within);
   ledger.heard(vec![], now_ms);
   assert_eq!(ledger.admit(request, way), within);
@@ -251,18 +254,18 @@
     for step in steps {
       match step {
         Step::Asks { at, units } => {
-          if books[at].admit(&"a".into(), units, now_ms) == UseVerdict::Within {
+          if books[at].admit(&"a".into(), units, now_ms) == UsageVerdict::WithinLimit {
             admitted += units;
             untold[at] += units;
             most_untold = most_untold.max(untold[0].min(untold[1]));
           }
         }
         Step::Tells { from } => {
-          let told = UseTotals {
+          let told = UsageTotals {
             box_name: format!("north-{from}").as_str().into(),
             followers: 0,
             incarnation: 1,
-            totals: books[from].totals_to_tell(ToldSpan::All),
+            totals: books[from].totals_to_tell(ReportScope::All),
             uptime_ms: now_ms,
           };
           books[1 - from].hear(&told, now_ms, now_ms);
