--- a/emulator/src/places/replay.rs
+++ b/emulator/src/places/replay.rs
@@ -14,9 +14,9 @@
   rand_chacha::ChaCha8Rng,
   rillford::{
     gateway::{
-      ALONE_BOXES, AdvertisedLimit, BoxList, EndpointEntry, EndpointLife, LimitChange, LimitSource,
-      LocalPermitVerdict, NamedLimit, PermitRequest, PermitVerdict, ReportScope, TokenBucket,
-      UsageTotals, UsageVerdict, UseLimit, counted_limit, endpoint_order, lone_limit,
+      ALONE_BOXES, AdvertisedLimit, BoxList, EndpointEntry, EndpointIncarnation, LimitChange,
+      LimitSource, LocalPermitVerdict, NamedLimit, PermitRequest, PermitVerdict, ReportScope,
+      TokenBucket, UsageTotals, UsageVerdict, UseLimit, counted_limit, endpoint_order, lone_limit,
     },
     ids::Name,
   },
@@ -408,8 +408,8 @@
     self.boxes[at].limits.note_told(&id, born_ms, heard)
   }
 
-  fn life(&self) -> EndpointLife {
-    EndpointLife::of(&self.entry.id, self.entry.born_ms)
+  fn life(&self) -> EndpointIncarnation {
+    EndpointIncarnation::of(&self.entry.id, self.entry.born_ms)
   }
 
   fn give_out(&mut self, at: usize, wish: &PermitRequest) -> PermitVerdict {
--- a/emulator/src/quarantine/engine.rs
+++ b/emulator/src/quarantine/engine.rs
@@ -1,6 +1,6 @@
 //! An engine of a replay of crashes.
 
-use rillford::gateway::EndpointLife;
+use rillford::gateway::EndpointIncarnation;
 
 /// One engine.
 #[derive(Clone, Debug, Default)]
@@ -13,7 +13,7 @@
 }
 
 impl Engine {
-  pub(super) fn life(&self, number: usize) -> EndpointLife {
-    EndpointLife::of(&format!("engine-{number}"), Some(self.born))
+  pub(super) fn life(&self, number: usize) -> EndpointIncarnation {
+    EndpointIncarnation::of(&format!("engine-{number}"), Some(self.born))
   }
 }
--- a/src/decide/endpoint.rs
+++ b/src/decide/endpoint.rs
@@ -72,12 +72,12 @@
 
 /// The life of an endpoint: unseen, live, suspect, leaving.
 #[derive(Clone, Debug, Default)]
-pub struct EndpointLife {
+pub struct EndpointIncarnation {
   incarnation: u64,
 }
 
 #[state_machine(initial = "State::unseen()", state(derive(Clone, Debug, PartialEq)))]
-impl EndpointLife {
+impl EndpointIncarnation {
   #[state]
   fn unseen(&mut self, event: &Sign) -> Outcome<State> {
     self.usual(event)
@@ -114,7 +114,7 @@
   }
 }
 
-impl EndpointLife {
+impl EndpointIncarnation {
   fn usual(&mut self, event: &Sign) -> Outcome<State> {
     match event {
       Sign::Reported { incarnation, .. } if *incarnation < self.incarnation => Handled,
@@ -170,7 +170,7 @@
   pub failures_in_a_row: u32,
   /// Own attempts that hold a seat here.
   pub own_seats: u32,
-  life: InitializedStateMachine<EndpointLife>,
+  life: InitializedStateMachine<EndpointIncarnation>,
   report: LoadReport,
   sent: VecDeque<Sent>,
 }
@@ -196,7 +196,9 @@
       failures_in_a_row: 0,
       heard_ms: 0,
       incarnation: 0,
-      life: EndpointLife::default().uninitialized_state_machine().init(),
+      life: EndpointIncarnation::default()
+        .uninitialized_state_machine()
+        .init(),
       own_seats: 0,
       paused_until_ms: 0,
       refused_until_ms: 0,
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -40,7 +40,7 @@
   arrival::{Arrival, ModelWork, ServiceWork, Work},
   configuration_view::{ConfigurationView, OrganisationLimits},
   ending::{Doubt, Ending, Refusal},
-  endpoint::{Endpoint, EndpointKind, EndpointLife, EndpointSpec, Sign},
+  endpoint::{Endpoint, EndpointIncarnation, EndpointKind, EndpointSpec, Sign},
   event::{
     Began, BoxEntry, CancelAnswer, ClaimOutcome, Event, HeldAttempt, LoadReport, Role,
     StageOutcome, StageReport,
--- a/src/gateway/decisions/endpoint_life.rs
+++ b/src/gateway/decisions/endpoint_incarnation.rs
@@ -8,15 +8,15 @@
 /// One life of an endpoint: it may start again under the id that it had.
 ///
 /// ```
-/// use rillford::gateway::EndpointLife;
-/// let first = EndpointLife::of("e-1", Some(1_000));
-/// assert_ne!(first, EndpointLife::of("e-1", Some(2_000)));
-/// assert_eq!(EndpointLife::parse(&first.key()), Some(first));
+/// use rillford::gateway::EndpointIncarnation;
+/// let first = EndpointIncarnation::of("e-1", Some(1_000));
+/// assert_ne!(first, EndpointIncarnation::of("e-1", Some(2_000)));
+/// assert_eq!(EndpointIncarnation::parse(&first.key()), Some(first));
 /// ```
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct EndpointLife(u64);
+pub struct EndpointIncarnation(u64);
 
-impl EndpointLife {
+impl EndpointIncarnation {
   /// The life of an endpoint that started at a time; without one, all its lives are the same.
   pub fn of(id: &str, born_ms: Option<u64>) -> Self {
     let mut hasher = Sha256::new();
--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -10,7 +10,7 @@
 mod cold_endpoints;
 mod drained_halls;
 mod endpoint_counts;
-mod endpoint_life;
+mod endpoint_incarnation;
 mod endpoint_limit;
 mod endpoint_limits;
 mod endpoint_order;
@@ -52,7 +52,7 @@
   cold_endpoints::{ColdEndpoints, ColdSpan},
   drained_halls::{DrainedHalls, HallDrainChange},
   endpoint_counts::EndpointCounts,
-  endpoint_life::EndpointLife,
+  endpoint_incarnation::EndpointIncarnation,
   endpoint_limit::{ALONE_BOXES, counted_limit, lone_limit},
   endpoint_limits::EndpointLimits,
   endpoint_order::endpoint_order,
--- a/src/gateway/decisions/permit_table.rs
+++ b/src/gateway/decisions/permit_table.rs
@@ -2,7 +2,7 @@
 
 use {
   super::{
-    endpoint_life::EndpointLife,
+    endpoint_incarnation::EndpointIncarnation,
     permit_account::{PermitAccount, PermitRequest, PermitVerdict},
   },
   crate::gateway::edge::UseLimit,
@@ -15,14 +15,14 @@
 /// Accounts by endpoint's life.
 #[derive(Clone, Debug, Default)]
 pub struct PermitTable {
-  accounts: HashMap<EndpointLife, PermitAccount>,
+  accounts: HashMap<EndpointIncarnation, PermitAccount>,
 }
 
 impl PermitTable {
   /// Gives out permits at a life of an endpoint within a limit, or says when to ask again.
   pub fn ask(
     &mut self,
-    life: EndpointLife,
+    life: EndpointIncarnation,
     limit: UseLimit,
     permit_request: &PermitRequest,
     now_ms: u64,
@@ -36,7 +36,7 @@
   }
 
   /// Permits that are left at a life of an endpoint; nothing where none were asked for lately.
-  pub fn left(&mut self, life: EndpointLife, now_ms: u64) -> Option<f64> {
+  pub fn left(&mut self, life: EndpointIncarnation, now_ms: u64) -> Option<f64> {
     self
       .accounts
       .get_mut(&life)
--- a/src/gateway/decisions/quarantine_key.rs
+++ b/src/gateway/decisions/quarantine_key.rs
@@ -1,7 +1,7 @@
 //! One thing that is known of a request that ends endpoints, as boxes share it. Free of I/O.
 
 use {
-  super::{endpoint_life::EndpointLife, fingerprint::Fingerprint},
+  super::{endpoint_incarnation::EndpointIncarnation, fingerprint::Fingerprint},
   crate::ids::Name,
 };
 
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum QuarantineMark {
   /// A life of an endpoint ended while it had the request.
-  Crashed(EndpointLife),
+  Crashed(EndpointIncarnation),
   /// A box took the trial with this number, from 1.
   Probe(u32),
 }
@@ -47,7 +47,7 @@
   pub fn parse(text: &str) -> Option<Self> {
     let (fingerprint, mark) = text.split_once('/')?;
     let mark = match mark.split_once('-')? {
-      ("ended", life) => QuarantineMark::Crashed(EndpointLife::parse(life)?),
+      ("ended", life) => QuarantineMark::Crashed(EndpointIncarnation::parse(life)?),
       ("trial", number) => QuarantineMark::Probe(number.parse().ok()?),
       _ => return None,
     };
--- a/src/gateway/decisions/quarantine_registry.rs
+++ b/src/gateway/decisions/quarantine_registry.rs
@@ -13,7 +13,7 @@
 
 use {
   super::{
-    endpoint_life::EndpointLife,
+    endpoint_incarnation::EndpointIncarnation,
     fingerprint::Fingerprint,
     quarantine_key::{QuarantineKey, QuarantineMark},
   },
@@ -54,7 +54,7 @@
 /// What is known of one request, each with the time since when it stands.
 #[derive(Clone, Debug, Default)]
 struct Case {
-  ended: BTreeMap<EndpointLife, u64>,
+  ended: BTreeMap<EndpointIncarnation, u64>,
   trials: BTreeMap<u32, u64>,
 }
 
@@ -104,7 +104,7 @@
 ///
 /// ```
 /// use rillford::gateway::{
-///   EndpointLife, Fingerprint, QuarantineRegistry, QuarantineKey, QuarantineMark, QuarantineVerdict, RequestIdentity,
+///   EndpointIncarnation, Fingerprint, QuarantineRegistry, QuarantineKey, QuarantineMark, QuarantineVerdict, RequestIdentity,
 /// };
 /// let fingerprint = Fingerprint::of(RequestIdentity {
 ///   body: b"prompt", host: "lectures.example", method: "POST", organisation: None, path: "/a/1",
@@ -112,7 +112,7 @@
 /// let mut book = QuarantineRegistry::default();
 /// for born_ms in [1, 2, 3] {
 ///   assert_eq!(book.verdict(fingerprint, 0), QuarantineVerdict::Allowed);
-///   let mark = QuarantineMark::Crashed(EndpointLife::of("e-1", Some(born_ms)));
+///   let mark = QuarantineMark::Crashed(EndpointIncarnation::of("e-1", Some(born_ms)));
 ///   book.note(QuarantineKey { fingerprint, mark }, 0);
 /// }
 /// assert_eq!(book.verdict(fingerprint, 0), QuarantineVerdict::Probe { number: 1 });
@@ -182,7 +182,7 @@
   }
 
   /// Since when a life of an endpoint is known to have ended with a request.
-  pub fn ended_since_ms(&self, fingerprint: Fingerprint, life: EndpointLife) -> Option<u64> {
+  pub fn ended_since_ms(&self, fingerprint: Fingerprint, life: EndpointIncarnation) -> Option<u64> {
     self.cases.get(&fingerprint)?.ended.get(&life).copied()
   }
 
--- a/src/gateway/permits/figures.rs
+++ b/src/gateway/permits/figures.rs
@@ -2,7 +2,7 @@
 
 use {
   crate::gateway::{
-    decisions::{AdvertisedLimit, EndpointLife},
+    decisions::{AdvertisedLimit, EndpointIncarnation},
     state::Gateway,
   },
   crate::ids::Name,
@@ -52,6 +52,6 @@
 /// The permits that are left at an endpoint, on the box that counts.
 fn permits_left(gateway: &Gateway, id: &str, now_ms: u64) -> Option<f64> {
   let born_ms = gateway.book.borrow().entry(id)?.born_ms;
-  let life = EndpointLife::of(id, born_ms);
+  let life = EndpointIncarnation::of(id, born_ms);
   gateway.permit_book.borrow_mut().left(life, now_ms)
 }
--- a/src/gateway/permits/messages.rs
+++ b/src/gateway/permits/messages.rs
@@ -6,7 +6,9 @@
     CallError, HttpClient,
     gateway::{
       connections::{message_answer, read_message, send_message, status_answer},
-      decisions::{EndpointLife, PermitRequest, PermitVerdict, counted_limit, endpoint_order},
+      decisions::{
+        EndpointIncarnation, PermitRequest, PermitVerdict, counted_limit, endpoint_order,
+      },
       state::Gateway,
     },
     ids::Name,
@@ -108,7 +110,7 @@
     told: named.map(|named| ToldLimit::new(named, now_ms)),
     verdict: give_out(
       gateway,
-      EndpointLife::of(id, born_ms),
+      EndpointIncarnation::of(id, born_ms),
       per_s,
       &permit_request,
     ),
@@ -118,7 +120,7 @@
 /// Gives out permits as the box that counts; without a limit as many as are wanted.
 pub(super) fn give_out(
   gateway: &Gateway,
-  life: EndpointLife,
+  life: EndpointIncarnation,
   per_s: Option<f64>,
   permit_request: &PermitRequest,
 ) -> PermitVerdict {
--- a/src/gateway/permits/taking.rs
+++ b/src/gateway/permits/taking.rs
@@ -9,7 +9,7 @@
   crate::{
     gateway::{
       decisions::{
-        ALONE_BOXES, AdvertisedLimit, EndpointLife, LocalPermitVerdict, PermitRequest,
+        ALONE_BOXES, AdvertisedLimit, EndpointIncarnation, LocalPermitVerdict, PermitRequest,
         PermitVerdict, Unavailable, endpoint_order, lone_limit,
       },
       edge::EndpointEntry,
@@ -135,7 +135,7 @@
   heard: AdvertisedLimit,
   permit_request: &PermitRequest,
 ) -> (PermitVerdict, DecidedBy) {
-  let life = EndpointLife::of(&entry.id, entry.born_ms);
+  let life = EndpointIncarnation::of(&entry.id, entry.born_ms);
   let order = endpoint_order(
     &gateway.boxes.borrow(),
     &entry.id,
@@ -220,7 +220,7 @@
 /// knows how many they are.
 fn decide_alone(
   gateway: &Gateway,
-  life: EndpointLife,
+  life: EndpointIncarnation,
   heard: AdvertisedLimit,
   permit_request: &PermitRequest,
   order: &[(Name, SocketAddr)],
--- a/src/gateway/quarantine/endpoint_end.rs
+++ b/src/gateway/quarantine/endpoint_end.rs
@@ -3,7 +3,9 @@
 use {
   super::vetting::share,
   crate::gateway::{
-    decisions::{EndpointLife, Fingerprint, QuarantineKey, QuarantineMark, QuarantineStrategy},
+    decisions::{
+      EndpointIncarnation, Fingerprint, QuarantineKey, QuarantineMark, QuarantineStrategy,
+    },
     edge::EndpointEntry,
     parts::RoutedRequest,
     state::Gateway,
@@ -95,8 +97,8 @@
   chosen: &EndpointEntry,
   fingerprint: Fingerprint,
   sent_ms: u64,
-) -> EndpointLife {
-  let life = EndpointLife::of(&chosen.id, chosen.born_ms);
+) -> EndpointIncarnation {
+  let life = EndpointIncarnation::of(&chosen.id, chosen.born_ms);
   let ended_ms = gateway
     .quarantine
     .book
@@ -113,7 +115,7 @@
       .entry(&chosen.id)
       .and_then(|now| now.born_ms);
     if born_ms.is_some() && born_ms != chosen.born_ms {
-      return EndpointLife::of(&chosen.id, born_ms);
+      return EndpointIncarnation::of(&chosen.id, born_ms);
     }
     if gateway.now_ms() >= until_ms {
       return life;
@@ -123,7 +125,7 @@
 }
 
 /// Notes that a life of an endpoint ended with a request.
-fn note_end(gateway: &Gateway, fingerprint: Fingerprint, life: EndpointLife) {
+fn note_end(gateway: &Gateway, fingerprint: Fingerprint, life: EndpointIncarnation) {
   let key = QuarantineKey {
     fingerprint,
     mark: QuarantineMark::Crashed(life),
--- a/tests/gateway/cold_endpoints.rs
+++ b/tests/gateway/cold_endpoints.rs
@@ -10,7 +10,7 @@
   rand::{RngExt, SeedableRng},
   rand_chacha::ChaCha8Rng,
   rillford::gateway::{
-    AdvertisedLimit, ColdSpan, EndpointEntry, EndpointLife, EndpointLimits, LimitSource,
+    AdvertisedLimit, ColdSpan, EndpointEntry, EndpointIncarnation, EndpointLimits, LimitSource,
     LocalPermitVerdict, NamedLimit, PermitRequest, PermitTable, PermitVerdict, counted_limit,
   },
   rstest::rstest,
@@ -265,7 +265,7 @@
 fn replay_cold_endpoint(boxes: usize) -> (Vec<u64>, usize) {
   const WANTED_PER_S: f64 = 200.0;
   let entry = entry();
-  let life = EndpointLife::of(&entry.id, entry.born_ms);
+  let life = EndpointIncarnation::of(&entry.id, entry.born_ms);
   let mut random = ChaCha8Rng::seed_from_u64(boxes as u64);
   let mut counting = PermitTable::default();
   let mut fleet: Vec<ReplayBox> = (0..boxes)
--- a/tests/gateway/quarantine.rs
+++ b/tests/gateway/quarantine.rs
@@ -4,7 +4,7 @@
   emulator::quarantine::{CrashFleet, CrashPattern, replay_crashes},
   proptest::prelude::*,
   rillford::gateway::{
-    EndpointLife, Fingerprint, QuarantineKey, QuarantineMark, QuarantineRegistry,
+    EndpointIncarnation, Fingerprint, QuarantineKey, QuarantineMark, QuarantineRegistry,
     QuarantineStrategy, QuarantineVerdict, RequestIdentity,
   },
   rstest::rstest,
@@ -29,7 +29,7 @@
 fn ended(request: u64, engine: &str, born_ms: u64) -> QuarantineKey {
   QuarantineKey {
     fingerprint: fingerprint(request),
-    mark: QuarantineMark::Crashed(EndpointLife::of(engine, Some(born_ms))),
+    mark: QuarantineMark::Crashed(EndpointIncarnation::of(engine, Some(born_ms))),
   }
 }
 
