--- a/emulator/src/load/replay.rs
+++ b/emulator/src/load/replay.rs
@@ -11,7 +11,7 @@
   rand_chacha::ChaCha8Rng,
   rillford::{
     decide::Role,
-    gateway::{AllowedHalls, EndpointEntry, EndpointRegistry, PartEnd, ToldLoad, Wanted},
+    gateway::{AllowedHalls, AttemptOutcome, EndpointEntry, EndpointRegistry, ToldLoad, Wanted},
     ids::Name,
   },
 };
@@ -50,7 +50,7 @@
   Ends {
     request: Request,
     engine: usize,
-    end: PartEnd,
+    end: AttemptOutcome,
   },
   /// A stream is whole.
   StreamEnds { at_box: usize, engine: usize },
@@ -164,7 +164,7 @@
       } => self.end(now_ms, request, engine, end),
       Event::StreamEnds { at_box, engine } => {
         self.running[engine] -= 1;
-        let end = PartEnd::Answered { took_ms: HEAD_MS };
+        let end = AttemptOutcome::Answered { took_ms: HEAD_MS };
         self.book_end(now_ms, at_box, engine, end);
       }
       Event::BoxesStart => self.books = new_books(),
@@ -225,38 +225,40 @@
   }
 
   /// What an engine does with a send, and how long that takes.
-  fn fate(&mut self, now_ms: u64, at_box: usize, engine: usize) -> (PartEnd, u64) {
+  fn fate(&mut self, now_ms: u64, at_box: usize, engine: usize) -> (AttemptOutcome, u64) {
     let (from, to) = (hall_of(at_box), hall_of(engine));
     let state = self.pattern.engine(engine, now_ms);
     if state == EngineState::Gone || !self.pattern.are_connected(from, to, now_ms) {
-      return (PartEnd::Unreachable, CONNECT_MS);
+      return (AttemptOutcome::Unreachable, CONNECT_MS);
     }
     if self.running[engine] >= SEATS {
-      return (PartEnd::Full, REFUSAL_MS);
+      return (AttemptOutcome::Full, REFUSAL_MS);
     }
     match state {
-      EngineState::Loses(share) if self.random.random::<f64>() < share => (PartEnd::Lost, HEAD_MS),
+      EngineState::Loses(share) if self.random.random::<f64>() < share => {
+        (AttemptOutcome::Lost, HEAD_MS)
+      }
       _ => {
         self.running[engine] += 1;
-        (PartEnd::Answered { took_ms: HEAD_MS }, HEAD_MS)
+        (AttemptOutcome::Answered { took_ms: HEAD_MS }, HEAD_MS)
       }
     }
   }
 
   /// A send has ended: the stream runs, or another engine is tried.
-  fn end(&mut self, now_ms: u64, mut request: Request, engine: usize, end: PartEnd) {
+  fn end(&mut self, now_ms: u64, mut request: Request, engine: usize, end: AttemptOutcome) {
     let counted = u32::from(request.counts);
     match end {
-      PartEnd::Answered { .. } => return self.stream(now_ms, &request, engine),
-      PartEnd::Full => {
+      AttemptOutcome::Answered { .. } => return self.stream(now_ms, &request, engine),
+      AttemptOutcome::Full => {
         self.figures.refused_sends += counted;
         request.refusals += 1;
       }
-      PartEnd::Unreachable => {
+      AttemptOutcome::Unreachable => {
         self.figures.unreached_sends += counted;
         request.refusals += 1;
       }
-      PartEnd::Dropped | PartEnd::Failed | PartEnd::Lost => {
+      AttemptOutcome::Cancelled | AttemptOutcome::Failed | AttemptOutcome::Lost => {
         self.figures.lost_sends += counted;
         request.losses += 1;
       }
@@ -285,10 +287,12 @@
   }
 
   /// The box's book learns how a send ended, as far as the variant heeds it.
-  fn book_end(&mut self, now_ms: u64, at_box: usize, engine: usize, end: PartEnd) {
+  fn book_end(&mut self, now_ms: u64, at_box: usize, engine: usize, end: AttemptOutcome) {
     let noted = match end {
-      PartEnd::Lost | PartEnd::Unreachable if !self.variant.heeds_losses => PartEnd::Dropped,
-      PartEnd::Unreachable if !self.variant.notices_cut_halls => PartEnd::Lost,
+      AttemptOutcome::Lost | AttemptOutcome::Unreachable if !self.variant.heeds_losses => {
+        AttemptOutcome::Cancelled
+      }
+      AttemptOutcome::Unreachable if !self.variant.notices_cut_halls => AttemptOutcome::Lost,
       end => end,
     };
     let book = &mut self.books[at_box];
--- a/emulator/src/notices/replay.rs
+++ b/emulator/src/notices/replay.rs
@@ -14,8 +14,8 @@
   rand_chacha::ChaCha8Rng,
   rillford::{
     gateway::{
-      AllowedHalls, EndpointEntry, EndpointNotice, EndpointRegistry, NamedLimit, NoticeChange,
-      PartEnd, RetryAllowance, RetryWindow, Wanted, kept_pause_ms, retry_after_pause_ms,
+      AllowedHalls, AttemptOutcome, EndpointEntry, EndpointNotice, EndpointRegistry, NamedLimit,
+      NoticeChange, RetryAllowance, RetryWindow, Wanted, kept_pause_ms, retry_after_pause_ms,
     },
     ids::Name,
   },
@@ -322,9 +322,9 @@
     self.hear(at, endpoint, reply.notice, now_ms);
     let book = &mut self.boxes[at].book;
     let end = match reply.kind {
-      ReplyKind::Done => PartEnd::Answered { took_ms },
-      ReplyKind::TurnedAway => PartEnd::Full,
-      ReplyKind::Refused | ReplyKind::Lost => PartEnd::Lost,
+      ReplyKind::Done => AttemptOutcome::Answered { took_ms },
+      ReplyKind::TurnedAway => AttemptOutcome::Full,
+      ReplyKind::Refused | ReplyKind::Lost => AttemptOutcome::Lost,
     };
     book.ended(&id, 1, 1, end, now_ms);
     match reply.kind {
--- a/src/gateway/decisions/choice.rs
+++ b/src/gateway/decisions/choice.rs
@@ -50,7 +50,7 @@
 
 /// How an endpoint's part of the work ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum PartEnd {
+pub enum AttemptOutcome {
   /// It answered.
   Answered {
     /// From sending to the answer, or to its first part.
@@ -65,5 +65,5 @@
   /// It refused a connection, fell silent or broke off.
   Lost,
   /// This box no longer wanted the answer.
-  Dropped,
+  Cancelled,
 }
--- a/src/gateway/decisions/endpoint_registry.rs
+++ b/src/gateway/decisions/endpoint_registry.rs
@@ -3,7 +3,7 @@
 use {
   super::{
     advertised_limits::LimitChange,
-    choice::{Choice, PartEnd, Wanted},
+    choice::{AttemptOutcome, Choice, Wanted},
     drained_halls::DrainedHalls,
     endpoint_counts::EndpointCounts,
     endpoint_limits::EndpointLimits,
@@ -273,7 +273,7 @@
   }
 
   /// Work of a size ended; `units` is what the time until its answer is measured by.
-  pub fn ended(&mut self, id: &str, size: u64, units: u64, end: PartEnd, now_ms: u64) {
+  pub fn ended(&mut self, id: &str, size: u64, units: u64, end: AttemptOutcome, now_ms: u64) {
     let Some(known) = self.known.get_mut(id) else {
       return;
     };
--- a/src/gateway/decisions/hall_reach.rs
+++ b/src/gateway/decisions/hall_reach.rs
@@ -1,6 +1,6 @@
 //! Whether a data hall seems to be cut off from this box.
 
-use {super::choice::PartEnd, crate::ids::Name, std::collections::HashSet};
+use {super::choice::AttemptOutcome, crate::ids::Name, std::collections::HashSet};
 
 /// So many endpoints of a hall without any answer mean that the hall is cut off.
 const CUT_ENDPOINTS: usize = 2;
@@ -17,14 +17,16 @@
 }
 
 impl HallReach {
-  pub(super) fn note(&mut self, endpoint: &Name, end: PartEnd, now_ms: u64) {
+  pub(super) fn note(&mut self, endpoint: &Name, end: AttemptOutcome, now_ms: u64) {
     match end {
-      PartEnd::Answered { .. } | PartEnd::Failed | PartEnd::Full => self.unreachable.clear(),
-      PartEnd::Unreachable => {
+      AttemptOutcome::Answered { .. } | AttemptOutcome::Failed | AttemptOutcome::Full => {
+        self.unreachable.clear()
+      }
+      AttemptOutcome::Unreachable => {
         self.unreachable.insert(endpoint.clone());
         self.noted_ms = now_ms;
       }
-      PartEnd::Lost | PartEnd::Dropped => {}
+      AttemptOutcome::Lost | AttemptOutcome::Cancelled => {}
     }
   }
 
--- a/src/gateway/decisions/known_endpoint.rs
+++ b/src/gateway/decisions/known_endpoint.rs
@@ -1,7 +1,7 @@
 //! What a box knows of one endpoint, from its own requests there.
 
 use {
-  super::choice::{PartEnd, Wanted},
+  super::choice::{AttemptOutcome, Wanted},
   crate::gateway::edge::EndpointEntry,
 };
 
@@ -81,22 +81,22 @@
     self.lost_in_row > 0
   }
 
-  pub(super) fn note_end(&mut self, units: u64, end: PartEnd, now_ms: u64) {
+  pub(super) fn note_end(&mut self, units: u64, end: AttemptOutcome, now_ms: u64) {
     match end {
-      PartEnd::Answered { took_ms } => {
+      AttemptOutcome::Answered { took_ms } => {
         self.lost_in_row = 0;
         self.note_failure_share(false);
         let pace_ms = took_ms as f64 / units.max(1) as f64;
         let before = self.pace_ms.unwrap_or(pace_ms);
         self.pace_ms = Some(before + NEWEST_WEIGHT * (pace_ms - before));
       }
-      PartEnd::Failed => self.note_failure_share(true),
-      PartEnd::Full => self.avoid_until_ms = self.avoid_until_ms.max(now_ms + FULL_AVOID_MS),
-      PartEnd::Lost | PartEnd::Unreachable => {
+      AttemptOutcome::Failed => self.note_failure_share(true),
+      AttemptOutcome::Full => self.avoid_until_ms = self.avoid_until_ms.max(now_ms + FULL_AVOID_MS),
+      AttemptOutcome::Lost | AttemptOutcome::Unreachable => {
         self.note_failure_share(true);
         self.lost(now_ms);
       }
-      PartEnd::Dropped => {}
+      AttemptOutcome::Cancelled => {}
     }
   }
 
--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -48,7 +48,7 @@
   advertised_limits::{AdvertisedLimit, AdvertisedLimits, LimitChange, LimitSource},
   allowed_halls::AllowedHalls,
   box_list::{BoxEntry, BoxList},
-  choice::{Choice, PartEnd, Wanted},
+  choice::{AttemptOutcome, Choice, Wanted},
   cold_endpoints::{ColdEndpoints, ColdSpan},
   drained_halls::{DrainedHalls, HallDrainChange},
   endpoint_counts::EndpointCounts,
--- a/src/gateway/parts/engine_call.rs
+++ b/src/gateway/parts/engine_call.rs
@@ -7,7 +7,7 @@
   },
   crate::{
     gateway::{
-      decisions::{PartEnd, Unavailable},
+      decisions::{AttemptOutcome, Unavailable},
       edge::{EndpointCall, EndpointEntry, Export},
       permits::{Permit, return_permit},
       state::Gateway,
@@ -50,12 +50,12 @@
 
 impl CallFailure {
   /// How the work asked for ended, for the endpoint book.
-  pub(crate) fn part_end(&self) -> PartEnd {
+  pub(crate) fn part_end(&self) -> AttemptOutcome {
     match self {
-      Self::Refused(_) => PartEnd::Full,
-      Self::TimedOut => PartEnd::Unreachable,
-      Self::Unavailable(_) => PartEnd::Dropped,
-      Self::Lost(_) => PartEnd::Lost,
+      Self::Refused(_) => AttemptOutcome::Full,
+      Self::TimedOut => AttemptOutcome::Unreachable,
+      Self::Unavailable(_) => AttemptOutcome::Cancelled,
+      Self::Lost(_) => AttemptOutcome::Lost,
     }
   }
 }
--- a/src/gateway/parts/part.rs
+++ b/src/gateway/parts/part.rs
@@ -9,7 +9,7 @@
   crate::{
     gateway::{
       connections::{Connection, SendError, remove_connection_headers},
-      decisions::{PartEnd, Unavailable},
+      decisions::{AttemptOutcome, Unavailable},
       edge::{AnswerFacts, EndpointEntry, Marks},
       permits::{Permit, return_permit, take_permit},
       state::Gateway,
@@ -92,7 +92,7 @@
   size: u64,
   units: u64,
   sent_ms: u64,
-  end: PartEnd,
+  end: AttemptOutcome,
 }
 
 impl Booking {
@@ -100,7 +100,7 @@
   pub(crate) fn new(gateway: &Rc<Gateway>, endpoint: &Name, size: u64, units: u64) -> Self {
     gateway.book.borrow_mut().sent(endpoint, size);
     Self {
-      end: PartEnd::Dropped,
+      end: AttemptOutcome::Cancelled,
       endpoint: endpoint.clone(),
       gateway: gateway.clone(),
       sent_ms: gateway.now_ms(),
@@ -110,22 +110,24 @@
   }
 
   /// Says how the part ended; booked when this is dropped.
-  pub(crate) fn settle(&mut self, end: PartEnd) {
+  pub(crate) fn settle(&mut self, end: AttemptOutcome) {
     self.end = end;
   }
 
   /// The answer is there, or its first part, as late as now.
   pub(crate) fn answered(&mut self) {
     let took_ms = self.gateway.now_ms() - self.sent_ms;
-    self.end = PartEnd::Answered { took_ms };
+    self.end = AttemptOutcome::Answered { took_ms };
   }
 
   fn settle_error(&mut self, error: &PartError) {
     self.end = match error {
-      PartError::Unreachable => PartEnd::Unreachable,
-      PartError::NotRun(MISDIRECTED) | PartError::Unsent(_) | PartError::Lost(_) => PartEnd::Lost,
-      PartError::Barred | PartError::Unavailable(_) => PartEnd::Dropped,
-      PartError::NotRun(_) => PartEnd::Full,
+      PartError::Unreachable => AttemptOutcome::Unreachable,
+      PartError::NotRun(MISDIRECTED) | PartError::Unsent(_) | PartError::Lost(_) => {
+        AttemptOutcome::Lost
+      }
+      PartError::Barred | PartError::Unavailable(_) => AttemptOutcome::Cancelled,
+      PartError::NotRun(_) => AttemptOutcome::Full,
     };
   }
 }
@@ -175,12 +177,12 @@
     let body = match read {
       Ok(body) => body.to_bytes(),
       Err(error) => {
-        self.booking.settle(PartEnd::Lost);
+        self.booking.settle(AttemptOutcome::Lost);
         return Err(PartError::Lost(format!("answer broke off: {error}")));
       }
     };
     if self.status.is_server_error() {
-      self.booking.settle(PartEnd::Failed);
+      self.booking.settle(AttemptOutcome::Failed);
     } else {
       self.booking.answered();
     }
--- a/src/gateway/requests/event_source.rs
+++ b/src/gateway/requests/event_source.rs
@@ -8,7 +8,7 @@
     stream_send::SILENCE_MS,
   },
   crate::gateway::{
-    decisions::PartEnd,
+    decisions::AttemptOutcome,
     parts::{Head, PartError, RoutedRequest},
     quarantine::{LostPart, note_lost, note_whole},
     state::InFlight,
@@ -197,7 +197,7 @@
       self.stream.last_event_id
     );
     if let Some(mut head) = self.head.take() {
-      head.booking.settle(PartEnd::Lost);
+      head.booking.settle(AttemptOutcome::Lost);
       let lost = LostPart {
         entry: head.entry.clone(),
         error: error.clone(),
--- a/src/gateway/requests/seat.rs
+++ b/src/gateway/requests/seat.rs
@@ -4,7 +4,7 @@
   crate::{
     decide::Role,
     gateway::{
-      decisions::{PartEnd, SeatPlace, SeatUrgency, Wanted},
+      decisions::{AttemptOutcome, SeatPlace, SeatUrgency, Wanted},
       edge::EndpointEntry,
       parts::{Booking, CallFailure, Purpose, Reservation, RoutedRequest, call_engine},
       permits::{Permit, return_permit, take_permit},
@@ -206,7 +206,7 @@
           request.id(),
           entry.id
         );
-        booking.settle(PartEnd::Lost);
+        booking.settle(AttemptOutcome::Lost);
       }
     },
     Err(failure) => {
--- a/src/gateway/requests/stream_request.rs
+++ b/src/gateway/requests/stream_request.rs
@@ -4,7 +4,7 @@
   super::{prompt::read_prompt, resume_seat::reserve_resume_seat, seat::reserve_seat},
   crate::{
     gateway::{
-      decisions::{PartEnd, Wanted},
+      decisions::{AttemptOutcome, Wanted},
       edge::EndpointEntry,
       parts::{Head, KeptExport, PartError, Reservation, RoutedRequest},
       state::Gateway,
@@ -105,7 +105,7 @@
         Ok(head) if head.status.is_success() => PartError::Lost("success without a receipt".into()),
         Ok(mut head) if head.status.is_server_error() && self.has_attempts_left() => {
           self.gateway.counters.endpoint_failures.inc();
-          head.booking.settle(PartEnd::Failed);
+          head.booking.settle(AttemptOutcome::Failed);
           PartError::Lost(format!("status {}", head.status))
         }
         Ok(head) => return Err(NoStream::Answered(Box::new(head))),
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -10,8 +10,8 @@
     gateway::{
       connections::{Connection, ConnectionPool},
       decisions::{
-        BoxList, Choice, ColdSpan, EndpointCounts, EndpointRegistry, KeptPrompts, LocalUsage,
-        PartEnd, PermitTable, RetryWindow, SeatForecast, SeatQueue, Unavailable, UsageTable,
+        AttemptOutcome, BoxList, Choice, ColdSpan, EndpointCounts, EndpointRegistry, KeptPrompts,
+        LocalUsage, PermitTable, RetryWindow, SeatForecast, SeatQueue, Unavailable, UsageTable,
         Wanted, retry_after_pause_ms,
       },
       edge::{ColdStart, Dialect, EndpointEntry, RouteTable, StoreLease},
@@ -311,12 +311,12 @@
   }
 
   /// Books the end of an endpoint's part.
-  pub(crate) fn ended(&self, id: &str, size: u64, units: u64, end: PartEnd) {
+  pub(crate) fn ended(&self, id: &str, size: u64, units: u64, end: AttemptOutcome) {
     self
       .book
       .borrow_mut()
       .ended(id, size, units, end, self.now_ms());
-    if matches!(end, PartEnd::Lost | PartEnd::Unreachable) {
+    if matches!(end, AttemptOutcome::Lost | AttemptOutcome::Unreachable) {
       self.pool.close(id);
     }
   }
--- a/tests/gateway/choice.rs
+++ b/tests/gateway/choice.rs
@@ -4,7 +4,7 @@
   rillford::{
     decide::Role,
     gateway::{
-      AllowedHalls, EndpointEntry, EndpointRegistry, PartEnd, ToldLoad, Unavailable, Wanted,
+      AllowedHalls, AttemptOutcome, EndpointEntry, EndpointRegistry, ToldLoad, Unavailable, Wanted,
     },
   },
   rstest::rstest,
@@ -95,7 +95,7 @@
 fn lost_endpoint_is_left_alone_then_tried_with_what_may_be_repeated() {
   let mut book = book(&["a", "b"]);
   book.sent("a", 1);
-  book.ended("a", 1, 1, PartEnd::Lost, 0);
+  book.ended("a", 1, 1, AttemptOutcome::Lost, 0);
   book.sent("b", 1);
   assert_eq!(chosen(&book, wanted(), 100), "b");
   // The time has passed: a repeatable request tries it, another does not.
@@ -104,23 +104,23 @@
   // Only one at a time.
   book.sent("a", 1);
   assert_eq!(chosen(&book, wanted(), 800), "b");
-  book.ended("a", 1, 1, PartEnd::Answered { took_ms: 5 }, 900);
+  book.ended("a", 1, 1, AttemptOutcome::Answered { took_ms: 5 }, 900);
   assert_eq!(chosen(&book, unrepeatable(), 900), "a");
 }
 
 #[rstest]
-#[case(PartEnd::Failed, true)]
-#[case(PartEnd::Answered { took_ms: 60 }, false)]
+#[case(AttemptOutcome::Failed, true)]
+#[case(AttemptOutcome::Answered { took_ms: 60 }, false)]
 fn endpoint_that_fails_more_than_its_peers_is_chosen_less(
-  #[case] end: PartEnd,
+  #[case] end: AttemptOutcome,
   #[case] shunned: bool,
 ) {
   let mut book = book(&["a", "b", "c"]);
   for _ in 0..10 {
     for (id, end) in [
       ("a", end),
-      ("b", PartEnd::Answered { took_ms: 60 }),
-      ("c", PartEnd::Answered { took_ms: 60 }),
+      ("b", AttemptOutcome::Answered { took_ms: 60 }),
+      ("c", AttemptOutcome::Answered { took_ms: 60 }),
     ] {
       book.sent(id, 1);
       book.ended(id, 1, 1, end, 0);
@@ -207,7 +207,7 @@
   // Busy as it is, the endpoint that answers is better than a hall that does not.
   assert_eq!(chosen(&book, wanted(), 10), "n-1");
   book.sent("s-3", 1);
-  book.ended("s-3", 1, 1, PartEnd::Answered { took_ms: 5 }, 20);
+  book.ended("s-3", 1, 1, AttemptOutcome::Answered { took_ms: 5 }, 20);
   assert!(!book.is_cut("south", 30));
   assert_eq!(chosen(&book, wanted(), 30), "s-3");
 }
@@ -223,7 +223,13 @@
   assert_eq!(choice.expected_ms, None);
   assert_eq!(choice.share_beyond(1.0), 0.0);
   book.sent("a", 500);
-  book.ended("a", 500, 500, PartEnd::Answered { took_ms: 100 }, 100);
+  book.ended(
+    "a",
+    500,
+    500,
+    AttemptOutcome::Answered { took_ms: 100 },
+    100,
+  );
   // As much again is ahead of the next.
   book.sent("a", 500);
   let choice = book.choose(work, 100, || 0.5).unwrap();
