--- a/src/gateway/decisions/cold_endpoints.rs
+++ b/src/gateway/decisions/cold_endpoints.rs
@@ -10,7 +10,7 @@
 
 /// For how long an endpoint is cold, and what it carries until then.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdSpan {
+pub struct ColdPeriod {
   /// Requests a second of all boxes together.
   pub per_s: f64,
   /// When this was noted.
@@ -22,34 +22,34 @@
 /// The spans of endpoints that are cold, by id; that of an earlier life counts for nothing.
 ///
 /// ```
-/// use rillford::gateway::{ColdEndpoints, ColdSpan};
+/// use rillford::gateway::{ColdEndpoints, ColdPeriod};
 /// let mut cold = ColdEndpoints::default();
-/// cold.note(&"e-1".into(), Some(7), ColdSpan { per_s: 8.0, noted_ms: 0, until_ms: 3_000 });
+/// cold.note(&"e-1".into(), Some(7), ColdPeriod { per_s: 8.0, noted_ms: 0, until_ms: 3_000 });
 /// // A word that it is warm sooner may be older than the one that is known.
-/// cold.note(&"e-1".into(), Some(7), ColdSpan { per_s: 8.0, noted_ms: 100, until_ms: 200 });
+/// cold.note(&"e-1".into(), Some(7), ColdPeriod { per_s: 8.0, noted_ms: 100, until_ms: 200 });
 /// assert_eq!(cold.per_s("e-1", Some(7), 2_999), Some(8.0));
 /// assert_eq!(cold.per_s("e-1", Some(7), 3_000), None);
 /// assert_eq!(cold.per_s("e-1", Some(8), 0), None);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct ColdEndpoints {
-  spans: HashMap<Name, (Option<u64>, ColdSpan)>,
+  spans: HashMap<Name, (Option<u64>, ColdPeriod)>,
 }
 
 impl ColdEndpoints {
   /// Takes over that a life of an endpoint is cold. Of several spans the one that ends last counts.
-  pub fn note(&mut self, id: &Name, born_ms: Option<u64>, span: ColdSpan) {
+  pub fn note(&mut self, id: &Name, born_ms: Option<u64>, span: ColdPeriod) {
     let until_ms = span.until_ms.min(span.noted_ms + MOST_COLD_MS);
     let known = self.spans.get(id).filter(|(known, _)| *known == born_ms);
     if known.is_some_and(|(_, known)| until_ms <= known.until_ms) {
       return;
     }
-    let span = ColdSpan { until_ms, ..span };
+    let span = ColdPeriod { until_ms, ..span };
     self.spans.insert(id.clone(), (born_ms, span));
   }
 
   /// The span of a life that is cold at a time.
-  pub fn span(&self, id: &str, born_ms: Option<u64>, now_ms: u64) -> Option<ColdSpan> {
+  pub fn span(&self, id: &str, born_ms: Option<u64>, now_ms: u64) -> Option<ColdPeriod> {
     let (known, span) = self.spans.get(id)?;
     (*known == born_ms && now_ms < span.until_ms).then_some(*span)
   }
--- a/src/gateway/decisions/endpoint_limits.rs
+++ b/src/gateway/decisions/endpoint_limits.rs
@@ -4,7 +4,7 @@
 use {
   super::{
     advertised_limits::{AdvertisedLimit, AdvertisedLimits, LimitChange, LimitSource},
-    cold_endpoints::{ColdEndpoints, ColdSpan},
+    cold_endpoints::{ColdEndpoints, ColdPeriod},
     local_permits::LocalPermits,
   },
   crate::{
@@ -64,7 +64,7 @@
     let is_limit =
       |limit: &AdvertisedLimit| limit.per_s.is_some_and(|per_s| per_s < NO_LIMIT_PER_S);
     let named = self.words.heard_of(id, born_ms).filter(is_limit);
-    let cold = self.cold_span(id, born_ms, now_ms);
+    let cold = self.cold_period(id, born_ms, now_ms);
     let cold = cold.map(AdvertisedLimit::from);
     [named, cold].into_iter().flatten().min_by(|one, other| {
       one
@@ -74,12 +74,12 @@
   }
 
   /// The span in which a life of an endpoint is cold; nothing once it is warm.
-  pub fn cold_span(&self, id: &str, born_ms: Option<u64>, now_ms: u64) -> Option<ColdSpan> {
+  pub fn cold_period(&self, id: &str, born_ms: Option<u64>, now_ms: u64) -> Option<ColdPeriod> {
     self.cold.span(id, born_ms, now_ms)
   }
 
   /// Takes over that a life of an endpoint is cold.
-  pub fn note_cold(&mut self, id: &Name, born_ms: Option<u64>, span: ColdSpan) {
+  pub fn note_cold(&mut self, id: &Name, born_ms: Option<u64>, span: ColdPeriod) {
     if span.noted_ms < span.until_ms {
       self.cold.note(id, born_ms, span);
     }
@@ -152,8 +152,8 @@
   }
 }
 
-impl From<ColdSpan> for AdvertisedLimit {
-  fn from(span: ColdSpan) -> Self {
+impl From<ColdPeriod> for AdvertisedLimit {
+  fn from(span: ColdPeriod) -> Self {
     Self {
       heard_ms: span.noted_ms,
       per_s: Some(span.per_s),
--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -49,7 +49,7 @@
   allowed_halls::AllowedHalls,
   box_list::{BoxEntry, BoxList},
   choice::{AttemptOutcome, Choice, Wanted},
-  cold_endpoints::{ColdEndpoints, ColdSpan},
+  cold_endpoints::{ColdEndpoints, ColdPeriod},
   drained_halls::{DrainedHalls, HallDrainChange},
   endpoint_counts::EndpointCounts,
   endpoint_incarnation::EndpointIncarnation,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -28,7 +28,7 @@
   connections::remove_connection_headers,
   decisions::{
     ALONE_BOXES, AdvertisedLimit, AdvertisedLimits, AllowedHalls, AttemptOutcome, Availability,
-    BoxEntry, BoxList, Choice, ColdEndpoints, ColdSpan, DrainedHalls, EndpointCounts,
+    BoxEntry, BoxList, Choice, ColdEndpoints, ColdPeriod, DrainedHalls, EndpointCounts,
     EndpointIncarnation, EndpointLimits, EndpointRegistry, Fingerprint, HallDrainChange,
     KeptPrompts, LimitChange, LimitSource, LimitStrategy, LocalPermitVerdict, LocalPermits,
     LocalUsage, LocalVerdict, NoticeChange, NoticeTracker, PermitAccount, PermitRequest,
--- a/src/gateway/permits/cold_span_message.rs
+++ b/src/gateway/permits/cold_span_message.rs
@@ -1,7 +1,7 @@
 //! For how long an endpoint is cold, on its way between boxes.
 
 use {
-  crate::gateway::decisions::ColdSpan,
+  crate::gateway::decisions::ColdPeriod,
   serde::{Deserialize, Serialize},
 };
 
@@ -16,7 +16,7 @@
 
 impl ColdSpanMessage {
   /// A span that is known here.
-  pub(super) fn new(span: ColdSpan, now_ms: u64) -> Self {
+  pub(super) fn new(span: ColdPeriod, now_ms: u64) -> Self {
     Self {
       left_ms: span.until_ms.saturating_sub(now_ms),
       per_s: span.per_s,
@@ -24,8 +24,8 @@
   }
 
   /// It on the clock of the box that is told.
-  pub(super) fn span(self, now_ms: u64) -> ColdSpan {
-    ColdSpan {
+  pub(super) fn span(self, now_ms: u64) -> ColdPeriod {
+    ColdPeriod {
       noted_ms: now_ms,
       per_s: self.per_s.max(0.0),
       until_ms: now_ms.saturating_add(self.left_ms),
--- a/src/gateway/permits/taking.rs
+++ b/src/gateway/permits/taking.rs
@@ -180,7 +180,7 @@
     let limits = book.limits();
     (
       limits.heard(entry),
-      limits.cold_span(&entry.id, entry.born_ms, now_ms),
+      limits.cold_period(&entry.id, entry.born_ms, now_ms),
     )
   };
   let question = PermitQuestion {
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -10,7 +10,7 @@
     gateway::{
       connections::{Connection, ConnectionPool},
       decisions::{
-        AttemptOutcome, BoxList, Choice, ColdSpan, EndpointCounts, EndpointRegistry, KeptPrompts,
+        AttemptOutcome, BoxList, Choice, ColdPeriod, EndpointCounts, EndpointRegistry, KeptPrompts,
         LocalUsage, PermitTable, RetryWindow, SeatForecast, SeatQueue, Unavailable, UsageTable,
         Wanted, retry_after_pause_ms,
       },
@@ -266,7 +266,7 @@
       return;
     };
     let noted_ms = self.now_ms();
-    let span = ColdSpan {
+    let span = ColdPeriod {
       noted_ms,
       per_s: cold_start.per_s,
       until_ms: noted_ms.saturating_add(cold_ms),
--- a/tests/gateway/cold_endpoints.rs
+++ b/tests/gateway/cold_endpoints.rs
@@ -10,7 +10,7 @@
   rand::{RngExt, SeedableRng},
   rand_chacha::ChaCha8Rng,
   rillford::gateway::{
-    AdvertisedLimit, ColdSpan, EndpointEntry, EndpointIncarnation, EndpointLimits, LimitSource,
+    AdvertisedLimit, ColdPeriod, EndpointEntry, EndpointIncarnation, EndpointLimits, LimitSource,
     LocalPermitVerdict, NamedLimit, PermitRequest, PermitTable, PermitVerdict, counted_limit,
   },
   rstest::rstest,
@@ -242,8 +242,8 @@
   }
 }
 
-fn span(noted_ms: u64, until_ms: u64) -> ColdSpan {
-  ColdSpan {
+fn span(noted_ms: u64, until_ms: u64) -> ColdPeriod {
+  ColdPeriod {
     noted_ms,
     per_s: COLD_PER_S,
     until_ms,
