--- a/src/gateway/decisions/kept_prompts.rs
+++ b/src/gateway/decisions/cached_prompts.rs
@@ -11,9 +11,9 @@
 /// What the engines of one service keep.
 ///
 /// ```
-/// use rillford::gateway::{KeptPrompts, PromptPart};
+/// use rillford::gateway::{CachedPrompts, PromptPart};
 /// let part = |id: &str, tokens| PromptPart { id: id.into(), tokens };
-/// let mut kept = KeptPrompts::default();
+/// let mut kept = CachedPrompts::default();
 /// kept.begin(1_000);
 /// kept.add(&"e-1".into(), vec![part("5c", 200), part("9a", 900)]);
 /// kept.add(&"e-2".into(), vec![part("9a", 3_000)]);
@@ -22,13 +22,13 @@
 /// assert!(kept.is_fresh(2_000) && !kept.is_fresh(3_000));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct KeptPrompts {
+pub struct CachedPrompts {
   listed_ms: Option<u64>,
   /// Tokens by part, for each engine.
   by_engine: HashMap<Name, HashMap<Name, u64>>,
 }
 
-impl KeptPrompts {
+impl CachedPrompts {
   /// Whether the listing still says something.
   pub fn is_fresh(&self, now_ms: u64) -> bool {
     self
--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -6,6 +6,7 @@
 mod advertised_limits;
 mod allowed_halls;
 mod box_list;
+mod cached_prompts;
 mod choice;
 mod cold_endpoints;
 mod drained_halls;
@@ -18,7 +19,6 @@
 mod fingerprint;
 mod follower_list;
 mod hall_reach;
-mod kept_prompts;
 mod known_endpoint;
 mod limit_strategy;
 mod local_permits;
@@ -48,6 +48,7 @@
   advertised_limits::{AdvertisedLimit, AdvertisedLimits, LimitChange, LimitSource},
   allowed_halls::AllowedHalls,
   box_list::{BoxEntry, BoxList},
+  cached_prompts::CachedPrompts,
   choice::{AttemptOutcome, Choice, Wanted},
   cold_endpoints::{ColdEndpoints, ColdPeriod},
   drained_halls::{DrainedHalls, HallDrainChange},
@@ -58,7 +59,6 @@
   endpoint_order::endpoint_order,
   endpoint_registry::EndpointRegistry,
   fingerprint::{Fingerprint, RequestIdentity},
-  kept_prompts::KeptPrompts,
   limit_strategy::LimitStrategy,
   local_permits::{LocalPermitVerdict, LocalPermits},
   local_usage::{LocalUsage, LocalVerdict, UsageRequest},
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -28,9 +28,9 @@
   connections::remove_connection_headers,
   decisions::{
     ALONE_BOXES, AdvertisedLimit, AdvertisedLimits, AllowedHalls, AttemptOutcome, Availability,
-    BoxEntry, BoxList, Choice, ColdEndpoints, ColdPeriod, DrainedHalls, EndpointCounts,
-    EndpointIncarnation, EndpointLimits, EndpointRegistry, Fingerprint, HallDrainChange,
-    KeptPrompts, LimitChange, LimitSource, LimitStrategy, LocalPermitVerdict, LocalPermits,
+    BoxEntry, BoxList, CachedPrompts, Choice, ColdEndpoints, ColdPeriod, DrainedHalls,
+    EndpointCounts, EndpointIncarnation, EndpointLimits, EndpointRegistry, Fingerprint,
+    HallDrainChange, LimitChange, LimitSource, LimitStrategy, LocalPermitVerdict, LocalPermits,
     LocalUsage, LocalVerdict, NoticeChange, NoticeTracker, PermitAccount, PermitRequest,
     PermitTable, PermitVerdict, QuarantineKey, QuarantineMark, QuarantineRegistry,
     QuarantineStrategy, QuarantineVerdict, RecentEngines, ReportScope, RequestIdentity,
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -10,9 +10,9 @@
     gateway::{
       connections::{Connection, ConnectionPool},
       decisions::{
-        AttemptOutcome, BoxList, Choice, ColdPeriod, EndpointCounts, EndpointRegistry, KeptPrompts,
-        LocalUsage, PermitTable, RetryWindow, SeatForecast, SeatQueue, Unavailable, UsageTable,
-        Wanted, retry_after_pause_ms,
+        AttemptOutcome, BoxList, CachedPrompts, Choice, ColdPeriod, EndpointCounts,
+        EndpointRegistry, LocalUsage, PermitTable, RetryWindow, SeatForecast, SeatQueue,
+        Unavailable, UsageTable, Wanted, retry_after_pause_ms,
       },
       edge::{ColdStart, Dialect, EndpointEntry, RouteTable, StoreLease},
       settings::{GatewaySettings, RoutePolicy},
@@ -92,7 +92,7 @@
   /// Moving mean of the time from a seat to the first event.
   pub(crate) start_ms: Cell<Option<f64>>,
   /// What the engines of each service listed as kept.
-  kept_prompts: RefCell<HashMap<Name, Rc<Mutex<KeptPrompts>>>>,
+  kept_prompts: RefCell<HashMap<Name, Rc<Mutex<CachedPrompts>>>>,
   /// This box's lease in the store, and when it was last renewed.
   pub(crate) lease: Cell<Option<HeldLease>>,
   /// Organisations' use, as far as this box counts it.
@@ -391,7 +391,7 @@
   }
 
   /// What the engines of a service listed as kept; locked while they are asked.
-  pub(crate) fn kept_prompts(&self, service: &Name) -> Rc<Mutex<KeptPrompts>> {
+  pub(crate) fn kept_prompts(&self, service: &Name) -> Rc<Mutex<CachedPrompts>> {
     self
       .kept_prompts
       .borrow_mut()
