--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -37,8 +37,8 @@
 mod retry_pause;
 mod retry_window;
 mod role_plan;
-mod seat_forecast;
-mod seat_queue;
+mod slot_forecast;
+mod slot_queue;
 mod token_bucket;
 mod unavailable;
 mod usage_table;
@@ -74,8 +74,8 @@
   retry_pause::retry_pause_ms,
   retry_window::{RetryAllowance, RetryWindow},
   role_plan::{Surplus, surplus},
-  seat_forecast::SeatForecast,
-  seat_queue::{SeatPlace, SeatQueue, SeatUrgency},
+  slot_forecast::SlotForecast,
+  slot_queue::{QueuePosition, SlotQueue, SlotUrgency},
   token_bucket::TokenBucket,
   unavailable::Unavailable,
   usage_table::{ReportScope, UsageTable, UsageTotals},
--- a/src/gateway/decisions/seat_forecast.rs
+++ b/src/gateway/decisions/slot_forecast.rs
@@ -13,8 +13,8 @@
 /// The moving means of one box.
 ///
 /// ```
-/// use rillford::gateway::SeatForecast;
-/// let mut forecast = SeatForecast::default();
+/// use rillford::gateway::SlotForecast;
+/// let mut forecast = SlotForecast::default();
 /// assert!(forecast.has_chance(5, 400));
 /// for at_ms in [0, 500, 1_000, 1_500] {
 ///   forecast.note_seat(at_ms, true);
@@ -24,7 +24,7 @@
 /// assert!(!forecast.has_chance(5, 400));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct SeatForecast {
+pub struct SlotForecast {
   /// When a seat was last got, if requests have waited ever since.
   waited_since_ms: Option<u64>,
   /// Time between two seats while requests wait.
@@ -33,7 +33,7 @@
   stream_ms: Option<f64>,
 }
 
-impl SeatForecast {
+impl SlotForecast {
   /// A request got a seat; `others_wait` tells whether further ones look for one.
   pub fn note_seat(&mut self, now_ms: u64, others_wait: bool) {
     if let Some(since_ms) = self.waited_since_ms {
--- a/src/gateway/decisions/seat_queue.rs
+++ b/src/gateway/decisions/slot_queue.rs
@@ -4,17 +4,17 @@
 
 /// How a request stands in the queue; the first of these goes first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum SeatUrgency {
+pub enum SlotUrgency {
   /// Its caller has a part of the answer.
-  GoesOn,
+  Resumed,
   /// Its caller has nothing yet.
-  Begins,
+  New,
 }
 
 /// A request's place in the queue.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct SeatPlace {
-  urgency: SeatUrgency,
+pub struct QueuePosition {
+  urgency: SlotUrgency,
   /// 0 goes first.
   priority: u8,
   /// Places are numbered as they are taken.
@@ -24,29 +24,29 @@
 /// The requests of a box that look for a seat.
 ///
 /// ```
-/// use rillford::gateway::{SeatQueue, SeatUrgency};
-/// let mut queue = SeatQueue::default();
-/// let older = queue.join(SeatUrgency::Begins, 1);
-/// let newer = queue.join(SeatUrgency::Begins, 1);
-/// let going_on = queue.join(SeatUrgency::GoesOn, 2);
+/// use rillford::gateway::{SlotQueue, SlotUrgency};
+/// let mut queue = SlotQueue::default();
+/// let older = queue.join(SlotUrgency::New, 1);
+/// let newer = queue.join(SlotUrgency::New, 1);
+/// let going_on = queue.join(SlotUrgency::Resumed, 2);
 /// assert!(queue.is_first(going_on));
 /// queue.leave(going_on);
 /// assert!(queue.is_first(older) && !queue.is_first(newer));
 /// assert_eq!(queue.len(), 2);
-/// let more_urgent = queue.join(SeatUrgency::Begins, 0);
+/// let more_urgent = queue.join(SlotUrgency::New, 0);
 /// assert!(queue.is_first(more_urgent));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct SeatQueue {
-  places: BTreeSet<SeatPlace>,
+pub struct SlotQueue {
+  places: BTreeSet<QueuePosition>,
   joined: u64,
 }
 
-impl SeatQueue {
+impl SlotQueue {
   /// A request joins.
-  pub fn join(&mut self, urgency: SeatUrgency, priority: u8) -> SeatPlace {
+  pub fn join(&mut self, urgency: SlotUrgency, priority: u8) -> QueuePosition {
     self.joined += 1;
-    let place = SeatPlace {
+    let place = QueuePosition {
       number: self.joined,
       priority,
       urgency,
@@ -56,7 +56,7 @@
   }
 
   /// A request has its seat, or no longer wants one.
-  pub fn leave(&mut self, place: SeatPlace) {
+  pub fn leave(&mut self, place: QueuePosition) {
     self.places.remove(&place);
   }
 
@@ -71,7 +71,7 @@
   }
 
   /// Whether no other request goes first.
-  pub fn is_first(&self, place: SeatPlace) -> bool {
+  pub fn is_first(&self, place: QueuePosition) -> bool {
     self.places.first() == Some(&place)
   }
 }
--- a/src/gateway/requests/seat.rs
+++ b/src/gateway/requests/seat.rs
@@ -4,7 +4,7 @@
   crate::{
     decide::Role,
     gateway::{
-      decisions::{AttemptOutcome, SeatPlace, SeatUrgency, Wanted},
+      decisions::{AttemptOutcome, QueuePosition, SlotUrgency, Wanted},
       edge::EndpointEntry,
       parts::{Booking, CallFailure, Purpose, Reservation, RoutedRequest, call_engine},
       permits::{Permit, return_permit, take_permit},
@@ -32,7 +32,7 @@
 /// How long a request looks for a seat, and how it stands among the others.
 #[derive(Clone, Copy, Debug)]
 struct SeatWait {
-  urgency: SeatUrgency,
+  urgency: SlotUrgency,
   until_ms: u64,
 }
 
@@ -69,10 +69,10 @@
 fn has_chance(
   gateway: &Gateway,
   request: &RoutedRequest,
-  urgency: SeatUrgency,
+  urgency: SlotUrgency,
   within_ms: u64,
 ) -> bool {
-  if urgency == SeatUrgency::GoesOn || !gateway.settings.mechanisms.refusal_by_forecast {
+  if urgency == SlotUrgency::Resumed || !gateway.settings.mechanisms.refusal_by_forecast {
     return true;
   }
   let ahead = gateway.seat_queue.borrow().len();
@@ -93,7 +93,7 @@
   if !tried.is_empty() || request.facts.last_event_id.is_some() {
     return SeatWait {
       until_ms: gateway.now_ms() + GO_ON_WAIT_MS,
-      urgency: SeatUrgency::GoesOn,
+      urgency: SlotUrgency::Resumed,
     };
   }
   let target_ms = request.rank.target_ms as f64;
@@ -105,18 +105,18 @@
   let wait_ms = in_time_ms.max(target_ms * LEAST_WAIT_SHARE) as u64;
   SeatWait {
     until_ms: (request.arrived_ms + wait_ms).min(request.until_ms),
-    urgency: SeatUrgency::Begins,
+    urgency: SlotUrgency::New,
   }
 }
 
 /// A request in the queue; it leaves when this is dropped.
 struct QueuedRequest<'a> {
   gateway: &'a Gateway,
-  place: SeatPlace,
+  place: QueuePosition,
 }
 
 impl<'a> QueuedRequest<'a> {
-  fn new(gateway: &'a Gateway, urgency: SeatUrgency, priority: u8) -> Self {
+  fn new(gateway: &'a Gateway, urgency: SlotUrgency, priority: u8) -> Self {
     let place = gateway.seat_queue.borrow_mut().join(urgency, priority);
     Self { gateway, place }
   }
@@ -154,7 +154,7 @@
   gateway: &Rc<Gateway>,
   request: &RoutedRequest,
   tried: &[Name],
-  urgency: SeatUrgency,
+  urgency: SlotUrgency,
 ) -> Option<(EndpointEntry, Reservation)> {
   let queued = QueuedRequest::new(gateway, urgency, request.rank.priority);
   loop {
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -11,7 +11,7 @@
       connections::{Connection, ConnectionPool},
       decisions::{
         AttemptOutcome, BoxList, CachedPrompts, Choice, ColdPeriod, EndpointCounts,
-        EndpointRegistry, LocalUsage, PermitTable, RetryWindow, SeatForecast, SeatQueue,
+        EndpointRegistry, LocalUsage, PermitTable, RetryWindow, SlotForecast, SlotQueue,
         Unavailable, UsageTable, Wanted, retry_after_pause_ms,
       },
       edge::{ColdStart, Dialect, EndpointEntry, RouteTable, StoreLease},
@@ -84,9 +84,9 @@
   /// Requests that end endpoints.
   pub(crate) quarantine: Quarantine,
   /// What is expected of the engines' seats.
-  pub(crate) seat_forecast: RefCell<SeatForecast>,
+  pub(crate) seat_forecast: RefCell<SlotForecast>,
   /// The requests that look for a seat.
-  pub(crate) seat_queue: RefCell<SeatQueue>,
+  pub(crate) seat_queue: RefCell<SlotQueue>,
   /// Told when a request leaves that queue.
   pub(crate) seat_queue_moved: Notify,
   /// Moving mean of the time from a seat to the first event.
--- a/tests/gateway/seats.rs
+++ b/tests/gateway/seats.rs
@@ -4,7 +4,7 @@
   super::{EndpointStandIn, GatewayTest, PATIENCE, Reply, Seen, endpoint::engine_reply},
   emulator::eventually,
   http::HeaderValue,
-  rillford::gateway::{SeatForecast, SeatQueue, SeatUrgency},
+  rillford::gateway::{SlotForecast, SlotQueue, SlotUrgency},
   rstest::rstest,
   std::sync::{
     Arc,
@@ -16,10 +16,10 @@
 
 #[test]
 fn going_on_comes_first_and_then_the_oldest() {
-  let mut queue = SeatQueue::default();
-  let older = queue.join(SeatUrgency::Begins, 1);
-  let newer = queue.join(SeatUrgency::Begins, 1);
-  let going_on = queue.join(SeatUrgency::GoesOn, 1);
+  let mut queue = SlotQueue::default();
+  let older = queue.join(SlotUrgency::New, 1);
+  let newer = queue.join(SlotUrgency::New, 1);
+  let going_on = queue.join(SlotUrgency::Resumed, 1);
   for place in [going_on, older, newer] {
     assert!(queue.is_first(place), "{place:?}");
     queue.leave(place);
@@ -109,7 +109,7 @@
   #[case] ahead: usize,
   #[case] has_chance: bool,
 ) {
-  let mut forecast = SeatForecast::default();
+  let mut forecast = SlotForecast::default();
   for seat_ms in seats_ms {
     forecast.note_seat(*seat_ms, true);
   }
@@ -118,7 +118,7 @@
 
 #[test]
 fn time_without_waiting_requests_says_nothing_of_seats() {
-  let mut forecast = SeatForecast::default();
+  let mut forecast = SlotForecast::default();
   forecast.note_seat(0, true);
   forecast.note_idle();
   forecast.note_seat(60_000, true);
@@ -130,7 +130,7 @@
 
 #[test]
 fn callers_return_when_the_streams_of_now_have_ended() {
-  let mut forecast = SeatForecast::default();
+  let mut forecast = SlotForecast::default();
   assert_eq!(forecast.retry_after_ms(0.0), 3_500);
   for _ in 0..50 {
     forecast.note_stream(10_000);
