--- a/emulator/src/load/replay.rs
+++ b/emulator/src/load/replay.rs
@@ -11,7 +11,9 @@
   rand_chacha::ChaCha8Rng,
   rillford::{
     decide::Role,
-    gateway::{AllowedHalls, AttemptOutcome, EndpointEntry, EndpointRegistry, ToldLoad, Wanted},
+    gateway::{
+      AllowedHalls, AttemptOutcome, EndpointCriteria, EndpointEntry, EndpointRegistry, ToldLoad,
+    },
     ids::Name,
   },
 };
@@ -199,7 +201,7 @@
     let hall = hall_name(request.at_box);
     let random = &mut self.random;
     let book = &mut self.books[request.at_box];
-    let wanted = Wanted {
+    let wanted = EndpointCriteria {
       allowed_halls: &AllowedHalls::Any,
       hall: &hall,
       may_repeat: true,
--- a/emulator/src/notices/replay.rs
+++ b/emulator/src/notices/replay.rs
@@ -14,8 +14,9 @@
   rand_chacha::ChaCha8Rng,
   rillford::{
     gateway::{
-      AllowedHalls, AttemptOutcome, EndpointEntry, EndpointNotice, EndpointRegistry, NamedLimit,
-      NoticeChange, RetryAllowance, RetryWindow, Wanted, kept_pause_ms, retry_after_pause_ms,
+      AllowedHalls, AttemptOutcome, EndpointCriteria, EndpointEntry, EndpointNotice,
+      EndpointRegistry, NamedLimit, NoticeChange, RetryAllowance, RetryWindow, kept_pause_ms,
+      retry_after_pause_ms,
     },
     ids::Name,
   },
@@ -213,7 +214,7 @@
 
   fn choose(&mut self, number: usize, now_ms: u64) -> Option<usize> {
     let request = &self.requests[number];
-    let wanted = Wanted {
+    let wanted = EndpointCriteria {
       allowed_halls: &AllowedHalls::Any,
       hall: "north",
       may_repeat: false,
--- a/src/gateway/decisions/choice.rs
+++ b/src/gateway/decisions/choice.rs
@@ -7,7 +7,7 @@
 
 /// What is wanted of an endpoint.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
+pub struct EndpointCriteria<'a> {
   /// The service.
   pub service: &'a str,
   /// The role; `None` takes any.
--- a/src/gateway/decisions/endpoint_registry.rs
+++ b/src/gateway/decisions/endpoint_registry.rs
@@ -3,7 +3,7 @@
 use {
   super::{
     advertised_limits::LimitChange,
-    choice::{AttemptOutcome, Choice, Wanted},
+    choice::{AttemptOutcome, Choice, EndpointCriteria},
     drained_halls::DrainedHalls,
     endpoint_counts::EndpointCounts,
     endpoint_limits::EndpointLimits,
@@ -203,7 +203,7 @@
   /// Chooses the endpoint that promises the earliest end of the work.
   pub fn choose(
     &self,
-    wanted: Wanted,
+    wanted: EndpointCriteria,
     now_ms: u64,
     mut draw: impl FnMut() -> f64,
   ) -> Option<Choice> {
--- a/src/gateway/decisions/known_endpoint.rs
+++ b/src/gateway/decisions/known_endpoint.rs
@@ -1,7 +1,7 @@
 //! What a box knows of one endpoint, from its own requests there.
 
 use {
-  super::choice::{AttemptOutcome, Wanted},
+  super::choice::{AttemptOutcome, EndpointCriteria},
   crate::gateway::edge::EndpointEntry,
 };
 
@@ -115,7 +115,7 @@
 
   /// The order of preference before all cost: sound, on trial, left alone, in a hall that is cut off; each
   /// with those whose entry lapsed behind the others.
-  pub(super) fn rank(&self, wanted: Wanted, hall_is_cut: bool, now_ms: u64) -> u8 {
+  pub(super) fn rank(&self, wanted: EndpointCriteria, hall_is_cut: bool, now_ms: u64) -> u8 {
     let lapsed = u8::from(self.lapses_ms.is_some());
     if hall_is_cut {
       return 6 + lapsed;
@@ -141,7 +141,7 @@
   }
 
   /// How long the work is expected to take, in no unit: it is compared only.
-  pub(super) fn cost(&self, wanted: Wanted, peers: Peers, now_ms: u64) -> f64 {
+  pub(super) fn cost(&self, wanted: EndpointCriteria, peers: Peers, now_ms: u64) -> f64 {
     let surplus = (self.failure_share - peers.failure_share).max(0.0);
     let speed = match self.pace_ms {
       Some(pace_ms) if peers.pace_ms > 0.0 => {
--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -49,7 +49,7 @@
   allowed_halls::AllowedHalls,
   box_list::{BoxEntry, BoxList},
   cached_prompts::CachedPrompts,
-  choice::{AttemptOutcome, Choice, Wanted},
+  choice::{AttemptOutcome, Choice, EndpointCriteria},
   cold_endpoints::{ColdEndpoints, ColdPeriod},
   drained_halls::{DrainedHalls, HallDrainChange},
   endpoint_counts::EndpointCounts,
--- a/src/gateway/requests/plain.rs
+++ b/src/gateway/requests/plain.rs
@@ -4,7 +4,7 @@
   super::answer::{AnswerBody, OwnAnswer, passed_on, whole_body},
   crate::{
     gateway::{
-      decisions::{RETRY_AFTER_FULL_MS, RETRY_AFTER_NO_ENDPOINT_MS, Wanted},
+      decisions::{EndpointCriteria, RETRY_AFTER_FULL_MS, RETRY_AFTER_NO_ENDPOINT_MS},
       edge::{EndpointEntry, Marks, Part},
       parts::{OutgoingPart, PartError, RoutedRequest, WholeAnswer, send_part},
       quarantine::{LostPart, note_lost, note_whole},
@@ -202,7 +202,7 @@
 
   /// The best endpoint not tried yet.
   fn choose(&self) -> Option<EndpointEntry> {
-    let choice = self.gateway.choose(Wanted {
+    let choice = self.gateway.choose(EndpointCriteria {
       allowed_halls: &self.request.allowed_halls,
       hall: self.gateway.preferred_hall(),
       may_repeat: self.request.route.kind.may_repeat(),
--- a/src/gateway/requests/prompt.rs
+++ b/src/gateway/requests/prompt.rs
@@ -4,7 +4,7 @@
   crate::{
     decide::Role,
     gateway::{
-      decisions::{Choice, Wanted},
+      decisions::{Choice, EndpointCriteria},
       edge::{EndpointEntry, Part},
       parts::{KeptExport, OutgoingPart, PartError, RoutedRequest, send_part},
       quarantine::{LostPart, note_lost, note_whole},
@@ -55,7 +55,7 @@
   }
   let mut tried = Vec::new();
   for _ in 0..MOST_UNREACHABLE {
-    let choice = gateway.choose(Wanted {
+    let choice = gateway.choose(EndpointCriteria {
       allowed_halls: &request.allowed_halls,
       hall,
       may_repeat: true,
--- a/src/gateway/requests/seat.rs
+++ b/src/gateway/requests/seat.rs
@@ -4,7 +4,7 @@
   crate::{
     decide::Role,
     gateway::{
-      decisions::{AttemptOutcome, QueuePosition, SlotUrgency, Wanted},
+      decisions::{AttemptOutcome, EndpointCriteria, QueuePosition, SlotUrgency},
       edge::EndpointEntry,
       parts::{Booking, CallFailure, Purpose, Reservation, RoutedRequest, call_engine},
       permits::{Permit, return_permit, take_permit},
@@ -163,7 +163,7 @@
       moved.await;
       continue;
     }
-    let choice = gateway.choose(Wanted {
+    let choice = gateway.choose(EndpointCriteria {
       allowed_halls: &request.allowed_halls,
       hall: gateway.preferred_hall(),
       may_repeat: request.route.kind.may_repeat(),
--- a/src/gateway/requests/stream_request.rs
+++ b/src/gateway/requests/stream_request.rs
@@ -4,7 +4,7 @@
   super::{prompt::read_prompt, resume_seat::reserve_resume_seat, seat::reserve_seat},
   crate::{
     gateway::{
-      decisions::{AttemptOutcome, Wanted},
+      decisions::{AttemptOutcome, EndpointCriteria},
       edge::EndpointEntry,
       parts::{Head, KeptExport, PartError, Reservation, RoutedRequest},
       state::Gateway,
@@ -159,7 +159,7 @@
 
   /// A try at an endpoint that reads the prompt itself.
   async fn attempt_whole(&mut self) -> Attempt {
-    let choice = self.gateway.choose(Wanted {
+    let choice = self.gateway.choose(EndpointCriteria {
       allowed_halls: &self.request.allowed_halls,
       hall: self.gateway.preferred_hall(),
       may_repeat: self.may_repeat(),
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -11,8 +11,8 @@
       connections::{Connection, ConnectionPool},
       decisions::{
         AttemptOutcome, BoxList, CachedPrompts, Choice, ColdPeriod, EndpointCounts,
-        EndpointRegistry, LocalUsage, PermitTable, RetryWindow, SlotForecast, SlotQueue,
-        Unavailable, UsageTable, Wanted, retry_after_pause_ms,
+        EndpointCriteria, EndpointRegistry, LocalUsage, PermitTable, RetryWindow, SlotForecast,
+        SlotQueue, Unavailable, UsageTable, retry_after_pause_ms,
       },
       edge::{ColdStart, Dialect, EndpointEntry, RouteTable, StoreLease},
       settings::{GatewaySettings, RoutePolicy},
@@ -253,7 +253,7 @@
   }
 
   /// Chooses an endpoint.
-  pub(crate) fn choose(&self, wanted: Wanted) -> Option<Choice> {
+  pub(crate) fn choose(&self, wanted: EndpointCriteria) -> Option<Choice> {
     self
       .book
       .borrow()
--- a/tests/gateway/choice.rs
+++ b/tests/gateway/choice.rs
@@ -4,7 +4,8 @@
   rillford::{
     decide::Role,
     gateway::{
-      AllowedHalls, AttemptOutcome, EndpointEntry, EndpointRegistry, ToldLoad, Unavailable, Wanted,
+      AllowedHalls, AttemptOutcome, EndpointCriteria, EndpointEntry, EndpointRegistry, ToldLoad,
+      Unavailable,
     },
   },
   rstest::rstest,
@@ -33,8 +34,8 @@
   book
 }
 
-fn wanted() -> Wanted<'static> {
-  Wanted {
+fn wanted() -> EndpointCriteria<'static> {
+  EndpointCriteria {
     allowed_halls: &AllowedHalls::Any,
     hall: "north",
     may_repeat: true,
@@ -45,14 +46,14 @@
   }
 }
 
-fn unrepeatable() -> Wanted<'static> {
-  Wanted {
+fn unrepeatable() -> EndpointCriteria<'static> {
+  EndpointCriteria {
     may_repeat: false,
     ..wanted()
   }
 }
 
-fn chosen(book: &EndpointRegistry, wanted: Wanted, now_ms: u64) -> String {
+fn chosen(book: &EndpointRegistry, wanted: EndpointCriteria, now_ms: u64) -> String {
   book
     .choose(wanted, now_ms, || 0.5)
     .unwrap()
@@ -136,7 +137,7 @@
   let mut book = EndpointRegistry::default();
   book.put(entry("reads", "north", Some(Role::Prefill)));
   book.put(entry("writes", "north", Some(Role::Decode)));
-  let reading = Wanted {
+  let reading = EndpointCriteria {
     role: Some(Role::Prefill),
     ..wanted()
   };
@@ -149,7 +150,7 @@
   assert!(
     book
       .choose(
-        Wanted {
+        EndpointCriteria {
           service: "other",
           ..wanted()
         },
@@ -215,7 +216,7 @@
 #[test]
 fn work_is_expected_to_take_as_long_as_its_like_did() {
   let mut book = book(&["a"]);
-  let work = Wanted {
+  let work = EndpointCriteria {
     size: 500,
     ..wanted()
   };
--- a/tests/gateway/hall_drain.rs
+++ b/tests/gateway/hall_drain.rs
@@ -20,8 +20,8 @@
   rillford::{
     decide::Role,
     gateway::{
-      AllowedHalls, DrainedHalls, EndpointEntry, EndpointRegistry, HallDrainChange, Unavailable,
-      Wanted,
+      AllowedHalls, DrainedHalls, EndpointCriteria, EndpointEntry, EndpointRegistry,
+      HallDrainChange, Unavailable,
     },
   },
   rstest::rstest,
@@ -267,7 +267,7 @@
   book.put(entry("a", OWN_HALL));
   book.put(entry("b", OTHER_HALL));
   book.drained_halls_mut().note(&OWN_HALL.into(), true, 7);
-  let wanted = Wanted {
+  let wanted = EndpointCriteria {
     allowed_halls: &AllowedHalls::Any,
     hall: OWN_HALL,
     may_repeat: true,
--- a/tests/gateway/notice_book.rs
+++ b/tests/gateway/notice_book.rs
@@ -5,8 +5,8 @@
   http::{HeaderMap, HeaderValue},
   rillford::{
     gateway::{
-      AllowedHalls, Availability, EndpointCounts, EndpointEntry, EndpointNotice, EndpointRegistry,
-      Unavailable, Wanted,
+      AllowedHalls, Availability, EndpointCounts, EndpointCriteria, EndpointEntry, EndpointNotice,
+      EndpointRegistry, Unavailable,
     },
     retry_after_ms,
   },
@@ -50,7 +50,7 @@
 }
 
 fn chosen(book: &EndpointRegistry, now_ms: u64) -> Option<String> {
-  let wanted = Wanted {
+  let wanted = EndpointCriteria {
     allowed_halls: &AllowedHalls::Any,
     hall: "north",
     may_repeat: false,
--- a/tests/gateway/places.rs
+++ b/tests/gateway/places.rs
@@ -4,9 +4,10 @@
 use {
   emulator::places::{PlaceFleet, PlacePattern, PlaceWay, replay_places},
   rillford::gateway::{
-    ALONE_BOXES, AdvertisedLimit, AllowedHalls, BoxEntry, BoxList, EndpointEntry, EndpointLimits,
-    EndpointRegistry, LimitChange, LimitSource, LocalPermitVerdict, LocalPermits, NamedLimit,
-    PermitAccount, PermitRequest, PermitVerdict, Wanted, counted_limit, endpoint_order, lone_limit,
+    ALONE_BOXES, AdvertisedLimit, AllowedHalls, BoxEntry, BoxList, EndpointCriteria, EndpointEntry,
+    EndpointLimits, EndpointRegistry, LimitChange, LimitSource, LocalPermitVerdict, LocalPermits,
+    NamedLimit, PermitAccount, PermitRequest, PermitVerdict, counted_limit, endpoint_order,
+    lone_limit,
   },
   rstest::rstest,
 };
@@ -298,7 +299,7 @@
     book.sent("b", 1);
   }
   let chosen = |book: &EndpointRegistry, now_ms| {
-    let wanted = Wanted {
+    let wanted = EndpointCriteria {
       allowed_halls: &AllowedHalls::Any,
       hall: "north",
       may_repeat: false,
