--- a/src/gateway/decisions/recent_engines.rs
+++ b/src/gateway/decisions/recent_engines.rs
@@ -16,16 +16,16 @@
 /// stands twice, neither entry tells what is there.
 ///
 /// ```
-/// use rillford::{decide::Role, gateway::{EndpointEntry, staying_engines}};
+/// use rillford::{decide::Role, gateway::{EndpointEntry, stable_engines}};
 /// let engine = |id: &str, port: u16| EndpointEntry {
 ///   address: ([127, 0, 0, 1], port).into(), born_ms: None, cold_ms: 0, hall: "north".into(), id: id.into(), leaving: false,
 ///   role: Some(Role::Decode), seats: 16, service: "llm".into(),
 /// };
 /// let engines = [engine("a", 1), engine("b", 2), engine("b-again", 2)];
-/// let staying: Vec<_> = staying_engines(&engines).map(|engine| &*engine.id).collect();
+/// let staying: Vec<_> = stable_engines(&engines).map(|engine| &*engine.id).collect();
 /// assert_eq!(staying, ["a"]);
 /// ```
-pub fn staying_engines(engines: &[EndpointEntry]) -> impl Iterator<Item = &EndpointEntry> {
+pub fn stable_engines(engines: &[EndpointEntry]) -> impl Iterator<Item = &EndpointEntry> {
   let mut entries: HashMap<SocketAddr, u32> = HashMap::new();
   for engine in engines {
     *entries.entry(engine.address).or_default() += 1;
@@ -69,7 +69,7 @@
   /// that stands twice.
   pub fn note(&mut self, engines: &[EndpointEntry], now_ms: u64) {
     self.noted_ms = now_ms;
-    for engine in staying_engines(engines) {
+    for engine in stable_engines(engines) {
       let sight = Sight {
         entry: engine.clone(),
         counts_until_ms: now_ms + MISSED_MS,
--- a/src/gateway/decisions/role_plan.rs
+++ b/src/gateway/decisions/role_plan.rs
@@ -7,7 +7,7 @@
 
 /// Engines that are to change their role.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Surplus {
+pub struct RolePlan {
   /// The role that they are to take.
   pub role: Role,
   /// The engines, first those of the hall that has most of them.
@@ -19,7 +19,7 @@
 /// engines give the same answer on every box.
 ///
 /// ```
-/// use rillford::{decide::Role, gateway::{EndpointEntry, surplus}};
+/// use rillford::{decide::Role, gateway::{EndpointEntry, plan_roles}};
 /// let engine = |id: &str, hall: &str, role| EndpointEntry {
 ///   address: "127.0.0.1:1".parse().unwrap(), born_ms: None, cold_ms: 0, hall: hall.into(), id: id.into(), leaving: false,
 ///   role: Some(role), seats: 16, service: "llm".into(),
@@ -28,16 +28,16 @@
 ///   engine("a", "north", Role::Prefill), engine("b", "north", Role::Prefill),
 ///   engine("c", "south", Role::Prefill), engine("d", "south", Role::Decode),
 /// ];
-/// let surplus = surplus(&engines, &[], 0.5).unwrap();
-/// assert_eq!(surplus.role, Role::Decode);
-/// assert_eq!(&*surplus.engines[0].id, "a");
-/// assert_eq!(surplus.engines.len(), 1);
+/// let plan = plan_roles(&engines, &[], 0.5).unwrap();
+/// assert_eq!(plan.role, Role::Decode);
+/// assert_eq!(&*plan.engines[0].id, "a");
+/// assert_eq!(plan.engines.len(), 1);
 /// ```
-pub fn surplus(
+pub fn plan_roles(
   engines: &[EndpointEntry],
   missing: &[EndpointEntry],
   prefill_share: f64,
-) -> Option<Surplus> {
+) -> Option<RolePlan> {
   let count = |role| with_role(engines, role).count() + with_role(missing, role).count();
   let total = count(Role::Prefill) + count(Role::Decode);
   if total < 2 {
@@ -56,7 +56,7 @@
   if turning == 0 {
     return None;
   }
-  Some(Surplus {
+  Some(RolePlan {
     engines: from_fullest_halls(with_role(engines, from), turning)?,
     role: to,
   })
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -34,10 +34,10 @@
     LocalPermits, LocalUsage, LocalVerdict, NoticeChange, NoticeTracker, PermitAccount,
     PermitRequest, PermitTable, PermitVerdict, QuarantineKey, QuarantineMark, QuarantineRegistry,
     QuarantineStrategy, QuarantineVerdict, QueuePosition, RecentEngines, ReportScope,
-    RequestIdentity, RetryAllowance, RetryWindow, SlotForecast, SlotQueue, SlotUrgency, Surplus,
+    RequestIdentity, RetryAllowance, RetryWindow, RolePlan, SlotForecast, SlotQueue, SlotUrgency,
     TokenBucket, Unavailable, UsageRequest, UsageTable, UsageTotals, UsageVerdict, counted_limit,
-    endpoint_order, kept_pause_ms, lone_limit, retry_after_pause_ms, retry_pause_ms,
-    staying_engines, surplus,
+    endpoint_order, kept_pause_ms, lone_limit, plan_roles, retry_after_pause_ms, retry_pause_ms,
+    stable_engines,
   },
   edge::{
     AnswerFacts, CallerFacts, CallerLimits, ColdStart, DecodeError, Dialect, EndpointCall,
--- a/src/gateway/roles/role_steward.rs
+++ b/src/gateway/roles/role_steward.rs
@@ -4,7 +4,7 @@
   crate::{
     decide::Role,
     gateway::{
-      decisions::{RecentEngines, Surplus, staying_engines, surplus, with_role},
+      decisions::{RecentEngines, RolePlan, plan_roles, stable_engines, with_role},
       edge::{EndpointEntry, EngineReport, RoleChange, Store},
       parts::{Purpose, call_engine},
       state::{Gateway, Phase},
@@ -154,11 +154,11 @@
   }
 
   /// The engines of a service that are to be ordered into another role now.
-  fn surplus_of(&mut self, service: &Name, now_ms: u64) -> Option<Surplus> {
+  fn surplus_of(&mut self, service: &Name, now_ms: u64) -> Option<RolePlan> {
     let engines = self.engines(service);
     let share = self.prefill_share(service, &engines);
     let missing = self.missing(service);
-    let Some(mut surplus) = surplus(&engines, &missing, share) else {
+    let Some(mut surplus) = plan_roles(&engines, &missing, share) else {
       self.wanting_since_ms.remove(service);
       return None;
     };
@@ -193,7 +193,7 @@
   /// The engines of a service that stay, each in the role that it has or is about to take.
   fn engines(&self, service: &Name) -> Vec<EndpointEntry> {
     let entries = self.current_entries();
-    staying_engines(&entries)
+    stable_engines(&entries)
       .filter(|entry| entry.service == *service)
       .map(|entry| {
         let order = self.pending.get(&entry.id);
@@ -207,7 +207,7 @@
 
   /// Whether a surplus is to be ordered away now: one of decode engines only when at least half of the wanted
   /// prefill engines are missing, and have been for long.
-  fn is_due(&mut self, service: &Name, surplus: &Surplus, reading: usize, now_ms: u64) -> bool {
+  fn is_due(&mut self, service: &Name, surplus: &RolePlan, reading: usize, now_ms: u64) -> bool {
     if surplus.role == Role::Decode {
       self.wanting_since_ms.remove(service);
       return true;
@@ -255,7 +255,7 @@
   }
 
   /// Orders engines into their role, each with the store's fresh word that this box is steward.
-  async fn order(&mut self, surplus: Surplus) {
+  async fn order(&mut self, surplus: RolePlan) {
     for engine in surplus.engines {
       let Some(report) = self.report(&engine).await else {
         continue;
--- a/tests/gateway/role_plan.rs
+++ b/tests/gateway/role_plan.rs
@@ -3,7 +3,7 @@
 use {
   rillford::{
     decide::Role,
-    gateway::{EndpointEntry, RecentEngines, staying_engines, surplus},
+    gateway::{EndpointEntry, RecentEngines, plan_roles, stable_engines},
   },
   rstest::rstest,
 };
@@ -46,14 +46,14 @@
   // Two engines that write crash, and are back after 3.4 s under other ids.
   let left = &all[..7];
   recent.note(left, 300);
-  assert_eq!(surplus(left, &recent.missing("llm"), 0.25), None);
+  assert_eq!(plan_roles(left, &recent.missing("llm"), 0.25), None);
   let mut back = all.clone();
   for engine in &mut back[7..] {
     engine.id = format!("{}-again", engine.id).into();
   }
   recent.note(&back, 3_400);
   assert!(recent.missing("llm").is_empty());
-  assert_eq!(surplus(&back, &recent.missing("llm"), 0.25), None);
+  assert_eq!(plan_roles(&back, &recent.missing("llm"), 0.25), None);
 }
 
 /// Seen on a day with a crash: the old entries and those of the next incarnations together looked like more engines.
@@ -72,10 +72,10 @@
     doubled.push(again);
   }
   recent.note(&doubled, 3_000);
-  let here: Vec<EndpointEntry> = staying_engines(&doubled).cloned().collect();
+  let here: Vec<EndpointEntry> = stable_engines(&doubled).cloned().collect();
   assert_eq!(here.len(), 7);
   assert_eq!(recent.missing("llm").len(), 2);
-  assert_eq!(surplus(&here, &recent.missing("llm"), 0.25), None);
+  assert_eq!(plan_roles(&here, &recent.missing("llm"), 0.25), None);
 }
 
 #[rstest]
@@ -102,7 +102,7 @@
   assert_eq!(recent.missing("llm").len(), 2);
   recent.note(&left, no_longer_ms);
   let missing = recent.missing("llm");
-  let turning = surplus(&left[..7], &missing, 0.25).unwrap();
+  let turning = plan_roles(&left[..7], &missing, 0.25).unwrap();
   assert_eq!((turning.role, turning.engines.len()), (Role::Decode, 1));
 }
 
@@ -112,6 +112,6 @@
 fn last_engine_of_a_role_keeps_it(#[case] reading: usize, #[case] writing: usize) {
   let here = engines(reading, reading + writing);
   let away: Vec<EndpointEntry> = engines(4, 8);
-  assert_eq!(surplus(&here, &away, 0.01), None);
-  assert_eq!(surplus(&here, &away, 0.99), None);
+  assert_eq!(plan_roles(&here, &away, 0.01), None);
+  assert_eq!(plan_roles(&here, &away, 0.99), None);
 }
