--- a/emulator/src/places/replay.rs
+++ b/emulator/src/places/replay.rs
@@ -14,9 +14,10 @@
   rand_chacha::ChaCha8Rng,
   rillford::{
     gateway::{
-      ALONE_BOXES, AdvertisedLimit, BoxList, EndpointEntry, EndpointIncarnation, LimitChange,
+      AdvertisedLimit, BoxList, EndpointEntry, EndpointIncarnation, ISOLATED_BOXES, LimitChange,
       LimitSource, LocalPermitVerdict, NamedLimit, PermitRequest, PermitVerdict, ReportScope,
-      TokenBucket, UsageTotals, UsageVerdict, UseLimit, counted_limit, endpoint_order, lone_limit,
+      TokenBucket, UsageTotals, UsageVerdict, UseLimit, coordinator_limit, coordinator_order,
+      isolated_limit,
     },
     ids::Name,
   },
@@ -117,7 +118,7 @@
 }
 
 fn order_of(list: &BoxList, entry: &EndpointEntry) -> Vec<usize> {
-  let order = endpoint_order(list, &entry.id, &entry.hall, 1 + ALONE_BOXES);
+  let order = coordinator_order(list, &entry.id, &entry.hall, 1 + ISOLATED_BOXES);
   let numbers = order
     .into_iter()
     .map(|(_, address)| PlaceFleet::number(address));
@@ -244,7 +245,7 @@
       PlaceWay::EvenParts => {
         let part = UseLimit {
           burst: 1.0,
-          rate_per_s: counted_limit(per_s).rate_per_s / self.fleet.boxes as f64,
+          rate_per_s: coordinator_limit(per_s).rate_per_s / self.fleet.boxes as f64,
         };
         let bucket = self.boxes[at]
           .even
@@ -256,7 +257,7 @@
         self.send_or_not(at, has_place);
       }
       PlaceWay::ToldSums => {
-        let limit = counted_limit(per_s);
+        let limit = coordinator_limit(per_s);
         let name: Name = self.entry.id.clone();
         let sums = &mut self.boxes[at].sums;
         if sums.limit(&name) != Some(limit) {
@@ -413,7 +414,7 @@
   }
 
   fn give_out(&mut self, at: usize, wish: &PermitRequest) -> PermitVerdict {
-    let limit = counted_limit(self.word(at).per_s);
+    let limit = coordinator_limit(self.word(at).per_s);
     let (life, now_ms) = (self.life(), self.now_ms);
     self.boxes[at].counted.ask(life, limit, wish, now_ms)
   }
@@ -429,7 +430,7 @@
       unused: 0,
       ..wish.clone()
     };
-    let limit = lone_limit(self.word(at).per_s);
+    let limit = isolated_limit(self.word(at).per_s);
     let (life, now_ms) = (self.life(), self.now_ms);
     self.boxes[at].alone.ask(life, limit, &wish, now_ms)
   }
--- a/src/gateway/decisions/endpoint_limit.rs
+++ b/src/gateway/decisions/coordinator_limit.rs
@@ -1,7 +1,7 @@
 //! What boxes make of the limit that an endpoint names: which part of it one box gives out for all, and which part a few give out
 //! by themselves while they don't reach that one. Free of I/O.
 //!
-//! In any time T all boxes together send no more than `KEPT_SHARE` x (1 + `ALONE_SHARE`) x limit x T, and the two bursts besides,
+//! In any time T all boxes together send no more than `KEPT_SHARE` x (1 + `ISOLATED_SHARE`) x limit x T, and the two bursts besides,
 //! whichever messages between them are late or lost: the box that counts is one, and those that go on alone are the
 //! same few for all.
 
@@ -17,18 +17,18 @@
 /// The same for high limits: one, and what comes in so long.
 const BURST_S: f64 = 0.1;
 /// Part of a limit that boxes give out together that don't reach the one that counts.
-const ALONE_SHARE: f64 = 0.5;
+const ISOLATED_SHARE: f64 = 0.5;
 /// Boxes that do: the next ones in the endpoint's order after the one that counts.
-pub const ALONE_BOXES: usize = 2;
+pub const ISOLATED_BOXES: usize = 2;
 
 /// What the box gives out that counts an endpoint's requests for all.
 ///
 /// ```
-/// use rillford::gateway::counted_limit;
-/// assert_eq!(counted_limit(100.0).rate_per_s, 94.0);
-/// assert_eq!(counted_limit(0.0).rate_per_s, counted_limit(0.2).rate_per_s);
+/// use rillford::gateway::coordinator_limit;
+/// assert_eq!(coordinator_limit(100.0).rate_per_s, 94.0);
+/// assert_eq!(coordinator_limit(0.0).rate_per_s, coordinator_limit(0.2).rate_per_s);
 /// ```
-pub fn counted_limit(per_s: f64) -> UseLimit {
+pub fn coordinator_limit(per_s: f64) -> UseLimit {
   let kept_per_s = per_s.max(LEAST_PER_S);
   // Who names less is given more than that already: nothing comes on top.
   let least_burst = if per_s < LEAST_PER_S { 1.0 } else { BURST };
@@ -41,13 +41,13 @@
 /// What one of the boxes gives out that don't reach that one.
 ///
 /// ```
-/// use rillford::gateway::{counted_limit, lone_limit};
-/// assert_eq!(lone_limit(100.0).rate_per_s, counted_limit(100.0).rate_per_s / 4.0);
-/// assert_eq!(lone_limit(100.0).burst, 1.0);
+/// use rillford::gateway::{coordinator_limit, isolated_limit};
+/// assert_eq!(isolated_limit(100.0).rate_per_s, coordinator_limit(100.0).rate_per_s / 4.0);
+/// assert_eq!(isolated_limit(100.0).burst, 1.0);
 /// ```
-pub fn lone_limit(per_s: f64) -> UseLimit {
+pub fn isolated_limit(per_s: f64) -> UseLimit {
   UseLimit {
     burst: 1.0,
-    rate_per_s: counted_limit(per_s).rate_per_s * ALONE_SHARE / ALONE_BOXES as f64,
+    rate_per_s: coordinator_limit(per_s).rate_per_s * ISOLATED_SHARE / ISOLATED_BOXES as f64,
   }
 }
--- a/src/gateway/decisions/endpoint_order.rs
+++ b/src/gateway/decisions/coordinator_order.rs
@@ -12,16 +12,16 @@
 /// that comes or goes changes it for few endpoints.
 ///
 /// ```
-/// use rillford::gateway::{BoxEntry, BoxList, endpoint_order};
+/// use rillford::gateway::{BoxEntry, BoxList, coordinator_order};
 /// let mut boxes = BoxList::default();
 /// for (name, hall) in [("n-1", "north"), ("n-2", "north"), ("s-1", "south")] {
 ///   boxes.put(name.into(), BoxEntry { address: "127.0.0.1:7001".parse().unwrap(), hall: hall.into() });
 /// }
-/// let order = endpoint_order(&boxes, "e-1", "south", 2);
+/// let order = coordinator_order(&boxes, "e-1", "south", 2);
 /// assert_eq!(&*order[0].0, "s-1");
 /// assert_eq!(order.len(), 2);
 /// ```
-pub fn endpoint_order(
+pub fn coordinator_order(
   boxes: &BoxList,
   endpoint: &str,
   hall: &str,
--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -9,12 +9,12 @@
 mod cached_prompts;
 mod choice;
 mod cold_endpoints;
+mod coordinator_limit;
+mod coordinator_order;
 mod drained_halls;
 mod endpoint_counts;
 mod endpoint_incarnation;
-mod endpoint_limit;
 mod endpoint_limits;
-mod endpoint_order;
 mod endpoint_registry;
 mod fingerprint;
 mod follower_list;
@@ -51,12 +51,12 @@
   cached_prompts::CachedPrompts,
   choice::{AttemptOutcome, Choice, EndpointCriteria},
   cold_endpoints::{ColdEndpoints, ColdPeriod},
+  coordinator_limit::{ISOLATED_BOXES, coordinator_limit, isolated_limit},
+  coordinator_order::coordinator_order,
   drained_halls::{DrainedHalls, HallDrainChange},
   endpoint_counts::EndpointCounts,
   endpoint_incarnation::EndpointIncarnation,
-  endpoint_limit::{ALONE_BOXES, counted_limit, lone_limit},
   endpoint_limits::EndpointLimits,
-  endpoint_order::endpoint_order,
   endpoint_registry::EndpointRegistry,
   fingerprint::{Fingerprint, RequestIdentity},
   limit_strategy::LimitStrategy,
--- a/src/gateway/permits/messages.rs
+++ b/src/gateway/permits/messages.rs
@@ -7,7 +7,7 @@
     gateway::{
       connections::{message_answer, read_message, send_message, status_answer},
       decisions::{
-        EndpointIncarnation, PermitRequest, PermitVerdict, counted_limit, endpoint_order,
+        EndpointIncarnation, PermitRequest, PermitVerdict, coordinator_limit, coordinator_order,
       },
       state::Gateway,
     },
@@ -79,7 +79,7 @@
 /// Whether this box is the one that counts an endpoint's requests.
 fn counts_for(gateway: &Gateway, question: &PermitQuestion) -> bool {
   let boxes = gateway.boxes.borrow();
-  let order = endpoint_order(&boxes, &question.endpoint, &question.hall, 1);
+  let order = coordinator_order(&boxes, &question.endpoint, &question.hall, 1);
   let is_first = order
     .first()
     .is_some_and(|(name, _)| *name == gateway.settings.identity.name);
@@ -129,7 +129,7 @@
   };
   let verdict = gateway.permit_book.borrow_mut().ask(
     life,
-    counted_limit(per_s),
+    coordinator_limit(per_s),
     permit_request,
     gateway.now_ms(),
   );
--- a/src/gateway/permits/mod.rs
+++ b/src/gateway/permits/mod.rs
@@ -1,7 +1,7 @@
 //! Permits at endpoints that name a limit for all boxes together: a request is sent there only with one.
 //!
 //! Imports the folders up to `state`. What is decided stands in `decisions`: `limit_book` for what endpoints name, `permit_account`
-//! for the box that counts, `permit_ledger` for the others, `endpoint_order` for which box that is.
+//! for the box that counts, `permit_ledger` for the others, `coordinator_order` for which box that is.
 
 mod cold_span_message;
 mod figures;
--- a/src/gateway/permits/taking.rs
+++ b/src/gateway/permits/taking.rs
@@ -9,8 +9,8 @@
   crate::{
     gateway::{
       decisions::{
-        ALONE_BOXES, AdvertisedLimit, EndpointIncarnation, LocalPermitVerdict, PermitRequest,
-        PermitVerdict, Unavailable, endpoint_order, lone_limit,
+        AdvertisedLimit, EndpointIncarnation, ISOLATED_BOXES, LocalPermitVerdict, PermitRequest,
+        PermitVerdict, Unavailable, coordinator_order, isolated_limit,
       },
       edge::EndpointEntry,
       state::Gateway,
@@ -136,11 +136,11 @@
   permit_request: &PermitRequest,
 ) -> (PermitVerdict, DecidedBy) {
   let life = EndpointIncarnation::of(&entry.id, entry.born_ms);
-  let order = endpoint_order(
+  let order = coordinator_order(
     &gateway.boxes.borrow(),
     &entry.id,
     &entry.hall,
-    1 + ALONE_BOXES,
+    1 + ISOLATED_BOXES,
   );
   let own_name = &gateway.settings.identity.name;
   if let Some((name, address)) = order.first() {
@@ -237,10 +237,12 @@
     unused: 0,
     ..permit_request.clone()
   };
-  gateway
-    .lone_permits
-    .borrow_mut()
-    .ask(life, lone_limit(per_s), &permit_request, gateway.now_ms())
+  gateway.lone_permits.borrow_mut().ask(
+    life,
+    isolated_limit(per_s),
+    &permit_request,
+    gateway.now_ms(),
+  )
 }
 
 fn no_permit(gateway: &Gateway, left_ms: u64) -> Unavailable {
--- a/tests/gateway/cold_endpoints.rs
+++ b/tests/gateway/cold_endpoints.rs
@@ -11,7 +11,7 @@
   rand_chacha::ChaCha8Rng,
   rillford::gateway::{
     AdvertisedLimit, ColdPeriod, EndpointEntry, EndpointIncarnation, EndpointLimits, LimitSource,
-    LocalPermitVerdict, NamedLimit, PermitRequest, PermitTable, PermitVerdict, counted_limit,
+    LocalPermitVerdict, NamedLimit, PermitRequest, PermitTable, PermitVerdict, coordinator_limit,
   },
   rstest::rstest,
   serde_json::{Value, json},
@@ -297,7 +297,7 @@
           priority: 1,
           unused,
         };
-        let limit = counted_limit(here.limits.per_s(&entry, now_ms).unwrap());
+        let limit = coordinator_limit(here.limits.per_s(&entry, now_ms).unwrap());
         let verdict: PermitVerdict = counting.ask(life, limit, &wish, now_ms);
         let ledger = here.limits.permits();
         ledger.note_verdict(&entry.id, verdict, now_ms)
--- a/tests/gateway/places.rs
+++ b/tests/gateway/places.rs
@@ -4,10 +4,10 @@
 use {
   emulator::places::{PlaceFleet, PlacePattern, PlaceWay, replay_places},
   rillford::gateway::{
-    ALONE_BOXES, AdvertisedLimit, AllowedHalls, BoxEntry, BoxList, EndpointCriteria, EndpointEntry,
-    EndpointLimits, EndpointRegistry, LimitChange, LimitSource, LocalPermitVerdict, LocalPermits,
-    NamedLimit, PermitAccount, PermitRequest, PermitVerdict, counted_limit, endpoint_order,
-    lone_limit,
+    AdvertisedLimit, AllowedHalls, BoxEntry, BoxList, EndpointCriteria, EndpointEntry,
+    EndpointLimits, EndpointRegistry, ISOLATED_BOXES, LimitChange, LimitSource, LocalPermitVerdict,
+    LocalPermits, NamedLimit, PermitAccount, PermitRequest, PermitVerdict, coordinator_limit,
+    coordinator_order, isolated_limit,
   },
   rstest::rstest,
 };
@@ -48,12 +48,12 @@
 fn parts_of_all_boxes_together_are_within_the_bound(
   #[values(0.0, 0.05, 0.2, 0.7, 2.0, 2.4, 9.0, 25.0, 40.0, 150.0, 400.0, 5_000.0)] per_s: f64,
 ) {
-  let counted = counted_limit(per_s);
-  let alone = lone_limit(per_s);
+  let counted = coordinator_limit(per_s);
+  let alone = isolated_limit(per_s);
   // A place may be used a quarter of a second after it was given.
   let lasts_s = WINDOW_S + 0.25;
   let of_counting = counted.rate_per_s * lasts_s + counted.burst;
-  let of_alone = ALONE_BOXES as f64 * (alone.rate_per_s * WINDOW_S + alone.burst);
+  let of_alone = ISOLATED_BOXES as f64 * (alone.rate_per_s * WINDOW_S + alone.burst);
   let allowed = per_s * WINDOW_S * ALLOWED_FACTOR + ALLOWED_BESIDES;
   let all = of_counting + of_alone;
   assert!(all <= allowed, "{all} of {allowed}");
@@ -119,7 +119,7 @@
 
 #[test]
 fn account_begins_without_a_place_and_holds_few_after_a_pause() {
-  let limit = counted_limit(2.0);
+  let limit = coordinator_limit(2.0);
   let mut account = PermitAccount::new(limit, 0);
   assert!(matches!(
     account.ask(&wish("a", 1), 0),
@@ -136,7 +136,7 @@
 
 #[test]
 fn boxes_that_found_no_place_are_called_in_one_after_the_other() {
-  let mut account = PermitAccount::new(counted_limit(2.0), 0);
+  let mut account = PermitAccount::new(coordinator_limit(2.0), 0);
   let mut waits = Vec::new();
   for number in 0..4 {
     match account.ask(&wish(&format!("box-{number}"), 1), 0) {
@@ -151,7 +151,7 @@
 
 #[test]
 fn less_urgent_requests_leave_a_place_for_urgent_ones() {
-  let mut account = PermitAccount::new(counted_limit(2.0), 0);
+  let mut account = PermitAccount::new(coordinator_limit(2.0), 0);
   assert_eq!(
     account.ask(&wish("a", 0), 60_000),
     PermitVerdict::Granted(1)
@@ -185,7 +185,7 @@
 
 #[test]
 fn figure_that_goes_up_and_down_brings_no_place() {
-  let (high, low) = (counted_limit(400.0), counted_limit(200.0));
+  let (high, low) = (coordinator_limit(400.0), coordinator_limit(200.0));
   let mut account = PermitAccount::new(high, 0);
   account.ask(&wish("a", 1), 10_000);
   while let PermitVerdict::Granted(_) = account.ask(&wish("a", 1), 10_000) {}
@@ -357,7 +357,7 @@
 #[test]
 fn boxes_of_an_endpoints_hall_share_the_counting() {
   let first = |list: &BoxList, number: usize| {
-    let order = endpoint_order(list, &format!("e-{number}"), "hall-1", 1);
+    let order = coordinator_order(list, &format!("e-{number}"), "hall-1", 1);
     order[0].0.to_string()
   };
   let all = box_list(30, None);
