--- a/emulator/src/notices/replay.rs
+++ b/emulator/src/notices/replay.rs
@@ -15,8 +15,8 @@
   rillford::{
     gateway::{
       AllowedHalls, AttemptOutcome, EndpointCriteria, EndpointEntry, EndpointNotice,
-      EndpointRegistry, NamedLimit, NoticeChange, RetryAllowance, RetryWindow, kept_pause_ms,
-      retry_after_pause_ms,
+      EndpointRegistry, NamedLimit, NoticeChange, RetryAllowance, RetryWindow, jittered_backoff_ms,
+      retry_after_backoff_ms,
     },
     ids::Name,
   },
@@ -347,7 +347,7 @@
   /// A box hears what an endpoint says of itself.
   fn hear(&mut self, at: usize, endpoint: usize, mut notice: EndpointNotice, now_ms: u64) {
     if let (NoticeWay::OwnBoxSpread, Some(pause_ms)) = (self.way, &mut notice.pause_ms) {
-      *pause_ms = kept_pause_ms(*pause_ms, self.fleet.boxes, self.random.random());
+      *pause_ms = jittered_backoff_ms(*pause_ms, self.fleet.boxes, self.random.random());
     }
     let news = self.boxes[at]
       .book
@@ -388,7 +388,7 @@
     let request = &self.requests[number];
     let reopens_in_ms = self.boxes[request.at].book.reopens_in_ms(SERVICE, now_ms);
     let draw: f64 = self.random.random();
-    let wait_ms = reopens_in_ms.map_or(FULL_MS, |ms| retry_after_pause_ms(ms, draw));
+    let wait_ms = reopens_in_ms.map_or(FULL_MS, |ms| retry_after_backoff_ms(ms, draw));
     let again_ms = now_ms + wait_ms;
     if !request.may_come_again || again_ms >= request.until_ms {
       return;
--- a/src/gateway/decisions/pause_turn.rs
+++ b/src/gateway/decisions/backoff_jitter.rs
@@ -10,12 +10,12 @@
 /// The pause that one of so many boxes keeps; `draw` from 0 to 1 spreads them, over no longer than the pause itself.
 ///
 /// ```
-/// use rillford::gateway::kept_pause_ms;
-/// assert_eq!(kept_pause_ms(3_000, 8, 0.0), 3_000);
-/// assert_eq!(kept_pause_ms(3_000, 300, 1.0), 4_500);
-/// assert_eq!(kept_pause_ms(100, 300, 1.0), 200);
+/// use rillford::gateway::jittered_backoff_ms;
+/// assert_eq!(jittered_backoff_ms(3_000, 8, 0.0), 3_000);
+/// assert_eq!(jittered_backoff_ms(3_000, 300, 1.0), 4_500);
+/// assert_eq!(jittered_backoff_ms(100, 300, 1.0), 200);
 /// ```
-pub fn kept_pause_ms(wanted_ms: u64, boxes: usize, draw: f64) -> u64 {
+pub fn jittered_backoff_ms(wanted_ms: u64, boxes: usize, draw: f64) -> u64 {
   let spread_ms = (boxes as f64 * TURN_MS).min(wanted_ms as f64);
   wanted_ms.saturating_add((spread_ms * draw) as u64)
 }
--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -5,6 +5,7 @@
 
 mod advertised_limits;
 mod allowed_halls;
+mod backoff_jitter;
 mod box_list;
 mod cached_prompts;
 mod choice;
@@ -24,7 +25,6 @@
 mod local_permits;
 mod local_usage;
 mod notice_tracker;
-mod pause_turn;
 mod peer_usage;
 mod permit_account;
 mod permit_table;
@@ -34,11 +34,11 @@
 mod recent_engines;
 mod recent_usage;
 mod retry_after;
-mod retry_pause;
 mod retry_window;
 mod role_plan;
 mod slot_forecast;
 mod slot_queue;
+mod store_retry_delay;
 mod token_bucket;
 mod unavailable;
 mod usage_table;
@@ -47,6 +47,7 @@
 pub use self::{
   advertised_limits::{AdvertisedLimit, AdvertisedLimits, LimitChange, LimitSource},
   allowed_halls::AllowedHalls,
+  backoff_jitter::jittered_backoff_ms,
   box_list::{BoxEntry, BoxList},
   cached_prompts::CachedPrompts,
   choice::{AttemptOutcome, Choice, EndpointCriteria},
@@ -63,19 +64,18 @@
   local_permits::{LocalPermitVerdict, LocalPermits},
   local_usage::{LocalUsage, LocalVerdict, UsageRequest},
   notice_tracker::{Availability, NoticeChange, NoticeTracker},
-  pause_turn::kept_pause_ms,
   permit_account::{PermitAccount, PermitRequest, PermitVerdict},
   permit_table::PermitTable,
   quarantine_key::{QuarantineKey, QuarantineMark},
   quarantine_registry::{QuarantineRegistry, QuarantineVerdict},
   quarantine_strategy::QuarantineStrategy,
   recent_engines::{RecentEngines, stable_engines},
-  retry_after::retry_after_pause_ms,
-  retry_pause::retry_pause_ms,
+  retry_after::retry_after_backoff_ms,
   retry_window::{RetryAllowance, RetryWindow},
   role_plan::{RolePlan, plan_roles},
   slot_forecast::SlotForecast,
   slot_queue::{QueuePosition, SlotQueue, SlotUrgency},
+  store_retry_delay::store_retry_delay_ms,
   token_bucket::TokenBucket,
   unavailable::Unavailable,
   usage_table::{ReportScope, UsageTable, UsageTotals},
--- a/src/gateway/decisions/retry_after.rs
+++ b/src/gateway/decisions/retry_after.rs
@@ -15,10 +15,10 @@
 /// When a caller is told to come back whose request finds all endpoints pausing; `draw` from 0 to 1 spreads callers.
 ///
 /// ```
-/// use rillford::gateway::retry_after_pause_ms;
-/// assert_eq!(retry_after_pause_ms(2_000, 0.0), 2_000);
-/// assert_eq!(retry_after_pause_ms(2_000, 1.0), 2_500);
+/// use rillford::gateway::retry_after_backoff_ms;
+/// assert_eq!(retry_after_backoff_ms(2_000, 0.0), 2_000);
+/// assert_eq!(retry_after_backoff_ms(2_000, 1.0), 2_500);
 /// ```
-pub fn retry_after_pause_ms(reopens_in_ms: u64, draw: f64) -> u64 {
+pub fn retry_after_backoff_ms(reopens_in_ms: u64, draw: f64) -> u64 {
   reopens_in_ms + (RETURN_SPREAD_MS * draw) as u64
 }
--- a/src/gateway/decisions/retry_pause.rs
+++ b/src/gateway/decisions/store_retry_delay.rs
@@ -14,12 +14,12 @@
 /// after which a box counts as connected (the users' setting).
 ///
 /// ```
-/// use rillford::gateway::retry_pause_ms;
-/// assert_eq!(retry_pause_ms(8, 3_000, 0.5), 250);
-/// assert_eq!(retry_pause_ms(64, 3_000, 0.5), 1_000);
-/// assert_eq!(retry_pause_ms(390, 3_000, 1.0), 1_500);
+/// use rillford::gateway::store_retry_delay_ms;
+/// assert_eq!(store_retry_delay_ms(8, 3_000, 0.5), 250);
+/// assert_eq!(store_retry_delay_ms(64, 3_000, 0.5), 1_000);
+/// assert_eq!(store_retry_delay_ms(390, 3_000, 1.0), 1_500);
 /// ```
-pub fn retry_pause_ms(boxes: usize, contact_ms: u64, draw: f64) -> u64 {
+pub fn store_retry_delay_ms(boxes: usize, contact_ms: u64, draw: f64) -> u64 {
   let (least, most) = SPREAD;
   let longest_mean_ms = contact_ms as f64 * CONTACT_SHARE / most;
   let wanted_mean_ms = PAUSE_MS * (boxes as f64 / BOXES).max(1.0);
--- a/src/gateway/membership/store_sync.rs
+++ b/src/gateway/membership/store_sync.rs
@@ -9,7 +9,7 @@
   crate::{
     CallError, HttpClient,
     gateway::{
-      decisions::retry_pause_ms,
+      decisions::store_retry_delay_ms,
       edge::{Store, StoreChanges, StoreItem},
       state::Gateway,
     },
@@ -122,8 +122,8 @@
     let pause_ms = match ended {
       WatchEnd::HistoryLost => (LISTING_MS_PER_BOX * boxes as f64 * draw) as u64,
       // The others wait for the readers, of which there are few.
-      WatchEnd::CallFailed if is_reader => retry_pause_ms(1, self.contact_ms(), draw),
-      WatchEnd::CallFailed => retry_pause_ms(boxes, self.contact_ms(), draw),
+      WatchEnd::CallFailed if is_reader => store_retry_delay_ms(1, self.contact_ms(), draw),
+      WatchEnd::CallFailed => store_retry_delay_ms(boxes, self.contact_ms(), draw),
     };
     sleep(Duration::from_millis(pause_ms)).await;
   }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -36,8 +36,8 @@
     QuarantineStrategy, QuarantineVerdict, QueuePosition, RecentEngines, ReportScope,
     RequestIdentity, RetryAllowance, RetryWindow, RolePlan, SlotForecast, SlotQueue, SlotUrgency,
     TokenBucket, Unavailable, UsageRequest, UsageTable, UsageTotals, UsageVerdict,
-    coordinator_limit, coordinator_order, isolated_limit, kept_pause_ms, plan_roles,
-    retry_after_pause_ms, retry_pause_ms, stable_engines,
+    coordinator_limit, coordinator_order, isolated_limit, jittered_backoff_ms, plan_roles,
+    retry_after_backoff_ms, stable_engines, store_retry_delay_ms,
   },
   edge::{
     AnswerFacts, CallerFacts, CallerLimits, ColdStart, DecodeError, Dialect, EndpointCall,
--- a/src/gateway/parts/notice.rs
+++ b/src/gateway/parts/notice.rs
@@ -3,7 +3,7 @@
 use {
   super::purpose::Purpose,
   crate::gateway::{
-    decisions::{LimitChange, NoticeChange, kept_pause_ms},
+    decisions::{LimitChange, NoticeChange, jittered_backoff_ms},
     edge::{EndpointEntry, EndpointNotice, NamedLimit},
     permits::tell_limit,
     state::Gateway,
@@ -50,7 +50,7 @@
   let boxes = gateway.box_count();
   notice.pause_ms = notice
     .pause_ms
-    .map(|wanted_ms| kept_pause_ms(wanted_ms, boxes, gateway.draw()));
+    .map(|wanted_ms| jittered_backoff_ms(wanted_ms, boxes, gateway.draw()));
   let now_ms = gateway.now_ms();
   if let Some(unreadable) = &notice.unreadable
     && gateway.unreadable_lines.is_over(now_ms)
--- a/src/gateway/quarantine/sharing.rs
+++ b/src/gateway/quarantine/sharing.rs
@@ -6,7 +6,7 @@
   super::messages::tell_marks,
   crate::{
     gateway::{
-      decisions::{QuarantineKey, retry_pause_ms},
+      decisions::{QuarantineKey, store_retry_delay_ms},
       edge::{MOST_CHANGED_KEYS, Store, StoreError},
       state::{Gateway, MarkOrigin, TrialClaim},
     },
@@ -46,7 +46,7 @@
     }
     let boxes = sharing.gateway.box_count();
     let contact_ms = sharing.gateway.settings.bounds.contact_ms;
-    let pause_ms = retry_pause_ms(boxes, contact_ms, sharing.gateway.draw());
+    let pause_ms = store_retry_delay_ms(boxes, contact_ms, sharing.gateway.draw());
     sleep(Duration::from_millis(pause_ms)).await;
   }
 }
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -12,7 +12,7 @@
       decisions::{
         AttemptOutcome, BoxList, CachedPrompts, Choice, ColdPeriod, EndpointCounts,
         EndpointCriteria, EndpointRegistry, LocalUsage, PermitTable, RetryWindow, SlotForecast,
-        SlotQueue, Unavailable, UsageTable, retry_after_pause_ms,
+        SlotQueue, Unavailable, UsageTable, retry_after_backoff_ms,
       },
       edge::{ColdStart, Dialect, EndpointEntry, RouteTable, StoreLease},
       settings::{GatewaySettings, RoutePolicy},
@@ -306,7 +306,7 @@
   pub(crate) fn retry_after_ms(&self, service: &str, otherwise_ms: u64) -> u64 {
     let reopens_in_ms = self.book.borrow().reopens_in_ms(service, self.now_ms());
     reopens_in_ms.map_or(otherwise_ms, |reopens_in_ms| {
-      retry_after_pause_ms(reopens_in_ms, self.draw())
+      retry_after_backoff_ms(reopens_in_ms, self.draw())
     })
   }
 
--- a/tests/gateway/relay.rs
+++ b/tests/gateway/relay.rs
@@ -8,7 +8,9 @@
   http_body_util::Full,
   rillford::{
     HttpClient,
-    gateway::{BoxEntry, BoxList, ChangeLog, StoreChanges, StoreItem, StoreKey, retry_pause_ms},
+    gateway::{
+      BoxEntry, BoxList, ChangeLog, StoreChanges, StoreItem, StoreKey, store_retry_delay_ms,
+    },
   },
   rstest::rstest,
 };
@@ -133,7 +135,7 @@
   #[case] contact_ms: u64,
 ) {
   for draw in [0.0, 0.5, 1.0] {
-    assert!(retry_pause_ms(boxes, contact_ms, draw) <= contact_ms / 2);
+    assert!(store_retry_delay_ms(boxes, contact_ms, draw) <= contact_ms / 2);
   }
 }
 
