--- a/emulator/src/limits/replay.rs
+++ b/emulator/src/limits/replay.rs
@@ -298,7 +298,7 @@
       totals: claimed.collect(),
       uptime_ms: now_ms - teller.started_ms,
     };
-    for address in self.list.other_counting(&name) {
+    for address in self.list.other_coordinators(&name) {
       let at = LimitFleet::number(address);
       if !self
         .pattern
@@ -327,7 +327,7 @@
 
   fn is_counting(&self, number: usize) -> bool {
     let hall = format!("hall-{}", self.fleet.place(number).hall);
-    self.list.is_counting(&self.fleet.name(number), &hall)
+    self.list.is_coordinator(&self.fleet.name(number), &hall)
   }
 
   /// The box that counts and that a box reaches first.
@@ -339,7 +339,7 @@
       let other = self.fleet.place(LimitFleet::number(*address));
       self.pattern.are_connected(place, other, now_ms)
     };
-    let counting = self.list.counting_for(&name, &hall);
+    let counting = self.list.coordinators_for(&name, &hall);
     counting.into_iter().find(reached).map(LimitFleet::number)
   }
 
--- a/emulator/src/places/replay.rs
+++ b/emulator/src/places/replay.rs
@@ -507,10 +507,10 @@
     }
     let name = PlaceFleet::name(at);
     let word = self.word(at);
-    for address in self.list.other_counting(&name) {
+    for address in self.list.other_coordinators(&name) {
       self.tell(at, PlaceFleet::number(address), word, false);
     }
-    for address in self.list.told_on_by(&name) {
+    for address in self.list.forwarded_by(&name) {
       self.tell(at, PlaceFleet::number(address), word, true);
     }
   }
@@ -528,7 +528,7 @@
     if !self.is_up(to) || self.take_over(to, word) != LimitChange::Started || is_told_on {
       return;
     }
-    for address in self.list.told_on_by(&PlaceFleet::name(to)) {
+    for address in self.list.forwarded_by(&PlaceFleet::name(to)) {
       self.tell(to, PlaceFleet::number(address), word, true);
     }
   }
--- a/src/gateway/decisions/box_list.rs
+++ b/src/gateway/decisions/box_list.rs
@@ -86,22 +86,22 @@
   }
 
   /// Whether others of its hall ask a box when their readers fail.
-  pub fn is_asked(&self, name: &str) -> bool {
+  pub fn is_fallback_reader(&self, name: &str) -> bool {
     !self.is_large() || self.place_in_hall(name).is_some_and(|place| place < ASKED)
   }
 
   /// Whether a box tries to become steward: in a large deployment only the readers do, since each try is a call.
-  pub fn is_candidate(&self, name: &str) -> bool {
+  pub fn is_leader_candidate(&self, name: &str) -> bool {
     !self.is_large() || self.is_reader(name)
   }
 
   /// The boxes that a box asks in turn when it doesn't reach the store itself: of each hall those that others ask, the own hall's
   /// first.
-  pub fn helpers_for(&self, name: &str, hall: &str) -> Vec<SocketAddr> {
+  pub fn fallback_readers_for(&self, name: &str, hall: &str) -> Vec<SocketAddr> {
     let asked = self
       .boxes
       .iter()
-      .filter(|(other, _)| &***other != name && self.is_asked(other));
+      .filter(|(other, _)| &***other != name && self.is_fallback_reader(other));
     let (own, others): (Vec<_>, Vec<_>) = asked
       .map(|(_, entry)| entry)
       .partition(|entry| &*entry.hall == hall);
@@ -111,23 +111,23 @@
 
   /// Whether a box counts organisations' use for others: all do in a small deployment, and the readers of each hall in a large
   /// one.
-  pub fn is_counting(&self, name: &str, hall: &str) -> bool {
+  pub fn is_coordinator(&self, name: &str, hall: &str) -> bool {
     !self.is_large() || self.before(name, hall).count() < READERS
   }
 
   /// The boxes that count besides one of them.
-  pub fn other_counting(&self, name: &str) -> Vec<SocketAddr> {
+  pub fn other_coordinators(&self, name: &str) -> Vec<SocketAddr> {
     let others = self.counting().filter(|(other, _)| &***other != name);
     others.map(|(_, entry)| entry.address).collect()
   }
 
   /// The names of the boxes that count.
-  pub fn counting_names(&self) -> Vec<Name> {
+  pub fn coordinator_names(&self) -> Vec<Name> {
     self.counting().map(|(name, _)| name.clone()).collect()
   }
 
   /// The boxes that count, for one that does not: those of its hall come first, and the boxes of a hall share them.
-  pub fn counting_for(&self, name: &str, hall: &str) -> Vec<SocketAddr> {
+  pub fn coordinators_for(&self, name: &str, hall: &str) -> Vec<SocketAddr> {
     let (mut own, others): (Vec<_>, Vec<_>) = self
       .counting()
       .map(|(_, entry)| entry)
@@ -145,9 +145,9 @@
 
   /// The boxes that one of them tells of what it heard first: all others in a small deployment. In a large one those that read the
   /// store for their halls, and for these also the part of their hall's boxes that is theirs.
-  pub fn told_by(&self, name: &str) -> Vec<SocketAddr> {
-    let mut addresses = self.other_counting(name);
-    addresses.extend(self.told_on_by(name));
+  pub fn notified_by(&self, name: &str) -> Vec<SocketAddr> {
+    let mut addresses = self.other_coordinators(name);
+    addresses.extend(self.forwarded_by(name));
     addresses
   }
 
@@ -160,11 +160,11 @@
   ///   let address = format!("127.0.0.1:70{number}").parse().unwrap();
   ///   boxes.put(format!("box-{number}").as_str().into(), BoxEntry { hall: "north".into(), address });
   /// }
-  /// assert_eq!(boxes.told_on_by("box-10").len(), 14);
-  /// assert_eq!(boxes.told_by("box-10").len(), 15);
-  /// assert_eq!(boxes.told_by("box-30").len(), 2);
+  /// assert_eq!(boxes.forwarded_by("box-10").len(), 14);
+  /// assert_eq!(boxes.notified_by("box-10").len(), 15);
+  /// assert_eq!(boxes.notified_by("box-30").len(), 2);
   /// ```
-  pub fn told_on_by(&self, name: &str) -> Vec<SocketAddr> {
+  pub fn forwarded_by(&self, name: &str) -> Vec<SocketAddr> {
     let place = self.place_in_hall(name).filter(|_| self.is_reader(name));
     let Some((place, own)) = place.zip(self.boxes.get(name)) else {
       return Vec::new();
@@ -182,7 +182,7 @@
     self
       .boxes
       .iter()
-      .filter(|(name, entry)| self.is_counting(name, &entry.hall))
+      .filter(|(name, entry)| self.is_coordinator(name, &entry.hall))
   }
 
   /// How many boxes of its hall come before a box; nothing when it has no entry.
--- a/src/gateway/limits/telling.rs
+++ b/src/gateway/limits/telling.rs
@@ -56,7 +56,7 @@
   let name = gateway.settings.identity.name.clone();
   let (addresses, names) = {
     let boxes = gateway.boxes.borrow();
-    (boxes.other_counting(&name), boxes.counting_names())
+    (boxes.other_coordinators(&name), boxes.coordinator_names())
   };
   let totals = {
     let mut book = gateway.use_book.borrow_mut();
@@ -109,7 +109,7 @@
 pub(super) fn candidates(gateway: &Gateway) -> Vec<SocketAddr> {
   let identity = &gateway.settings.identity;
   let boxes = gateway.boxes.borrow();
-  let mut addresses = boxes.counting_for(&identity.name, &identity.hall);
+  let mut addresses = boxes.coordinators_for(&identity.name, &identity.hall);
   if let Some(latest) = gateway.counting_box.get()
     && let Some(at) = addresses.iter().position(|address| *address == latest)
   {
--- a/src/gateway/membership/store_sync.rs
+++ b/src/gateway/membership/store_sync.rs
@@ -269,7 +269,7 @@
       .gateway
       .boxes
       .borrow()
-      .helpers_for(&identity.name, &identity.hall);
+      .fallback_readers_for(&identity.name, &identity.hall);
     let at_once = helpers.len().min(MOST_HELPERS);
     let mut asked: FuturesUnordered<_> = (0..at_once)
       .map(|number| helpers[(self.helper_turn + number) % helpers.len()])
@@ -320,7 +320,7 @@
   fn read_directly(&mut self) {
     self.failed_readers = 0;
     let boxes = self.gateway.boxes.borrow();
-    if boxes.is_asked(&self.gateway.settings.identity.name) {
+    if boxes.is_fallback_reader(&self.gateway.settings.identity.name) {
       self.direct_until_ms = self.gateway.now_ms() + DIRECT_MS;
     }
   }
@@ -331,7 +331,7 @@
       let boxes = self.gateway.boxes.borrow();
       (
         boxes.is_large(),
-        boxes.is_asked(&self.gateway.settings.identity.name),
+        boxes.is_fallback_reader(&self.gateway.settings.identity.name),
       )
     };
     let wait = if is_large {
--- a/src/gateway/permits/telling.rs
+++ b/src/gateway/permits/telling.rs
@@ -45,7 +45,10 @@
   let own_name = &gateway.settings.identity.name;
   let (all, own_hall) = {
     let boxes = gateway.boxes.borrow();
-    (boxes.other_counting(own_name), boxes.told_on_by(own_name))
+    (
+      boxes.other_coordinators(own_name),
+      boxes.forwarded_by(own_name),
+    )
   };
   let message = LimitMessage {
     born_ms,
@@ -103,7 +106,7 @@
   if note_told(gateway, endpoint, *born_ms, told) == LimitChange::Started && !message.is_told_on {
     let addresses = {
       let boxes = gateway.boxes.borrow();
-      boxes.told_on_by(&gateway.settings.identity.name)
+      boxes.forwarded_by(&gateway.settings.identity.name)
     };
     let told = ToldLimit::new(told, now_ms);
     tell_on(gateway, addresses, LimitMessage { told, ..message });
--- a/src/gateway/quarantine/sharing.rs
+++ b/src/gateway/quarantine/sharing.rs
@@ -169,7 +169,7 @@
       .gateway
       .boxes
       .borrow()
-      .helpers_for(&identity.name, &identity.hall);
+      .fallback_readers_for(&identity.name, &identity.hall);
     for address in helpers.into_iter().take(MOST_TOLD) {
       match tell_marks(&self.gateway.box_calls, address, &own).await {
         Ok(()) => return own,
--- a/src/gateway/roles/role_steward.rs
+++ b/src/gateway/roles/role_steward.rs
@@ -113,7 +113,7 @@
       return;
     }
     let name = &self.gateway.settings.identity.name;
-    if !self.gateway.boxes.borrow().is_candidate(name) {
+    if !self.gateway.boxes.borrow().is_leader_candidate(name) {
       return;
     }
     let spread_ms = (self.gateway.draw() * TRY_SPREAD_MS) as u64;
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -217,7 +217,7 @@
   pub(crate) fn is_counting(&self) -> bool {
     let identity = &self.settings.identity;
     let boxes = self.boxes.borrow();
-    boxes.is_counting(&identity.name, &identity.hall)
+    boxes.is_coordinator(&identity.name, &identity.hall)
   }
 
   /// Whether this box decides on limits by its own count.
--- a/tests/gateway/relay.rs
+++ b/tests/gateway/relay.rs
@@ -149,7 +149,7 @@
   #[case] name: &str,
   #[case] is_candidate: bool,
 ) {
-  assert_eq!(boxes(halls).is_candidate(name), is_candidate);
+  assert_eq!(boxes(halls).is_leader_candidate(name), is_candidate);
 }
 
 #[test]
@@ -174,7 +174,7 @@
   #[case] name: &str,
   #[case] is_asked: bool,
 ) {
-  assert_eq!(boxes(halls).is_asked(name), is_asked);
+  assert_eq!(boxes(halls).is_fallback_reader(name), is_asked);
 }
 
 /// What a follower gets that knows the store up to a revision.
