--- a/emulator/src/load/replay.rs
+++ b/emulator/src/load/replay.rs
@@ -213,7 +213,7 @@
     let Some(choice) = book.choose(wanted, now_ms, || random.random()) else {
       return;
     };
-    book.sent(&choice.entry.id, PROMPT_TOKENS);
+    book.record_send(&choice.entry.id, PROMPT_TOKENS);
     let engine = usize::from(choice.entry.address.port() - FIRST_PORT);
     self.figures.sends[engine] += u32::from(request.counts);
     let (end, took_ms) = self.fate(now_ms, request.at_box, engine);
@@ -281,7 +281,7 @@
         seats: SEATS,
         waiting: 0,
       };
-      self.books[at_box].told_load(&engine_name(engine), load, now_ms);
+      self.books[at_box].record_load(&engine_name(engine), load, now_ms);
     }
     let stream_ms = self.exponential(STREAM_MS);
     let event = Event::StreamEnds { at_box, engine };
@@ -298,6 +298,6 @@
       end => end,
     };
     let book = &mut self.books[at_box];
-    book.ended(&engine_name(engine), PROMPT_TOKENS, 1, noted, now_ms);
+    book.record_outcome(&engine_name(engine), PROMPT_TOKENS, 1, noted, now_ms);
   }
 }
--- a/emulator/src/notices/replay.rs
+++ b/emulator/src/notices/replay.rs
@@ -108,7 +108,7 @@
   for number in 0..fleet.endpoints {
     book.put(entry(number));
   }
-  book.set_store_since(Some(0));
+  book.set_store_connected_since(Some(0));
   GatewayBox {
     book,
     window: RetryWindow::default(),
@@ -148,7 +148,7 @@
       } => {
         self.boxes[at]
           .book
-          .note_notice(&entry(endpoint), &notice, now_ms);
+          .record_notice(&entry(endpoint), &notice, now_ms);
       }
       Event::Ends { endpoint } => self.end(endpoint, now_ms),
       Event::Unlisted { endpoint } => {
@@ -186,7 +186,7 @@
   fn begin(&mut self, number: usize, now_ms: u64) {
     let at = self.requests[number].at;
     self.boxes[at].window.note_request(now_ms);
-    self.boxes[at].book.forget_notices(now_ms);
+    self.boxes[at].book.expire_notices(now_ms);
     if !self.send(number, now_ms) {
       self.refuse(number, now_ms);
     }
@@ -202,8 +202,8 @@
     request.tried.push(id.clone());
     request.sent_ms = now_ms;
     let book = &mut self.boxes[request.at].book;
-    book.sent(&id, 1);
-    book.sent_after_pause(&id, now_ms);
+    book.record_send(&id, 1);
+    book.record_probe(&id, now_ms);
     let reaches = Event::AtEndpoint {
       endpoint,
       request: number,
@@ -327,10 +327,10 @@
       ReplyKind::TurnedAway => AttemptOutcome::Full,
       ReplyKind::Refused | ReplyKind::Lost => AttemptOutcome::Lost,
     };
-    book.ended(&id, 1, 1, end, now_ms);
+    book.record_outcome(&id, 1, 1, end, now_ms);
     match reply.kind {
       ReplyKind::Done => {
-        book.took_work(&id, now_ms);
+        book.record_accepted(&id, now_ms);
         self.figures.served += u32::from(now_ms <= self.requests[number].until_ms);
       }
       // It may have run: this kind of request is not sent again.
@@ -351,7 +351,7 @@
     }
     let news = self.boxes[at]
       .book
-      .note_notice(&entry(endpoint), &notice, now_ms);
+      .record_notice(&entry(endpoint), &notice, now_ms);
     if self.way != NoticeWay::Told || news == NoticeChange::default() {
       return;
     }
@@ -386,9 +386,9 @@
   fn refuse(&mut self, number: usize, now_ms: u64) {
     self.figures.refused += 1;
     let request = &self.requests[number];
-    let reopens_in_ms = self.boxes[request.at].book.reopens_in_ms(SERVICE, now_ms);
+    let available_in_ms = self.boxes[request.at].book.available_in_ms(SERVICE, now_ms);
     let draw: f64 = self.random.random();
-    let wait_ms = reopens_in_ms.map_or(FULL_MS, |ms| retry_after_backoff_ms(ms, draw));
+    let wait_ms = available_in_ms.map_or(FULL_MS, |ms| retry_after_backoff_ms(ms, draw));
     let again_ms = now_ms + wait_ms;
     if !request.may_come_again || again_ms >= request.until_ms {
       return;
--- a/src/gateway/decisions/endpoint_registry.rs
+++ b/src/gateway/decisions/endpoint_registry.rs
@@ -77,14 +77,14 @@
   }
 
   /// Keeps an endpoint whose entry went while the store was away until a time, unless it comes back.
-  pub fn lapse(&mut self, id: &str, until_ms: u64) {
+  pub fn mark_lapsed(&mut self, id: &str, until_ms: u64) {
     if let Some(known) = self.known.get_mut(id) {
       known.lapses_ms.get_or_insert(until_ms);
     }
   }
 
   /// Forgets the endpoints whose entries did not come back in time.
-  pub fn forget_lapsed(&mut self, now_ms: u64) {
+  pub fn remove_lapsed(&mut self, now_ms: u64) {
     self
       .known
       .retain(|_, known| known.lapses_ms.is_none_or(|until_ms| now_ms < until_ms));
@@ -101,7 +101,7 @@
   }
 
   /// This box's requests at an endpoint, and their size.
-  pub fn own_load(&self, id: &str) -> (u64, u64) {
+  pub fn local_load(&self, id: &str) -> (u64, u64) {
     self
       .known
       .get(id)
@@ -173,7 +173,7 @@
 
   /// How long it takes until a first endpoint of a service that answers requests takes work again; nothing while one does, or when none
   /// pauses or is at its limit.
-  pub fn reopens_in_ms(&self, service: &str, now_ms: u64) -> Option<u64> {
+  pub fn available_in_ms(&self, service: &str, now_ms: u64) -> Option<u64> {
     let answering = self
       .entries()
       .filter(|entry| &*entry.service == service && entry.role != Some(Role::Prefill));
@@ -228,8 +228,8 @@
     candidates
       .into_iter()
       .map(|known| {
-        let hall_is_cut = self.is_cut(&known.entry.hall, now_ms);
-        let rank = known.rank(wanted, hall_is_cut, now_ms);
+        let is_hall_unreachable = self.is_hall_unreachable(&known.entry.hall, now_ms);
+        let rank = known.rank(wanted, is_hall_unreachable, now_ms);
         let is_being_tried =
           heeds_notices && self.availability(&known.entry, now_ms).is_being_tried();
         (
@@ -257,15 +257,15 @@
   }
 
   /// Whether a hall seems to be cut off from this box.
-  pub fn is_cut(&self, hall: &str, now_ms: u64) -> bool {
+  pub fn is_hall_unreachable(&self, hall: &str, now_ms: u64) -> bool {
     self
       .halls
       .get(hall)
-      .is_some_and(|reach| reach.is_cut(now_ms))
+      .is_some_and(|reach| reach.is_unreachable(now_ms))
   }
 
   /// Work of a size was sent.
-  pub fn sent(&mut self, id: &str, size: u64) {
+  pub fn record_send(&mut self, id: &str, size: u64) {
     if let Some(known) = self.known.get_mut(id) {
       known.requests += 1;
       known.size += size;
@@ -273,41 +273,48 @@
   }
 
   /// Work of a size ended; `units` is what the time until its answer is measured by.
-  pub fn ended(&mut self, id: &str, size: u64, units: u64, end: AttemptOutcome, now_ms: u64) {
+  pub fn record_outcome(
+    &mut self,
+    id: &str,
+    size: u64,
+    units: u64,
+    end: AttemptOutcome,
+    now_ms: u64,
+  ) {
     let Some(known) = self.known.get_mut(id) else {
       return;
     };
     known.requests = known.requests.saturating_sub(1);
     known.size = known.size.saturating_sub(size);
     let hall = self.halls.entry(known.entry.hall.clone()).or_default();
-    hall.note(&known.entry.id, end, now_ms);
-    known.note_end(units, end, now_ms);
+    hall.record(&known.entry.id, end, now_ms);
+    known.record_outcome(units, end, now_ms);
   }
 
   /// Takes over what an endpoint said of itself in an answer to what was sent to this entry of it; nothing where another life
   /// has entered since.
-  pub fn note_notice(
+  pub fn record_notice(
     &mut self,
     entry: &EndpointEntry,
     notice: &EndpointNotice,
     now_ms: u64,
   ) -> NoticeChange {
-    if self.has_later_life(entry) {
+    if self.has_newer_incarnation(entry) {
       return NoticeChange::default();
     }
-    self.notices.note(entry, notice, now_ms)
+    self.notices.record(entry, notice, now_ms)
   }
 
   /// Takes over what an endpoint named as its limit in an answer to what was sent to this entry of it; nothing where another life
   /// has entered since.
-  pub fn note_limit(
+  pub fn record_limit(
     &mut self,
     entry: &EndpointEntry,
     said: NamedLimit,
     sent_ms: u64,
     now_ms: u64,
   ) -> LimitChange {
-    if self.has_later_life(entry) {
+    if self.has_newer_incarnation(entry) {
       return LimitChange::Unchanged;
     }
     self.limits.note_answer(entry, said, sent_ms, now_ms)
@@ -334,7 +341,7 @@
   }
 
   /// Whether another life has entered under an endpoint's id.
-  fn has_later_life(&self, entry: &EndpointEntry) -> bool {
+  fn has_newer_incarnation(&self, entry: &EndpointEntry) -> bool {
     self
       .entry(&entry.id)
       .is_some_and(|now| now.born_ms != entry.born_ms)
@@ -349,26 +356,26 @@
   }
 
   /// Something is sent to an endpoint; answers with when it asked for a pause if it is the first since the pause.
-  pub fn sent_after_pause(&mut self, id: &str, now_ms: u64) -> Option<u64> {
-    self.notices.sent(id, now_ms)
+  pub fn record_probe(&mut self, id: &str, now_ms: u64) -> Option<u64> {
+    self.notices.record_probe(id, now_ms)
   }
 
   /// An endpoint took work.
-  pub fn took_work(&mut self, id: &str, now_ms: u64) {
-    self.notices.took_work(id, now_ms);
+  pub fn record_accepted(&mut self, id: &str, now_ms: u64) {
+    self.notices.record_accepted(id, now_ms);
   }
 
   /// The store was heard, or was lost.
-  pub fn set_store_since(&mut self, since_ms: Option<u64>) {
+  pub fn set_store_connected_since(&mut self, since_ms: Option<u64>) {
     self.store_since_ms = since_ms;
   }
 
   /// Forgets what endpoints said once it no longer counts; answers with those that are taken back although they said that
   /// they leave.
-  pub fn forget_notices(&mut self, now_ms: u64) -> Vec<Name> {
+  pub fn expire_notices(&mut self, now_ms: u64) -> Vec<Name> {
     self.limits.forget_old(now_ms);
     let known = &self.known;
-    self.notices.forget_old(
+    self.notices.expire(
       self.store_since_ms,
       |id| known.get(id).map(|known| &known.entry),
       now_ms,
@@ -396,33 +403,33 @@
   }
 
   /// Another endpoint that was asked later answered first.
-  pub fn outrun(&mut self, id: &str) {
+  pub fn mark_outrun(&mut self, id: &str) {
     if let Some(known) = self.known.get_mut(id) {
-      known.note_failure_share(true);
+      known.record_failure_share(true);
     }
   }
 
   /// An endpoint has owed an answer for too long: it, or the path to its hall, may be gone.
-  pub fn overdue(&mut self, id: &str, now_ms: u64) {
+  pub fn mark_overdue(&mut self, id: &str, now_ms: u64) {
     let Some(known) = self.known.get_mut(id) else {
       return;
     };
-    known.note_failure_share(true);
-    known.lost(now_ms);
+    known.record_failure_share(true);
+    known.record_loss(now_ms);
     let hall = self.halls.entry(known.entry.hall.clone()).or_default();
     hall.unreachable.insert(known.entry.id.clone());
     hall.noted_ms = now_ms;
   }
 
   /// An endpoint is at fault although it answers.
-  pub fn blame(&mut self, id: &str, now_ms: u64) {
+  pub fn mark_faulty(&mut self, id: &str, now_ms: u64) {
     if let Some(known) = self.known.get_mut(id) {
-      known.lost(now_ms);
+      known.record_loss(now_ms);
     }
   }
 
   /// An endpoint told its load with an answer that this box still counts.
-  pub fn told_load(&mut self, id: &str, load: ToldLoad, now_ms: u64) {
+  pub fn record_load(&mut self, id: &str, load: ToldLoad, now_ms: u64) {
     if let Some(known) = self.known.get_mut(id) {
       let others = load
         .running
--- a/src/gateway/decisions/hall_reach.rs
+++ b/src/gateway/decisions/hall_reach.rs
@@ -17,7 +17,7 @@
 }
 
 impl HallReach {
-  pub(super) fn note(&mut self, endpoint: &Name, end: AttemptOutcome, now_ms: u64) {
+  pub(super) fn record(&mut self, endpoint: &Name, end: AttemptOutcome, now_ms: u64) {
     match end {
       AttemptOutcome::Answered { .. } | AttemptOutcome::Failed | AttemptOutcome::Full => {
         self.unreachable.clear()
@@ -30,7 +30,7 @@
     }
   }
 
-  pub(super) fn is_cut(&self, now_ms: u64) -> bool {
+  pub(super) fn is_unreachable(&self, now_ms: u64) -> bool {
     self.unreachable.len() >= CUT_ENDPOINTS && now_ms < self.noted_ms + CUT_MS
   }
 }
--- a/src/gateway/decisions/known_endpoint.rs
+++ b/src/gateway/decisions/known_endpoint.rs
@@ -81,43 +81,48 @@
     self.lost_in_row > 0
   }
 
-  pub(super) fn note_end(&mut self, units: u64, end: AttemptOutcome, now_ms: u64) {
+  pub(super) fn record_outcome(&mut self, units: u64, end: AttemptOutcome, now_ms: u64) {
     match end {
       AttemptOutcome::Answered { took_ms } => {
         self.lost_in_row = 0;
-        self.note_failure_share(false);
+        self.record_failure_share(false);
         let pace_ms = took_ms as f64 / units.max(1) as f64;
         let before = self.pace_ms.unwrap_or(pace_ms);
         self.pace_ms = Some(before + NEWEST_WEIGHT * (pace_ms - before));
       }
-      AttemptOutcome::Failed => self.note_failure_share(true),
+      AttemptOutcome::Failed => self.record_failure_share(true),
       AttemptOutcome::Full => self.avoid_until_ms = self.avoid_until_ms.max(now_ms + FULL_AVOID_MS),
       AttemptOutcome::Lost | AttemptOutcome::Unreachable => {
-        self.note_failure_share(true);
-        self.lost(now_ms);
+        self.record_failure_share(true);
+        self.record_loss(now_ms);
       }
       AttemptOutcome::Cancelled => {}
     }
   }
 
   /// Leaves the endpoint alone, longer with each loss in a row.
-  pub(super) fn lost(&mut self, now_ms: u64) {
+  pub(super) fn record_loss(&mut self, now_ms: u64) {
     // Four doublings are above the bound already.
     let doubled = FIRST_AVOID_MS << self.lost_in_row.min(4);
     self.lost_in_row += 1;
     self.avoid_until_ms = now_ms + doubled.min(MOST_AVOID_MS);
   }
 
-  pub(super) fn note_failure_share(&mut self, failed: bool) {
+  pub(super) fn record_failure_share(&mut self, failed: bool) {
     let newest = f64::from(u8::from(failed));
     self.failure_share += NEWEST_WEIGHT * (newest - self.failure_share);
   }
 
   /// The order of preference before all cost: sound, on trial, left alone, in a hall that is cut off; each
   /// with those whose entry lapsed behind the others.
-  pub(super) fn rank(&self, wanted: EndpointCriteria, hall_is_cut: bool, now_ms: u64) -> u8 {
+  pub(super) fn rank(
+    &self,
+    wanted: EndpointCriteria,
+    is_hall_unreachable: bool,
+    now_ms: u64,
+  ) -> u8 {
     let lapsed = u8::from(self.lapses_ms.is_some());
-    if hall_is_cut {
+    if is_hall_unreachable {
       return 6 + lapsed;
     }
     if now_ms < self.avoid_until_ms {
--- a/src/gateway/decisions/notice_tracker.rs
+++ b/src/gateway/decisions/notice_tracker.rs
@@ -93,7 +93,7 @@
   }
 
   /// Takes over what a life of an endpoint said in an answer.
-  pub fn note(
+  pub fn record(
     &mut self,
     entry: &EndpointEntry,
     notice: &EndpointNotice,
@@ -138,7 +138,7 @@
   }
 
   /// Something is sent to an endpoint; answers with when it asked for a pause if it is the first since the pause.
-  pub fn sent(&mut self, id: &str, now_ms: u64) -> Option<u64> {
+  pub fn record_probe(&mut self, id: &str, now_ms: u64) -> Option<u64> {
     let pause = self.noted.get_mut(id)?.pause.as_mut()?;
     if now_ms < pause.until_ms {
       return None;
@@ -149,7 +149,7 @@
   }
 
   /// An endpoint took work: the pause that it wanted before is over for good.
-  pub fn took_work(&mut self, id: &str, now_ms: u64) {
+  pub fn record_accepted(&mut self, id: &str, now_ms: u64) {
     if let Some(noted) = self.noted.get_mut(id) {
       noted.pause = noted.pause.filter(|pause| now_ms < pause.until_ms);
     }
@@ -157,7 +157,7 @@
 
   /// Forgets what no longer counts; answers with the endpoints that are taken back although they said that they leave.
   /// `store_since_ms` is since when the store has been heard, `entry` what it lists.
-  pub fn forget_old<'a>(
+  pub fn expire<'a>(
     &mut self,
     store_since_ms: Option<u64>,
     entry: impl Fn(&str) -> Option<&'a EndpointEntry>,
--- a/src/gateway/decisions/retry_after.rs
+++ b/src/gateway/decisions/retry_after.rs
@@ -19,6 +19,6 @@
 /// assert_eq!(retry_after_backoff_ms(2_000, 0.0), 2_000);
 /// assert_eq!(retry_after_backoff_ms(2_000, 1.0), 2_500);
 /// ```
-pub fn retry_after_backoff_ms(reopens_in_ms: u64, draw: f64) -> u64 {
-  reopens_in_ms + (RETURN_SPREAD_MS * draw) as u64
+pub fn retry_after_backoff_ms(available_in_ms: u64, draw: f64) -> u64 {
+  available_in_ms + (RETURN_SPREAD_MS * draw) as u64
 }
--- a/src/gateway/membership/store_sync.rs
+++ b/src/gateway/membership/store_sync.rs
@@ -248,7 +248,7 @@
       .gateway
       .book
       .borrow_mut()
-      .forget_lapsed(self.gateway.now_ms());
+      .remove_lapsed(self.gateway.now_ms());
   }
 
   /// Goes on from what is known with another box's help, when the store can't be listed.
--- a/src/gateway/membership/store_view.rs
+++ b/src/gateway/membership/store_view.rs
@@ -47,7 +47,11 @@
       log::info!("E401 store regained: silent since {before:?} ms, now {now_ms} ms");
     }
     if self.failing || away || before.is_none() {
-      self.gateway.book.borrow_mut().set_store_since(Some(now_ms));
+      self
+        .gateway
+        .book
+        .borrow_mut()
+        .set_store_connected_since(Some(now_ms));
     }
     self.failing = false;
   }
@@ -57,7 +61,11 @@
     if !self.failing {
       log::warn!("E402 store lost: {step}: {error}");
     }
-    self.gateway.book.borrow_mut().set_store_since(None);
+    self
+      .gateway
+      .book
+      .borrow_mut()
+      .set_store_connected_since(None);
     self.failing = true;
   }
 
@@ -209,7 +217,7 @@
     let now_ms = self.gateway.now_ms();
     let mut book = self.gateway.book.borrow_mut();
     if now_ms < self.lapse_until_ms {
-      book.lapse(id, self.lapse_until_ms);
+      book.mark_lapsed(id, self.lapse_until_ms);
     } else {
       book.remove(id);
       self.gateway.pool.close(id);
--- a/src/gateway/parts/notice.rs
+++ b/src/gateway/parts/notice.rs
@@ -36,7 +36,7 @@
   }
   if purpose != Purpose::GiveBack && !TURNED_AWAY.contains(&answer.status) {
     let now_ms = gateway.now_ms();
-    gateway.book.borrow_mut().took_work(&entry.id, now_ms);
+    gateway.book.borrow_mut().record_accepted(&entry.id, now_ms);
   }
   note_unknown_names(gateway, entry, answer);
   let mut notice = gateway.dialect.notice(answer.status, &answer.headers);
@@ -60,7 +60,7 @@
   let news = gateway
     .book
     .borrow_mut()
-    .note_notice(entry, &notice, now_ms);
+    .record_notice(entry, &notice, now_ms);
   log_news(gateway, entry, answer, news, now_ms);
 }
 
@@ -88,7 +88,7 @@
   let news = gateway
     .book
     .borrow_mut()
-    .note_limit(entry, said, sent_ms, now_ms);
+    .record_limit(entry, said, sent_ms, now_ms);
   if news == LimitChange::Started {
     gateway.counters.limit_notices.inc();
     if gateway.settings.mechanisms.endpoint_limits {
--- a/src/gateway/parts/part.rs
+++ b/src/gateway/parts/part.rs
@@ -98,7 +98,7 @@
 impl Booking {
   /// Books work that is about to be sent.
   pub(crate) fn new(gateway: &Rc<Gateway>, endpoint: &Name, size: u64, units: u64) -> Self {
-    gateway.book.borrow_mut().sent(endpoint, size);
+    gateway.book.borrow_mut().record_send(endpoint, size);
     Self {
       end: AttemptOutcome::Cancelled,
       endpoint: endpoint.clone(),
@@ -343,7 +343,7 @@
   let mut book = gateway.book.borrow_mut();
   match (book.check(entry, now_ms), purpose) {
     (Ok(()), Purpose::Request | Purpose::Call) => {
-      if let Some(asked_ms) = book.sent_after_pause(&entry.id, now_ms) {
+      if let Some(asked_ms) = book.record_probe(&entry.id, now_ms) {
         log::info!(
           "E537 first after its pause: {}, asked for {} ms ago",
           entry.id,
@@ -376,7 +376,7 @@
     gateway
       .book
       .borrow_mut()
-      .told_load(&entry.id, load, gateway.now_ms());
+      .record_load(&entry.id, load, gateway.now_ms());
   }
   if facts.not_run {
     return Err(PartError::NotRun(head.status.as_u16()));
--- a/src/gateway/process/start.rs
+++ b/src/gateway/process/start.rs
@@ -178,16 +178,16 @@
     sleep(HOUSEKEEPING).await;
     let now_ms = gateway.now_ms();
     gateway.pool.close_old(now_ms);
-    gateway.book.borrow_mut().forget_lapsed(now_ms);
-    forget_notices(&gateway, now_ms);
+    gateway.book.borrow_mut().remove_lapsed(now_ms);
+    expire_notices(&gateway, now_ms);
     gateway.permit_book.borrow_mut().forget_old(now_ms);
     gateway.lone_permits.borrow_mut().forget_old(now_ms);
   }
 }
 
 /// Forgets what endpoints said of themselves once it no longer counts.
-fn forget_notices(gateway: &Gateway, now_ms: u64) {
-  let taken_back = gateway.book.borrow_mut().forget_notices(now_ms);
+fn expire_notices(gateway: &Gateway, now_ms: u64) {
+  let taken_back = gateway.book.borrow_mut().expire_notices(now_ms);
   for endpoint in taken_back {
     log::warn!(
       "E539 taken back: {endpoint} said that it leaves, and is still there as the store lists it"
--- a/src/gateway/requests/plain.rs
+++ b/src/gateway/requests/plain.rs
@@ -184,7 +184,7 @@
   /// Endpoints that were asked first and have still not answered count as failing, for the choice to come.
   fn note_slower_endpoints(&self) {
     for endpoint in &self.awaited {
-      self.gateway.book.borrow_mut().outrun(endpoint);
+      self.gateway.book.borrow_mut().mark_outrun(endpoint);
     }
   }
 
--- a/src/gateway/roles/role_steward.rs
+++ b/src/gateway/roles/role_steward.rs
@@ -237,7 +237,7 @@
     let book = self.gateway.book.borrow();
     let load = |role| {
       with_role(engines, role)
-        .map(|engine| book.own_load(&engine.id))
+        .map(|engine| book.local_load(&engine.id))
         .fold((0, 0), |sum, load| (sum.0 + load.0, sum.1 + load.1))
     };
     let (_, queue_tokens) = load(Role::Prefill);
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -304,9 +304,9 @@
   /// When a caller may come back whose request found no endpoint of a service that takes work: when the first pause ends, or after
   /// `otherwise_ms` where it is not pauses that keep it waiting.
   pub(crate) fn retry_after_ms(&self, service: &str, otherwise_ms: u64) -> u64 {
-    let reopens_in_ms = self.book.borrow().reopens_in_ms(service, self.now_ms());
-    reopens_in_ms.map_or(otherwise_ms, |reopens_in_ms| {
-      retry_after_backoff_ms(reopens_in_ms, self.draw())
+    let available_in_ms = self.book.borrow().available_in_ms(service, self.now_ms());
+    available_in_ms.map_or(otherwise_ms, |available_in_ms| {
+      retry_after_backoff_ms(available_in_ms, self.draw())
     })
   }
 
@@ -315,7 +315,7 @@
     self
       .book
       .borrow_mut()
-      .ended(id, size, units, end, self.now_ms());
+      .record_outcome(id, size, units, end, self.now_ms());
     if matches!(end, AttemptOutcome::Lost | AttemptOutcome::Unreachable) {
       self.pool.close(id);
     }
@@ -343,14 +343,14 @@
   /// An endpoint has owed an answer for too long; its resting connections may be as dead.
   pub(crate) fn overdue(&self, id: &str) {
     log::info!("E514 overdue: {id} is left alone");
-    self.book.borrow_mut().overdue(id, self.now_ms());
+    self.book.borrow_mut().mark_overdue(id, self.now_ms());
     self.pool.close(id);
   }
 
   /// An endpoint is at fault although it answers: it is left alone like a lost one.
   pub(crate) fn blame(&self, id: &str) {
     log::info!("E513 left alone: {id} has a seat and refuses requests, or its exports are gone");
-    self.book.borrow_mut().blame(id, self.now_ms());
+    self.book.borrow_mut().mark_faulty(id, self.now_ms());
   }
 
   /// How many endpoints of a service take work.
--- a/tests/gateway/choice.rs
+++ b/tests/gateway/choice.rs
@@ -65,9 +65,9 @@
 #[test]
 fn least_busy_is_chosen() {
   let mut book = book(&["a", "b"]);
-  book.sent("a", 1);
+  book.record_send("a", 1);
   assert_eq!(chosen(&book, wanted(), 0), "b");
-  book.told_load(
+  book.record_load(
     "b",
     ToldLoad {
       running: 5,
@@ -87,25 +87,25 @@
   book.put(entry("far", "south", None));
   book.put(entry("near", "north", None));
   assert_eq!(chosen(&book, wanted(), 0), "near");
-  book.sent("near", 1);
-  book.sent("near", 1);
+  book.record_send("near", 1);
+  book.record_send("near", 1);
   assert_eq!(chosen(&book, wanted(), 0), "far");
 }
 
 #[test]
 fn lost_endpoint_is_left_alone_then_tried_with_what_may_be_repeated() {
   let mut book = book(&["a", "b"]);
-  book.sent("a", 1);
-  book.ended("a", 1, 1, AttemptOutcome::Lost, 0);
-  book.sent("b", 1);
+  book.record_send("a", 1);
+  book.record_outcome("a", 1, 1, AttemptOutcome::Lost, 0);
+  book.record_send("b", 1);
   assert_eq!(chosen(&book, wanted(), 100), "b");
   // The time has passed: a repeatable request tries it, another does not.
   assert_eq!(chosen(&book, wanted(), 800), "a");
   assert_eq!(chosen(&book, unrepeatable(), 800), "b");
   // Only one at a time.
-  book.sent("a", 1);
+  book.record_send("a", 1);
   assert_eq!(chosen(&book, wanted(), 800), "b");
-  book.ended("a", 1, 1, AttemptOutcome::Answered { took_ms: 5 }, 900);
+  book.record_outcome("a", 1, 1, AttemptOutcome::Answered { took_ms: 5 }, 900);
   assert_eq!(chosen(&book, unrepeatable(), 900), "a");
 }
 
@@ -123,12 +123,12 @@
       ("b", AttemptOutcome::Answered { took_ms: 60 }),
       ("c", AttemptOutcome::Answered { took_ms: 60 }),
     ] {
-      book.sent(id, 1);
-      book.ended(id, 1, 1, end, 0);
+      book.record_send(id, 1);
+      book.record_outcome(id, 1, 1, end, 0);
     }
   }
-  book.sent("b", 1);
-  book.sent("c", 1);
+  book.record_send("b", 1);
+  book.record_send("c", 1);
   assert_eq!(chosen(&book, wanted(), 0) != "a", shunned);
 }
 
@@ -164,13 +164,13 @@
 #[test]
 fn lapsed_entry_is_the_last_resort_and_comes_back_whole() {
   let mut book = book(&["a", "b"]);
-  book.lapse("a", 1_900);
-  book.sent("b", 1);
+  book.mark_lapsed("a", 1_900);
+  book.record_send("b", 1);
   assert_eq!(chosen(&book, wanted(), 100), "b");
   book.put(entry("a", "north", None));
   assert_eq!(chosen(&book, wanted(), 100), "a");
-  book.lapse("b", 1_900);
-  book.forget_lapsed(2_000);
+  book.mark_lapsed("b", 1_900);
+  book.remove_lapsed(2_000);
   assert_eq!(book.ids(), ["a".into()]);
 }
 
@@ -180,7 +180,7 @@
   let mut counts: HashMap<String, u32> = HashMap::new();
   for _ in 0..300 {
     let id = chosen(&book, wanted(), 0);
-    book.sent(&id, 1);
+    book.record_send(&id, 1);
     *counts.entry(id).or_default() += 1;
   }
   assert!(counts.values().all(|count| *count == 100), "{counts:?}");
@@ -198,18 +198,18 @@
     book.put(entry(id, hall, None));
   }
   for _ in 0..20 {
-    book.sent("n-1", 1);
+    book.record_send("n-1", 1);
   }
-  book.overdue("s-1", 0);
+  book.mark_overdue("s-1", 0);
   assert_ne!(chosen(&book, wanted(), 10), "s-1");
-  assert!(!book.is_cut("south", 10));
-  book.overdue("s-2", 0);
-  assert!(book.is_cut("south", 10));
+  assert!(!book.is_hall_unreachable("south", 10));
+  book.mark_overdue("s-2", 0);
+  assert!(book.is_hall_unreachable("south", 10));
   // Busy as it is, the endpoint that answers is better than a hall that does not.
   assert_eq!(chosen(&book, wanted(), 10), "n-1");
-  book.sent("s-3", 1);
-  book.ended("s-3", 1, 1, AttemptOutcome::Answered { took_ms: 5 }, 20);
-  assert!(!book.is_cut("south", 30));
+  book.record_send("s-3", 1);
+  book.record_outcome("s-3", 1, 1, AttemptOutcome::Answered { took_ms: 5 }, 20);
+  assert!(!book.is_hall_unreachable("south", 30));
   assert_eq!(chosen(&book, wanted(), 30), "s-3");
 }
 
@@ -223,8 +223,8 @@
   let choice = book.choose(work, 0, || 0.5).unwrap();
   assert_eq!(choice.expected_ms, None);
   assert_eq!(choice.share_beyond(1.0), 0.0);
-  book.sent("a", 500);
-  book.ended(
+  book.record_send("a", 500);
+  book.record_outcome(
     "a",
     500,
     500,
@@ -232,7 +232,7 @@
     100,
   );
   // As much again is ahead of the next.
-  book.sent("a", 500);
+  book.record_send("a", 500);
   let choice = book.choose(work, 100, || 0.5).unwrap();
   assert_eq!(choice.expected_ms, Some(200));
   assert_eq!(choice.share_beyond(300.0), 0.0);
--- a/tests/gateway/notice_book.rs
+++ b/tests/gateway/notice_book.rs
@@ -67,8 +67,8 @@
 fn pause_ends_when_it_was_wanted_to_and_the_longest_counts() {
   let mut book = book(&["a"]);
   let a = entry("a", Some(1));
-  book.note_notice(&a, &pause(3_000), 1_000);
-  book.note_notice(&a, &pause(500), 1_100);
+  book.record_notice(&a, &pause(3_000), 1_000);
+  book.record_notice(&a, &pause(500), 1_100);
   assert_eq!(chosen(&book, 3_999), None);
   let unavailable = Unavailable::Pausing {
     asked_ms: 2_999,
@@ -82,25 +82,25 @@
 fn first_request_after_a_pause_goes_alone_until_it_is_taken() {
   let mut book = book(&["a", "b"]);
   let a = entry("a", Some(1));
-  book.note_notice(&a, &pause(1_000), 0);
+  book.record_notice(&a, &pause(1_000), 0);
   // The other one is busy: whatever may goes to the first.
   for _ in 0..9 {
-    book.sent("b", 1);
+    book.record_send("b", 1);
   }
   assert_eq!(chosen(&book, 999), Some("b".into()));
   assert_eq!(chosen(&book, 1_000), Some("a".into()));
-  assert_eq!(book.sent_after_pause("a", 1_000), Some(0));
+  assert_eq!(book.record_probe("a", 1_000), Some(0));
   assert_eq!(chosen(&book, 1_010), Some("b".into()));
   // Nothing came back: another may try.
   assert_eq!(chosen(&book, 1_600), Some("a".into()));
-  book.took_work("a", 1_700);
+  book.record_accepted("a", 1_700);
   assert_eq!(book.availability(&a, 1_700), Availability::Open);
 }
 
 #[test]
 fn pause_of_hours_ends_after_five_minutes() {
   let mut book = book(&["a"]);
-  book.note_notice(&entry("a", Some(1)), &pause(36_000_000), 0);
+  book.record_notice(&entry("a", Some(1)), &pause(36_000_000), 0);
   assert_eq!(chosen(&book, 299_999), None);
   assert_eq!(chosen(&book, 300_000), Some("a".into()));
 }
@@ -109,14 +109,14 @@
 fn word_of_leaving_outlasts_entries_that_go_come_back_and_say_ready() {
   let mut book = book(&["a"]);
   let a = entry("a", Some(1));
-  assert!(book.note_notice(&a, &leaving(), 1_000).leaves);
-  assert!(!book.note_notice(&a, &leaving(), 1_500).leaves);
+  assert!(book.record_notice(&a, &leaving(), 1_000).leaves);
+  assert!(!book.record_notice(&a, &leaving(), 1_500).leaves);
   book.put(a.clone());
   assert_eq!(chosen(&book, 2_000), None);
   book.remove("a");
   book.put(a.clone());
   assert_eq!(chosen(&book, 2_000), None);
-  book.lapse("a", 2_500);
+  book.mark_lapsed("a", 2_500);
   book.put(a.clone());
   assert_eq!(chosen(&book, 2_600), None);
   assert!(book.current_entries(2_600)[0].leaving);
@@ -133,15 +133,15 @@
 #[test]
 fn later_life_starts_clean_and_an_earlier_ones_word_changes_nothing() {
   let mut book = book(&["a"]);
-  book.note_notice(&entry("a", Some(1)), &leaving(), 1_000);
+  book.record_notice(&entry("a", Some(1)), &leaving(), 1_000);
   book.put(entry("a", Some(2)));
   assert_eq!(chosen(&book, 1_100), Some("a".into()));
-  book.note_notice(&entry("a", Some(1)), &leaving(), 1_200);
-  book.note_notice(&entry("a", Some(1)), &pause(5_000), 1_200);
+  book.record_notice(&entry("a", Some(1)), &leaving(), 1_200);
+  book.record_notice(&entry("a", Some(1)), &pause(5_000), 1_200);
   assert_eq!(chosen(&book, 1_300), Some("a".into()));
   // Without a start it is one life.
   book.put(entry("b", None));
-  book.note_notice(&entry("b", None), &leaving(), 1_400);
+  book.record_notice(&entry("b", None), &leaving(), 1_400);
   book.put(entry("b", None));
   assert!(book.check(&entry("b", None), 1_500).is_err());
 }
@@ -160,10 +160,10 @@
   #[case] is_taken_back: bool,
 ) {
   let mut book = book(&["a"]);
-  book.set_store_since(store_since_ms);
-  book.note_notice(&entry("a", Some(1)), &leaving(), 10_000);
+  book.set_store_connected_since(store_since_ms);
+  book.record_notice(&entry("a", Some(1)), &leaving(), 10_000);
   assert_eq!(
-    book.forget_notices(now_ms).len(),
+    book.expire_notices(now_ms).len(),
     usize::from(is_taken_back)
   );
   assert_eq!(chosen(&book, now_ms).is_some(), is_taken_back);
@@ -172,30 +172,30 @@
 #[test]
 fn entry_that_has_gone_or_leaves_contradicts_nothing() {
   let mut book = book(&["a", "b"]);
-  book.set_store_since(Some(0));
+  book.set_store_connected_since(Some(0));
   for id in ["a", "b"] {
-    book.note_notice(&entry(id, Some(1)), &leaving(), 0);
+    book.record_notice(&entry(id, Some(1)), &leaving(), 0);
   }
   book.remove("a");
   book.put(EndpointEntry {
     leaving: true,
     ..entry("b", Some(1))
   });
-  assert!(book.forget_notices(60_000).is_empty());
+  assert!(book.expire_notices(60_000).is_empty());
 }
 
 #[test]
 fn callers_are_told_when_the_first_pause_ends() {
   let mut book = book(&["a", "b"]);
-  book.note_notice(&entry("a", Some(1)), &pause(3_000), 0);
-  assert_eq!(book.reopens_in_ms("portal", 500), None);
-  book.note_notice(&entry("b", Some(1)), &pause(2_000), 0);
-  assert_eq!(book.reopens_in_ms("portal", 500), Some(1_500));
+  book.record_notice(&entry("a", Some(1)), &pause(3_000), 0);
+  assert_eq!(book.available_in_ms("portal", 500), None);
+  book.record_notice(&entry("b", Some(1)), &pause(2_000), 0);
+  assert_eq!(book.available_in_ms("portal", 500), Some(1_500));
   // All of them leave: nobody knows when another comes.
   for id in ["a", "b"] {
-    book.note_notice(&entry(id, Some(1)), &leaving(), 600);
+    book.record_notice(&entry(id, Some(1)), &leaving(), 600);
   }
-  assert_eq!(book.reopens_in_ms("portal", 700), None);
+  assert_eq!(book.available_in_ms("portal", 700), None);
 }
 
 #[rstest]
--- a/tests/gateway/places.rs
+++ b/tests/gateway/places.rs
@@ -296,7 +296,7 @@
   book.put(one.clone());
   book.put(other.clone());
   for _ in 0..5 {
-    book.sent("b", 1);
+    book.record_send("b", 1);
   }
   let chosen = |book: &EndpointRegistry, now_ms| {
     let wanted = EndpointCriteria {
@@ -311,7 +311,7 @@
     let choice = book.choose(wanted, now_ms, || 0.5);
     choice.map(|choice| choice.entry.id.to_string())
   };
-  book.note_limit(&one, NamedLimit::PerS(2.0), 1_000, 1_000);
+  book.record_limit(&one, NamedLimit::PerS(2.0), 1_000, 1_000);
   assert_eq!(chosen(&book, 1_000), Some("a".into()));
   let refused = PermitVerdict::Refused { wait_ms: 400 };
   book
@@ -319,15 +319,15 @@
     .permits()
     .note_verdict(&one.id, refused, 1_000);
   assert_eq!(chosen(&book, 1_100), Some("b".into()));
-  assert_eq!(book.reopens_in_ms("portal", 1_100), None);
-  book.note_limit(&other, NamedLimit::PerS(2.0), 1_000, 1_000);
+  assert_eq!(book.available_in_ms("portal", 1_100), None);
+  book.record_limit(&other, NamedLimit::PerS(2.0), 1_000, 1_000);
   let refused = PermitVerdict::Refused { wait_ms: 900 };
   book
     .limits_mut()
     .permits()
     .note_verdict(&other.id, refused, 1_000);
   assert_eq!(chosen(&book, 1_100), None);
-  assert_eq!(book.reopens_in_ms("portal", 1_100), Some(300));
+  assert_eq!(book.available_in_ms("portal", 1_100), Some(300));
   assert_eq!(chosen(&book, 1_400), Some("a".into()));
 }
 
@@ -336,7 +336,7 @@
   let mut book = EndpointRegistry::default().ignoring_limits();
   let one = entry("a", 1);
   book.put(one.clone());
-  book.note_limit(&one, NamedLimit::PerS(0.0), 1_000, 1_000);
+  book.record_limit(&one, NamedLimit::PerS(0.0), 1_000, 1_000);
   assert!(!book.limits().are_heeded());
   assert_eq!(book.limits().per_s(&one, 0), None);
 }
