--- a/emulator/src/limits/replay.rs
+++ b/emulator/src/limits/replay.rs
@@ -114,10 +114,10 @@
       Event::HearsTotals { at, totals } => {
         let heard = &mut self.boxes[at];
         let uptime_ms = now_ms - heard.started_ms;
-        heard.book.hear(&totals, uptime_ms, now_ms);
+        heard.book.merge_totals(&totals, uptime_ms, now_ms);
       }
       Event::HearsReport { at, from, used } => self.hear_report(at, from, &used, now_ms),
-      Event::HearsShort { at, short } => self.boxes[at].ledger.heard(short, now_ms),
+      Event::HearsShort { at, short } => self.boxes[at].ledger.record_near_limit(short, now_ms),
       Event::BoxesStart => {
         for started in &mut self.boxes {
           *started = LimitBox {
@@ -201,7 +201,7 @@
     let Some(limit) = self.boxes[at].book.limit(&name) else {
       return true;
     };
-    if self.way.is_told() && self.is_counting(at) {
+    if self.way.uses_coordinators() && self.is_counting(at) {
       let verdict = self.boxes[at].book.admit(&name, REQUEST_UNITS, now_ms);
       return verdict == UsageVerdict::WithinLimit;
     }
@@ -229,30 +229,32 @@
     let Some(counting) = self.first_reached(at, now_ms) else {
       let request = self.request(name, limit, now_ms);
       let ledger = &mut self.boxes[at].ledger;
-      ledger.note_unreached();
-      return ledger.admit_alone(request);
+      ledger.record_unreachable();
+      return ledger.admit_isolated(request);
     };
-    let used = self.boxes[at].ledger.take_untold();
+    let used = self.boxes[at].ledger.take_unreported();
     self.note_message(at, counting, used.len() + 1);
     let asking: Name = self.fleet.name(at).as_str().into();
     let book = &mut self.boxes[counting].book;
-    book.note_follower(&asking, now_ms);
+    book.record_reporter(&asking, now_ms);
     for (organisation, units) in &used {
       book.count(organisation, *units, now_ms);
     }
     let verdict = book.admit(name, REQUEST_UNITS, now_ms);
-    let short = book.short(now_ms);
+    let short = book.near_limit(now_ms);
     let ledger = &mut self.boxes[at].ledger;
-    ledger.heard(short, now_ms);
+    ledger.record_near_limit(short, now_ms);
     match verdict {
-      UsageVerdict::WithinLimit => ledger.note_counted(name, REQUEST_UNITS, now_ms),
-      UsageVerdict::OverLimit { left, wait_ms } => ledger.note_refused(name, left, wait_ms, now_ms),
+      UsageVerdict::WithinLimit => ledger.record_admitted(name, REQUEST_UNITS, now_ms),
+      UsageVerdict::OverLimit { left, wait_ms } => {
+        ledger.record_rejected(name, left, wait_ms, now_ms)
+      }
     }
     verdict
   }
 
   fn tell(&mut self, from: usize, now_ms: u64) {
-    if !self.way.is_told() {
+    if !self.way.uses_coordinators() {
       return;
     }
     if self.is_counting(from) {
@@ -266,10 +268,10 @@
     }
     teller.idle_turns = 0;
     let Some(at) = self.first_reached(from, now_ms) else {
-      self.boxes[from].ledger.note_unreached();
+      self.boxes[from].ledger.record_unreachable();
       return;
     };
-    let used = self.boxes[from].ledger.take_untold();
+    let used = self.boxes[from].ledger.take_unreported();
     self.note_message(from, at, used.len());
     let at_ms = now_ms + self.message_ms(from, at, now_ms);
     self.queue.put(at_ms, Event::HearsReport { at, from, used });
@@ -285,15 +287,15 @@
     };
     teller.turns += 1;
     teller.book.set_box_count(self.fleet.boxes, now_ms);
-    let followers = teller.book.follower_count(now_ms);
-    let told = teller.book.totals_to_tell(span);
+    let reporters = teller.book.reporter_count(now_ms);
+    let told = teller.book.totals_to_report(span);
     let claimed = told.into_iter().map(|(name, units)| {
       let units = self.pattern.claims(place, units, now_ms);
       (name, units)
     });
     let totals = UsageTotals {
       box_name: name.clone(),
-      followers,
+      reporters,
       incarnation: teller.started_ms,
       totals: claimed.collect(),
       uptime_ms: now_ms - teller.started_ms,
@@ -316,11 +318,11 @@
   fn hear_report(&mut self, at: usize, from: usize, used: &[(Name, i64)], now_ms: u64) {
     let reporting: Name = self.fleet.name(from).as_str().into();
     let book = &mut self.boxes[at].book;
-    book.note_follower(&reporting, now_ms);
+    book.record_reporter(&reporting, now_ms);
     for (organisation, units) in used {
       book.count(organisation, *units, now_ms);
     }
-    let short = book.short(now_ms);
+    let short = book.near_limit(now_ms);
     let at_ms = now_ms + self.message_ms(at, from, now_ms);
     self.queue.put(at_ms, Event::HearsShort { at: from, short });
   }
--- a/emulator/src/load/replay.rs
+++ b/emulator/src/load/replay.rs
@@ -204,7 +204,7 @@
     let wanted = EndpointCriteria {
       allowed_halls: &AllowedHalls::Any,
       hall: &hall,
-      may_repeat: true,
+      is_retryable: true,
       role: Some(Role::Decode),
       service: "llm",
       size: PROMPT_TOKENS,
--- a/emulator/src/notices/replay.rs
+++ b/emulator/src/notices/replay.rs
@@ -185,7 +185,7 @@
   /// A try begins at a box.
   fn begin(&mut self, number: usize, now_ms: u64) {
     let at = self.requests[number].at;
-    self.boxes[at].window.note_request(now_ms);
+    self.boxes[at].window.record_request(now_ms);
     self.boxes[at].book.expire_notices(now_ms);
     if !self.send(number, now_ms) {
       self.refuse(number, now_ms);
@@ -217,7 +217,7 @@
     let wanted = EndpointCriteria {
       allowed_halls: &AllowedHalls::Any,
       hall: "north",
-      may_repeat: false,
+      is_retryable: false,
       role: None,
       service: SERVICE,
       size: 1,
--- a/emulator/src/places/replay.rs
+++ b/emulator/src/places/replay.rs
@@ -200,7 +200,7 @@
       Event::Turn { at } => self.turn(at),
       Event::Totals { to, totals } => {
         let now_ms = self.now_ms;
-        self.boxes[to].sums.hear(&totals, now_ms, now_ms);
+        self.boxes[to].sums.merge_totals(&totals, now_ms, now_ms);
       }
       Event::Listed { at, has_counting } => self.boxes[at].lists_counting = has_counting,
       Event::Starts => {
@@ -250,7 +250,7 @@
         let bucket = self.boxes[at]
           .even
           .get_or_insert_with(|| TokenBucket::empty(now_ms));
-        let has_place = bucket.left(part, now_ms) >= 1.0;
+        let has_place = bucket.level(part, now_ms) >= 1.0;
         if has_place {
           bucket.charge(part, 1.0);
         }
@@ -291,12 +291,12 @@
 
   fn look_for_place(&mut self, at: usize) {
     let now_ms = self.now_ms;
-    if self.boxes[at].limits.closed_for_ms(&self.entry, now_ms) > 0 {
+    if self.boxes[at].limits.blocked_for_ms(&self.entry, now_ms) > 0 {
       self.figures.elsewhere += 1;
       return;
     }
     let id = self.entry.id.clone();
-    match self.boxes[at].limits.permits().take(&id, now_ms) {
+    match self.boxes[at].limits.permits().acquire(&id, now_ms) {
       LocalPermitVerdict::Granted => self.send(at),
       LocalPermitVerdict::Refused { .. } => self.figures.elsewhere += 1,
       LocalPermitVerdict::Ask { permits, unused } => {
@@ -354,9 +354,9 @@
 
   /// The newest word that a box knows.
   fn word(&self, at: usize) -> Word {
-    let heard = self.boxes[at].limits.heard(&self.entry);
+    let heard = self.boxes[at].limits.advertised(&self.entry);
     Word {
-      heard_ms: heard.map_or(0, |heard| heard.heard_ms),
+      heard_ms: heard.map_or(0, |heard| heard.received_ms),
       per_s: heard.and_then(|heard| heard.per_s).unwrap_or_default(),
     }
   }
@@ -401,12 +401,12 @@
 
   fn take_over(&mut self, at: usize, word: Word) -> LimitChange {
     let heard = AdvertisedLimit {
-      heard_ms: word.heard_ms,
+      received_ms: word.heard_ms,
       per_s: Some(word.per_s),
       source: LimitSource::Box,
     };
     let (id, born_ms) = (self.entry.id.clone(), self.entry.born_ms);
-    self.boxes[at].limits.note_told(&id, born_ms, heard)
+    self.boxes[at].limits.record_reported(&id, born_ms, heard)
   }
 
   fn life(&self) -> EndpointIncarnation {
@@ -416,7 +416,7 @@
   fn give_out(&mut self, at: usize, wish: &PermitRequest) -> PermitVerdict {
     let limit = coordinator_limit(self.word(at).per_s);
     let (life, now_ms) = (self.life(), self.now_ms);
-    self.boxes[at].counted.ask(life, limit, wish, now_ms)
+    self.boxes[at].counted.request(life, limit, wish, now_ms)
   }
 
   fn decide_alone(&mut self, at: usize, wish: &PermitRequest) -> PermitVerdict {
@@ -432,13 +432,13 @@
     };
     let limit = isolated_limit(self.word(at).per_s);
     let (life, now_ms) = (self.life(), self.now_ms);
-    self.boxes[at].alone.ask(life, limit, &wish, now_ms)
+    self.boxes[at].alone.request(life, limit, &wish, now_ms)
   }
 
   fn decided(&mut self, at: usize, verdict: PermitVerdict) {
     let (id, now_ms) = (self.entry.id.clone(), self.now_ms);
     let permits = self.boxes[at].limits.permits();
-    let has_place = permits.note_verdict(&id, verdict, now_ms);
+    let has_place = permits.record_verdict(&id, verdict, now_ms);
     self.send_or_not(at, has_place);
   }
 
@@ -501,7 +501,7 @@
     self.boxes[at].answered_ms.get_or_insert(now_ms);
     let said = NamedLimit::PerS(per_s);
     let limits = &mut self.boxes[at].limits;
-    let news = limits.note_answer(&self.entry, said, sent_ms, now_ms);
+    let news = limits.record_response(&self.entry, said, sent_ms, now_ms);
     if news != LimitChange::Started || self.way != PlaceWay::AskedAndTold {
       return;
     }
@@ -542,10 +542,10 @@
     if !self.is_up(at) || self.boxes[at].sums.is_empty() {
       return;
     }
-    let totals = self.boxes[at].sums.totals_to_tell(ReportScope::All);
+    let totals = self.boxes[at].sums.totals_to_report(ReportScope::All);
     let totals = UsageTotals {
       box_name: name.as_str().into(),
-      followers: 0,
+      reporters: 0,
       incarnation: 1,
       totals,
       uptime_ms: self.now_ms,
--- a/emulator/src/quarantine/replay.rs
+++ b/emulator/src/quarantine/replay.rs
@@ -161,7 +161,7 @@
         }
       }
       Event::Hears { at, key } => {
-        self.books[at].note(key, now_ms);
+        self.books[at].record(key, now_ms);
         self.note_book(at);
       }
       Event::HearsClear { at, fingerprint } => drop(self.books[at].clear(fingerprint)),
@@ -169,7 +169,7 @@
         for book in &mut self.books {
           *book = QuarantineRegistry::default();
           for key in &self.stored {
-            book.note(*key, now_ms);
+            book.record(*key, now_ms);
           }
         }
       }
@@ -289,7 +289,7 @@
       fingerprint: request.fingerprint,
       mark: QuarantineMark::Probe(trial),
     };
-    self.books[request.at].note(key, now_ms);
+    self.books[request.at].record(key, now_ms);
     if self.way == QuarantineStrategy::OwnBox {
       return true;
     }
--- a/emulator/src/quarantine/words.rs
+++ b/emulator/src/quarantine/words.rs
@@ -12,7 +12,7 @@
 impl CrashReplay {
   /// A box saw an end, and tells the others.
   pub(super) fn note_end(&mut self, at: usize, key: QuarantineKey, now_ms: u64) {
-    if self.way == QuarantineStrategy::Off || !self.books[at].note(key, now_ms) {
+    if self.way == QuarantineStrategy::Off || !self.books[at].record(key, now_ms) {
       return;
     }
     self.note_book(at);
--- a/src/gateway/decisions/advertised_limits.rs
+++ b/src/gateway/decisions/advertised_limits.rs
@@ -34,7 +34,7 @@
   /// Requests a second that it takes of all boxes together; nothing when it has ceased to name a limit.
   pub per_s: Option<f64>,
   /// When it was heard, by whichever box.
-  pub heard_ms: u64,
+  pub received_ms: u64,
   /// Who heard it.
   pub source: LimitSource,
 }
@@ -68,7 +68,7 @@
   named_ms: u64,
 }
 
-/// The endpoints' words, by id; that of an earlier life counts for nothing.
+/// The endpoints' advertised, by id; that of an earlier life counts for nothing.
 #[derive(Debug, Default)]
 pub struct AdvertisedLimits {
   noted: HashMap<Name, Noted>,
@@ -81,22 +81,22 @@
   }
 
   /// The newest word of a life of an endpoint, if it has named a limit.
-  pub fn heard(&self, entry: &EndpointEntry) -> Option<AdvertisedLimit> {
-    self.heard_of(&entry.id, entry.born_ms)
+  pub fn advertised(&self, entry: &EndpointEntry) -> Option<AdvertisedLimit> {
+    self.advertised_by(&entry.id, entry.born_ms)
   }
 
   /// The same of a life that may not be listed.
-  pub fn heard_of(&self, id: &str, born_ms: Option<u64>) -> Option<AdvertisedLimit> {
+  pub fn advertised_by(&self, id: &str, born_ms: Option<u64>) -> Option<AdvertisedLimit> {
     self.noted(id, born_ms).map(|noted| noted.limit)
   }
 
   /// The limit that a life of an endpoint names.
   pub fn per_s(&self, entry: &EndpointEntry) -> Option<f64> {
-    self.heard(entry)?.per_s
+    self.advertised(entry)?.per_s
   }
 
   /// Takes over what an answer says, to something that was sent at a time.
-  pub fn note_answer(
+  pub fn record_response(
     &mut self,
     entry: &EndpointEntry,
     said: NamedLimit,
@@ -111,13 +111,13 @@
       }
       (NamedLimit::Unsaid, Some(_)) => None,
       // Both answers were on their way at once, and nobody knows which the endpoint gave first.
-      (NamedLimit::PerS(said), Some(before)) if sent_ms < before.limit.heard_ms => {
+      (NamedLimit::PerS(said), Some(before)) if sent_ms < before.limit.received_ms => {
         Some(before.limit.per_s.map_or(said, |known| known.min(said)))
       }
       (NamedLimit::PerS(said), _) => Some(said),
     };
     let limit = AdvertisedLimit {
-      heard_ms: now_ms,
+      received_ms: now_ms,
       per_s,
       source: LimitSource::Answer,
     };
@@ -125,7 +125,7 @@
   }
 
   /// Takes over a word that another box heard, if it is newer.
-  pub fn note_told(
+  pub fn record_reported(
     &mut self,
     id: &Name,
     born_ms: Option<u64>,
@@ -133,18 +133,18 @@
   ) -> LimitChange {
     let is_newer = self
       .noted(id, born_ms)
-      .is_none_or(|noted| limit.heard_ms > noted.limit.heard_ms);
+      .is_none_or(|noted| limit.received_ms > noted.limit.received_ms);
     if !is_newer {
       return LimitChange::Unchanged;
     }
     self.put(id, born_ms, limit)
   }
 
-  /// Forgets the words that nobody has heard again for long.
-  pub fn forget_old(&mut self, now_ms: u64) {
+  /// Forgets the advertised that nobody has heard again for long.
+  pub fn expire(&mut self, now_ms: u64) {
     self
       .noted
-      .retain(|_, noted| now_ms < noted.limit.heard_ms + MOST_KEPT_MS);
+      .retain(|_, noted| now_ms < noted.limit.received_ms + MOST_KEPT_MS);
   }
 
   /// The endpoints that name a limit, with it.
@@ -161,7 +161,7 @@
     let before = self.noted(id, born_ms);
     let named_ms = match (limit.per_s, before) {
       (None, Some(before)) => before.named_ms,
-      _ => limit.heard_ms,
+      _ => limit.received_ms,
     };
     let news = LimitChange::between(before.and_then(|noted| noted.limit.per_s), limit.per_s);
     let noted = Noted {
--- a/src/gateway/decisions/choice.rs
+++ b/src/gateway/decisions/choice.rs
@@ -21,7 +21,7 @@
   /// The hall that is preferred.
   pub hall: &'a str,
   /// Whether the work may be repeated: only such work tries an endpoint that failed before.
-  pub may_repeat: bool,
+  pub is_retryable: bool,
 }
 
 /// The endpoint that was chosen.
@@ -35,12 +35,12 @@
   /// first answer.
   pub expected_ms: Option<u64>,
   /// Whether it said just now that it is full, or failed: no other is left.
-  pub left_alone: bool,
+  pub is_backing_off: bool,
 }
 
 impl Choice {
   /// Part of such work that has to go elsewhere for the rest to be done within a time; 0 before the first answer.
-  pub fn share_beyond(&self, limit_ms: f64) -> f64 {
+  pub fn share_over(&self, limit_ms: f64) -> f64 {
     let Some(expected_ms) = self.expected_ms else {
       return 0.0;
     };
--- a/src/gateway/decisions/drained_halls.rs
+++ b/src/gateway/decisions/drained_halls.rs
@@ -29,11 +29,11 @@
 /// ```
 /// use rillford::gateway::{DrainedHalls, HallDrainChange};
 /// let mut halls = DrainedHalls::default();
-/// assert_eq!(halls.note(&"north".into(), true, 7), HallDrainChange::Started);
+/// assert_eq!(halls.record(&"north".into(), true, 7), HallDrainChange::Started);
 /// assert!(halls.is_drained("north"));
 /// // An older word that comes late changes nothing.
-/// assert_eq!(halls.note(&"north".into(), false, 5), HallDrainChange::Unchanged);
-/// assert_eq!(halls.note(&"north".into(), false, 9), HallDrainChange::Ended);
+/// assert_eq!(halls.record(&"north".into(), false, 5), HallDrainChange::Unchanged);
+/// assert_eq!(halls.record(&"north".into(), false, 9), HallDrainChange::Ended);
 /// assert!(halls.is_empty());
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -44,7 +44,7 @@
 
 impl DrainedHalls {
   /// Takes over the store's word on a hall, as it was at a revision.
-  pub fn note(&mut self, hall: &Name, is_drained: bool, revision: u64) -> HallDrainChange {
+  pub fn record(&mut self, hall: &Name, is_drained: bool, revision: u64) -> HallDrainChange {
     let before = self.by_hall.get(hall).copied();
     if before.is_some_and(|before| revision <= before.revision) {
       return HallDrainChange::Unchanged;
--- a/src/gateway/decisions/endpoint_registry.rs
+++ b/src/gateway/decisions/endpoint_registry.rs
@@ -138,7 +138,7 @@
     let entry = self
       .entry(&chosen.id)
       .filter(|entry| entry.born_ms == chosen.born_ms)
-      .ok_or(Unavailable::Gone)?;
+      .ok_or(Unavailable::Unlisted)?;
     self.check_listed(entry, now_ms)
   }
 
@@ -151,11 +151,11 @@
       return Err(Unavailable::HallDrained);
     }
     match self.availability(entry, now_ms) {
-      Availability::Open | Availability::OnTrial { .. } => Ok(()),
+      Availability::Available | Availability::Probing { .. } => Ok(()),
       Availability::Leaving { said_ms } => Err(Unavailable::Leaving {
         said_ms: now_ms.saturating_sub(said_ms),
       }),
-      Availability::Pausing { asked_ms, until_ms } => Err(Unavailable::Pausing {
+      Availability::BackingOff { asked_ms, until_ms } => Err(Unavailable::BackingOff {
         asked_ms: now_ms.saturating_sub(asked_ms),
         left_ms: until_ms - now_ms,
       }),
@@ -165,7 +165,7 @@
   /// The same, and whether there may be a place for it within the endpoint's limit.
   fn check_permit(&self, entry: &EndpointEntry, now_ms: u64) -> Result<(), Unavailable> {
     self.check_listed(entry, now_ms)?;
-    match self.limits.closed_for_ms(entry, now_ms) {
+    match self.limits.blocked_for_ms(entry, now_ms) {
       0 => Ok(()),
       left_ms => Err(Unavailable::NoPermit { left_ms }),
     }
@@ -181,7 +181,7 @@
     for entry in answering {
       match self.check_permit(entry, now_ms) {
         Ok(()) => return None,
-        Err(Unavailable::Pausing { left_ms, .. } | Unavailable::NoPermit { left_ms }) => {
+        Err(Unavailable::BackingOff { left_ms, .. } | Unavailable::NoPermit { left_ms }) => {
           first_ms = Some(first_ms.map_or(left_ms, |first_ms: u64| first_ms.min(left_ms)));
         }
         Err(_) => {}
@@ -209,7 +209,7 @@
   ) -> Option<Choice> {
     // Hardly ever has an endpoint or an operator said anything, and a look at each makes a choice among thousands twice as long.
     let heeds_notices = self.heeds_notices();
-    let heeds_words = heeds_notices || self.limits.are_heeded() || !self.drained_halls.is_empty();
+    let heeds_words = heeds_notices || self.limits.are_enforced() || !self.drained_halls.is_empty();
     let takes_work = |known: &Known| {
       !known.entry.leaving && (!heeds_words || self.check_permit(&known.entry, now_ms).is_ok())
     };
@@ -230,10 +230,10 @@
       .map(|known| {
         let is_hall_unreachable = self.is_hall_unreachable(&known.entry.hall, now_ms);
         let rank = known.rank(wanted, is_hall_unreachable, now_ms);
-        let is_being_tried =
-          heeds_notices && self.availability(&known.entry, now_ms).is_being_tried();
+        let is_probe_in_flight =
+          heeds_notices && self.availability(&known.entry, now_ms).is_probe_in_flight();
         (
-          if is_being_tried {
+          if is_probe_in_flight {
             rank.max(ON_TRIAL_RANK)
           } else {
             rank
@@ -247,7 +247,7 @@
         ahead: known.ahead(wanted.size, now_ms) as u64,
         entry: known.entry.clone(),
         expected_ms: known.expected_ms(wanted.size, now_ms),
-        left_alone: now_ms < known.avoid_until_ms,
+        is_backing_off: now_ms < known.avoid_until_ms,
       })
   }
 
@@ -317,7 +317,7 @@
     if self.has_newer_incarnation(entry) {
       return LimitChange::Unchanged;
     }
-    self.limits.note_answer(entry, said, sent_ms, now_ms)
+    self.limits.record_response(entry, said, sent_ms, now_ms)
   }
 
   /// The halls that operators drain.
@@ -350,7 +350,7 @@
   /// Whether a life of an endpoint may be sent work, by its own word.
   pub fn availability(&self, entry: &EndpointEntry, now_ms: u64) -> Availability {
     if !self.heeds_notices() {
-      return Availability::Open;
+      return Availability::Available;
     }
     self.notices.availability(entry, now_ms)
   }
@@ -373,7 +373,7 @@
   /// Forgets what endpoints said once it no longer counts; answers with those that are taken back although they said that
   /// they leave.
   pub fn expire_notices(&mut self, now_ms: u64) -> Vec<Name> {
-    self.limits.forget_old(now_ms);
+    self.limits.expire(now_ms);
     let known = &self.known;
     self.notices.expire(
       self.store_since_ms,
@@ -391,7 +391,7 @@
     for entry in wanted {
       let pauses = matches!(
         self.availability(entry, now_ms),
-        Availability::Pausing { .. }
+        Availability::BackingOff { .. }
       );
       counts.drained += usize::from(self.drained_halls.is_drained(&entry.hall));
       counts.known += 1;
--- a/src/gateway/decisions/limit_strategy.rs
+++ b/src/gateway/decisions/limit_strategy.rs
@@ -19,7 +19,7 @@
 
 impl LimitStrategy {
   /// Whether boxes tell each other of use.
-  pub fn is_told(self) -> bool {
+  pub fn uses_coordinators(self) -> bool {
     match self {
       Self::EvenSplit => false,
       Self::ReportedTotals | Self::AskNearLimit => true,
--- a/src/gateway/decisions/local_permits.rs
+++ b/src/gateway/decisions/local_permits.rs
@@ -11,11 +11,11 @@
 };
 
 /// For so long a permit is good that was given for a request to come; one question serves as many requests as came in such a time.
-const PLACE_GOOD_MS: u64 = 250;
+const PERMIT_VALIDITY_MS: u64 = 250;
 /// The most permits in one question.
-const MOST_PLACES: u32 = 64;
+const MAX_PERMITS_PER_REQUEST: u32 = 64;
 /// What is known of an endpoint is forgotten after so long without a question.
-const MOST_IDLE_MS: u64 = 60_000;
+const MAX_IDLE_MS: u64 = 60_000;
 
 /// What a box makes of a request for an endpoint by itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -38,97 +38,97 @@
 
 /// What is known of one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
-struct Standing {
+struct EndpointPermits {
   /// Until then there is no permit.
-  closed_until_ms: u64,
+  blocked_until_ms: u64,
   /// Permits that were given beyond those used.
   spare: u32,
   spare_until_ms: u64,
   /// Requests of late, for which a permit was looked for.
-  wanted: RecentUsage,
-  asked_ms: u64,
+  demand: RecentUsage,
+  last_request_ms: u64,
 }
 
-impl Standing {
+impl EndpointPermits {
   fn has_spare(&self, now_ms: u64) -> bool {
     self.spare > 0 && now_ms < self.spare_until_ms
   }
 
   /// How long there is no permit; of several questions one may have brought some, and the next one none.
-  fn closed_for_ms(&self, now_ms: u64) -> u64 {
+  fn blocked_for_ms(&self, now_ms: u64) -> u64 {
     if self.has_spare(now_ms) {
       return 0;
     }
-    self.closed_until_ms.saturating_sub(now_ms)
+    self.blocked_until_ms.saturating_sub(now_ms)
   }
 }
 
-/// The endpoints' standings, by id.
+/// The endpoints' by_endpoint, by id.
 #[derive(Debug, Default)]
 pub struct LocalPermits {
-  standings: HashMap<Name, Standing>,
+  by_endpoint: HashMap<Name, EndpointPermits>,
 }
 
 impl LocalPermits {
   /// How long there is no permit at an endpoint; 0 when there may be one.
-  pub fn closed_for_ms(&self, id: &str, now_ms: u64) -> u64 {
-    let standing = self.standings.get(id);
-    standing.map_or(0, |standing| standing.closed_for_ms(now_ms))
+  pub fn blocked_for_ms(&self, id: &str, now_ms: u64) -> u64 {
+    let permits_here = self.by_endpoint.get(id);
+    permits_here.map_or(0, |permits_here| permits_here.blocked_for_ms(now_ms))
   }
 
   /// Takes a permit for a request, if this box has one left.
-  pub fn take(&mut self, id: &Name, now_ms: u64) -> LocalPermitVerdict {
-    let standing = self.standings.entry(id.clone()).or_default();
-    standing.asked_ms = now_ms;
-    let wait_ms = standing.closed_for_ms(now_ms);
+  pub fn acquire(&mut self, id: &Name, now_ms: u64) -> LocalPermitVerdict {
+    let permits_here = self.by_endpoint.entry(id.clone()).or_default();
+    permits_here.last_request_ms = now_ms;
+    let wait_ms = permits_here.blocked_for_ms(now_ms);
     if wait_ms > 0 {
       return LocalPermitVerdict::Refused { wait_ms };
     }
-    standing.wanted.note(1.0, now_ms);
-    if standing.has_spare(now_ms) {
-      standing.spare -= 1;
+    permits_here.demand.record(1.0, now_ms);
+    if permits_here.has_spare(now_ms) {
+      permits_here.spare -= 1;
       return LocalPermitVerdict::Granted;
     }
-    let soon = standing.wanted.per_s(now_ms) * PLACE_GOOD_MS as f64 / 1_000.0;
+    let soon = permits_here.demand.per_s(now_ms) * PERMIT_VALIDITY_MS as f64 / 1_000.0;
     LocalPermitVerdict::Ask {
-      permits: (soon as u32).clamp(1, MOST_PLACES),
-      unused: std::mem::take(&mut standing.spare),
+      permits: (soon as u32).clamp(1, MAX_PERMITS_PER_REQUEST),
+      unused: std::mem::take(&mut permits_here.spare),
     }
   }
 
   /// Takes over what became of a question; whether this box has a permit now.
-  pub fn note_verdict(&mut self, id: &Name, verdict: PermitVerdict, now_ms: u64) -> bool {
-    let standing = self.standings.entry(id.clone()).or_default();
+  pub fn record_verdict(&mut self, id: &Name, verdict: PermitVerdict, now_ms: u64) -> bool {
+    let permits_here = self.by_endpoint.entry(id.clone()).or_default();
     match verdict {
       PermitVerdict::Granted(permits) => {
-        standing.spare += permits.saturating_sub(1);
-        standing.spare_until_ms = now_ms + PLACE_GOOD_MS;
+        permits_here.spare += permits.saturating_sub(1);
+        permits_here.spare_until_ms = now_ms + PERMIT_VALIDITY_MS;
         true
       }
       PermitVerdict::Refused { wait_ms } => {
-        standing.closed_until_ms = now_ms + wait_ms;
+        permits_here.blocked_until_ms = now_ms + wait_ms;
         false
       }
     }
   }
 
   /// A permit was not used: the endpoint never saw the request.
-  pub fn give_back(&mut self, id: &str, now_ms: u64) {
-    if let Some(standing) = self.standings.get_mut(id) {
-      standing.spare += 1;
-      standing.spare_until_ms = now_ms + PLACE_GOOD_MS;
+  pub fn return_unused(&mut self, id: &str, now_ms: u64) {
+    if let Some(permits_here) = self.by_endpoint.get_mut(id) {
+      permits_here.spare += 1;
+      permits_here.spare_until_ms = now_ms + PERMIT_VALIDITY_MS;
     }
   }
 
   /// An endpoint names no limit any more.
-  pub fn open(&mut self, id: &str) {
-    self.standings.remove(id);
+  pub fn reset(&mut self, id: &str) {
+    self.by_endpoint.remove(id);
   }
 
   /// Forgets what nobody asked for any more.
-  pub fn forget_old(&mut self, now_ms: u64) {
+  pub fn expire(&mut self, now_ms: u64) {
     self
-      .standings
-      .retain(|_, standing| now_ms < standing.asked_ms + MOST_IDLE_MS);
+      .by_endpoint
+      .retain(|_, permits_here| now_ms < permits_here.last_request_ms + MAX_IDLE_MS);
   }
 }
--- a/src/gateway/decisions/local_usage.rs
+++ b/src/gateway/decisions/local_usage.rs
@@ -1,9 +1,9 @@
 //! What a box that does not count knows of the limits, and what it has not told yet. Free of I/O.
 //!
-//! Load pattern: a box has a fraction of a request a second of each organisation, so that a part of the limit for each box
+//! Load pattern: a box has a fraction of a request a second of each organisation, so that a share of the limit for each box
 //! would refuse callers who are inside it. While a limit is far off, a box admits and tells it afterwards, for many
 //! requests at once; when it is near, it asks first. A box that reaches nobody who counts goes on at the rate that it had,
-//! or at an even part of the limit where that is more: all boxes that are alone together use little more than before.
+//! or at an even share of the limit where that is more: all boxes that are alone together use little more than before.
 
 use {
   super::{
@@ -15,13 +15,13 @@
 };
 
 /// A box that has not heard from one that counts for this long is alone: several answers were due.
-const ALONE_MS: u64 = 1_000;
+const CONTACT_TIMEOUT_MS: u64 = 1_000;
 /// For this long an organisation that is beyond its limit is refused without asking again.
-const REFUSED_MS: u64 = 100;
+const REJECTION_CACHE_MS: u64 = 100;
 /// A box that is alone goes on at the rate that it had times this: half of what the users' bound allows beyond a limit.
-const ALONE_FACTOR: f64 = 1.05;
+const ISOLATED_FACTOR: f64 = 1.05;
 /// Part of a burst that a box admits before it has told: a fiftieth, or one request, for each of some hundred boxes.
-const UNTOLD_SHARE: f64 = 0.02;
+const UNREPORTED_SHARE: f64 = 0.02;
 
 /// A request of an organisation that has a limit.
 #[derive(Clone, Copy, Debug)]
@@ -47,12 +47,12 @@
   Ask,
 }
 
-/// What was heard of an organisation that is short.
+/// What was heard of an organisation that is near_limit.
 #[derive(Clone, Copy, Debug)]
-struct ShortLimit {
+struct NearLimit {
   left: f64,
   /// Until then nothing more is admitted.
-  refused_until_ms: u64,
+  rejected_until_ms: u64,
 }
 
 /// The limits as a box that does not count sees them.
@@ -62,33 +62,33 @@
 /// let lectures = "lectures".into();
 /// let limit = UseLimit { burst: 100.0, rate_per_s: 10.0 };
 /// let mut ledger = LocalUsage::default();
-/// ledger.heard(vec![], 0);
+/// ledger.record_near_limit(vec![], 0);
 /// let request = UsageRequest { boxes: 10, limit, now_ms: 0, organisation: &lectures, units: 80 };
 /// let verdict = ledger.admit(request, LimitStrategy::AskNearLimit);
 /// assert_eq!(verdict, LocalVerdict::Settled(UsageVerdict::WithinLimit));
-/// assert_eq!(ledger.take_untold(), vec![("lectures".into(), 80)]);
-/// ledger.heard(vec![("lectures".into(), 20.0)], 100);
+/// assert_eq!(ledger.take_unreported(), vec![("lectures".into(), 80)]);
+/// ledger.record_near_limit(vec![("lectures".into(), 20.0)], 100);
 /// let verdict = ledger.admit(UsageRequest { now_ms: 100, ..request }, LimitStrategy::AskNearLimit);
 /// assert_eq!(verdict, LocalVerdict::Ask);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct LocalUsage {
-  untold: BTreeMap<Name, i64>,
-  short: HashMap<Name, ShortLimit>,
-  heard_ms: Option<u64>,
+  unreported: BTreeMap<Name, i64>,
+  near_limit: HashMap<Name, NearLimit>,
+  last_contact_ms: Option<u64>,
   /// Whether the boxes that count did not answer at the last try.
-  is_unreached: bool,
+  is_unreachable: bool,
   recent: HashMap<Name, RecentUsage>,
   /// Buckets of a box that is alone, or of the way that needs no others.
-  own: HashMap<Name, OwnPart>,
+  local: HashMap<Name, LocalShare>,
 }
 
-/// A box's own part of a limit.
+/// A box's local share of a limit.
 #[derive(Clone, Copy, Debug)]
-struct OwnPart {
-  /// The limit that it is a part of.
+struct LocalShare {
+  /// The limit that it is a share of.
   of: UseLimit,
-  part: UseLimit,
+  share: UseLimit,
   bucket: TokenBucket,
 }
 
@@ -96,185 +96,192 @@
   /// Decides on a request of an organisation, and notes it when it is within the limit.
   pub fn admit(&mut self, request: UsageRequest, way: LimitStrategy) -> LocalVerdict {
     match way {
-      LimitStrategy::EvenSplit => LocalVerdict::Settled(self.admit_by_even_part(request)),
+      LimitStrategy::EvenSplit => LocalVerdict::Settled(self.admit_by_even_split(request)),
       // A box that has just started is not alone yet.
-      LimitStrategy::AskNearLimit if self.heard_ms.is_none() && !self.is_unreached => {
+      LimitStrategy::AskNearLimit if self.last_contact_ms.is_none() && !self.is_unreachable => {
         LocalVerdict::Ask
       }
-      _ if self.is_alone(request.now_ms) => LocalVerdict::Settled(self.admit_alone(request)),
-      LimitStrategy::ReportedTotals => LocalVerdict::Settled(self.admit_by_told(request)),
+      _ if self.is_isolated(request.now_ms) => LocalVerdict::Settled(self.admit_isolated(request)),
+      LimitStrategy::ReportedTotals => {
+        LocalVerdict::Settled(self.admit_by_reported_totals(request))
+      }
       LimitStrategy::AskNearLimit => self.admit_or_ask(request),
     }
   }
 
   /// Decides by what was left when it was heard.
-  fn admit_by_told(&mut self, request: UsageRequest) -> UsageVerdict {
-    let verdict = match self.short.get(request.organisation) {
-      Some(short) => short.verdict(request.limit, request.units),
+  fn admit_by_reported_totals(&mut self, request: UsageRequest) -> UsageVerdict {
+    let verdict = match self.near_limit.get(request.organisation) {
+      Some(near_limit) => near_limit.verdict(request.limit, request.units),
       None => UsageVerdict::WithinLimit,
     };
     if verdict == UsageVerdict::WithinLimit {
-      self.note_request(request);
+      self.record_request(request);
     }
     verdict
   }
 
   /// Decides where the limit is far off, or where a refusal was heard just now.
   fn admit_or_ask(&mut self, request: UsageRequest) -> LocalVerdict {
-    match self.short.get(request.organisation) {
-      None if self.has_much_untold(request) => LocalVerdict::Ask,
+    match self.near_limit.get(request.organisation) {
+      None if self.has_much_unreported(request) => LocalVerdict::Ask,
       None => {
-        self.note_request(request);
+        self.record_request(request);
         LocalVerdict::Settled(UsageVerdict::WithinLimit)
       }
-      Some(short) if request.now_ms < short.refused_until_ms => {
+      Some(near_limit) if request.now_ms < near_limit.rejected_until_ms => {
         LocalVerdict::Settled(UsageVerdict::OverLimit {
-          left: short.left,
-          wait_ms: short.refused_until_ms - request.now_ms,
+          left: near_limit.left,
+          wait_ms: near_limit.rejected_until_ms - request.now_ms,
         })
       }
       Some(_) => LocalVerdict::Ask,
     }
   }
 
-  fn note_request(&mut self, request: UsageRequest) {
-    self.own.remove(request.organisation);
-    self.note(request.organisation, request.units as i64, request.now_ms);
+  fn record_request(&mut self, request: UsageRequest) {
+    self.local.remove(request.organisation);
+    self.record(request.organisation, request.units as i64, request.now_ms);
   }
 
   /// Whether no box that counts is heard.
-  pub fn is_alone(&self, now_ms: u64) -> bool {
-    let heard_lately = self
-      .heard_ms
-      .is_some_and(|heard_ms| now_ms <= heard_ms + ALONE_MS);
-    self.is_unreached || !heard_lately
+  pub fn is_isolated(&self, now_ms: u64) -> bool {
+    let recently_in_contact = self
+      .last_contact_ms
+      .is_some_and(|last_contact_ms| now_ms <= last_contact_ms + CONTACT_TIMEOUT_MS);
+    self.is_unreachable || !recently_in_contact
   }
 
   /// No box that counts answers.
-  pub fn note_unreached(&mut self) {
-    self.is_unreached = true;
+  pub fn record_unreachable(&mut self) {
+    self.is_unreachable = true;
   }
 
   /// Whether a request comes on top of so much that others have not heard of that it is asked for.
-  fn has_much_untold(&self, request: UsageRequest) -> bool {
-    let untold = self.untold.get(request.organisation).copied().unwrap_or(0);
-    untold > 0 && untold as f64 + request.units as f64 > request.limit.burst * UNTOLD_SHARE
+  fn has_much_unreported(&self, request: UsageRequest) -> bool {
+    let unreported = self
+      .unreported
+      .get(request.organisation)
+      .copied()
+      .unwrap_or(0);
+    unreported > 0
+      && unreported as f64 + request.units as f64 > request.limit.burst * UNREPORTED_SHARE
   }
 
   /// How old what it knows is; nothing when it knows nothing.
   pub fn age_ms(&self, now_ms: u64) -> Option<u64> {
     self
-      .heard_ms
-      .map(|heard_ms| now_ms.saturating_sub(heard_ms))
+      .last_contact_ms
+      .map(|last_contact_ms| now_ms.saturating_sub(last_contact_ms))
   }
 
   /// Notes units that were admitted here, or given back when there are less than none.
-  pub fn note(&mut self, organisation: &Name, units: i64, now_ms: u64) {
-    *self.untold.entry(organisation.clone()).or_default() += units;
-    if let Some(short) = self.short.get_mut(organisation) {
-      short.left -= units as f64;
+  pub fn record(&mut self, organisation: &Name, units: i64, now_ms: u64) {
+    *self.unreported.entry(organisation.clone()).or_default() += units;
+    if let Some(near_limit) = self.near_limit.get_mut(organisation) {
+      near_limit.left -= units as f64;
     }
-    self.note_recent(organisation, units as f64, now_ms);
+    self.record_recent(organisation, units as f64, now_ms);
   }
 
   /// A box that counts has admitted a request of this box.
-  pub fn note_counted(&mut self, organisation: &Name, units: u64, now_ms: u64) {
-    self.note_recent(organisation, units as f64, now_ms);
+  pub fn record_admitted(&mut self, organisation: &Name, units: u64, now_ms: u64) {
+    self.record_recent(organisation, units as f64, now_ms);
   }
 
   /// A box that counts has refused a request of this box.
-  pub fn note_refused(&mut self, organisation: &Name, left: f64, wait_ms: u64, now_ms: u64) {
-    let refused = ShortLimit {
+  pub fn record_rejected(&mut self, organisation: &Name, left: f64, wait_ms: u64, now_ms: u64) {
+    let refused = NearLimit {
       left,
-      refused_until_ms: now_ms + wait_ms.min(REFUSED_MS),
+      rejected_until_ms: now_ms + wait_ms.min(REJECTION_CACHE_MS),
     };
-    self.short.insert(organisation.clone(), refused);
+    self.near_limit.insert(organisation.clone(), refused);
   }
 
-  /// A box that counts has told which organisations are short.
-  pub fn heard(&mut self, short: Vec<(Name, f64)>, now_ms: u64) {
-    self.heard_ms = Some(now_ms);
-    self.is_unreached = false;
-    let before = std::mem::take(&mut self.short);
-    for (name, left) in short {
-      let refused_until_ms = before.get(&name).map_or(0, |known| known.refused_until_ms);
-      let limit = ShortLimit {
+  /// A box that counts has told which organisations are near_limit.
+  pub fn record_near_limit(&mut self, near_limit: Vec<(Name, f64)>, now_ms: u64) {
+    self.last_contact_ms = Some(now_ms);
+    self.is_unreachable = false;
+    let before = std::mem::take(&mut self.near_limit);
+    for (name, left) in near_limit {
+      let rejected_until_ms = before.get(&name).map_or(0, |known| known.rejected_until_ms);
+      let limit = NearLimit {
         left,
-        refused_until_ms,
+        rejected_until_ms,
       };
-      self.short.insert(name, limit);
+      self.near_limit.insert(name, limit);
     }
   }
 
   /// Whether there is something to tell, or to hear soon.
   pub fn is_busy(&self) -> bool {
-    !self.untold.is_empty() || !self.short.is_empty()
+    !self.unreported.is_empty() || !self.near_limit.is_empty()
   }
 
-  /// What has not been told yet; the caller gives it back by [`Self::untell`] when it can't be told.
-  pub fn take_untold(&mut self) -> Vec<(Name, i64)> {
-    std::mem::take(&mut self.untold).into_iter().collect()
+  /// What has not been told yet; the caller gives it back by [`Self::restore_unreported`] when it can't be told.
+  pub fn take_unreported(&mut self) -> Vec<(Name, i64)> {
+    std::mem::take(&mut self.unreported).into_iter().collect()
   }
 
   /// What was taken to be told was not heard.
-  pub fn untell(&mut self, untold: Vec<(Name, i64)>) {
-    for (name, units) in untold {
-      *self.untold.entry(name).or_default() += units;
+  pub fn restore_unreported(&mut self, unreported: Vec<(Name, i64)>) {
+    for (name, units) in unreported {
+      *self.unreported.entry(name).or_default() += units;
     }
   }
 
-  fn note_recent(&mut self, organisation: &Name, units: f64, now_ms: u64) {
+  fn record_recent(&mut self, organisation: &Name, units: f64, now_ms: u64) {
     let recent = self.recent.entry(organisation.clone()).or_default();
-    recent.note(units, now_ms);
+    recent.record(units, now_ms);
   }
 
   /// Decides without any other box, when none answers: by the rate that this box had, fixed when it is first needed.
-  pub fn admit_alone(&mut self, request: UsageRequest) -> UsageVerdict {
+  pub fn admit_isolated(&mut self, request: UsageRequest) -> UsageVerdict {
     let UsageRequest { limit, now_ms, .. } = request;
     let even = limit.rate_per_s / request.boxes.max(1) as f64;
     let before = self.recent.get(request.organisation);
-    let as_before = before.map_or(0.0, |before| before.per_s(now_ms) * ALONE_FACTOR);
-    let part = part_of(request, as_before.clamp(even, limit.rate_per_s));
-    let own = match self.own.get(request.organisation) {
-      Some(own) if own.of == limit => *own,
-      _ => OwnPart::new(limit, part, now_ms),
+    let as_before = before.map_or(0.0, |before| before.per_s(now_ms) * ISOLATED_FACTOR);
+    let share = share_of(request, as_before.clamp(even, limit.rate_per_s));
+    let local = match self.local.get(request.organisation) {
+      Some(local) if local.of == limit => *local,
+      _ => LocalShare::new(limit, share, now_ms),
     };
-    self.take_from(own, request)
+    self.charge_share(local, request)
   }
 
-  /// Decides by an even part of the limit.
-  fn admit_by_even_part(&mut self, request: UsageRequest) -> UsageVerdict {
+  /// Decides by an even share of the limit.
+  fn admit_by_even_split(&mut self, request: UsageRequest) -> UsageVerdict {
     let UsageRequest { limit, now_ms, .. } = request;
-    let part = part_of(request, limit.rate_per_s / request.boxes.max(1) as f64);
-    let mut own = match self.own.get(request.organisation) {
-      Some(own) => *own,
-      None => OwnPart::new(limit, part, now_ms),
+    let share = share_of(request, limit.rate_per_s / request.boxes.max(1) as f64);
+    let mut local = match self.local.get(request.organisation) {
+      Some(local) => *local,
+      None => LocalShare::new(limit, share, now_ms),
     };
-    own.bucket.change(own.part, part, now_ms);
-    own.part = part;
-    self.take_from(own, request)
+    local.bucket.change(local.share, share, now_ms);
+    local.share = share;
+    self.charge_share(local, request)
   }
 
-  /// Takes a request from a part of the limit, if it is there, and keeps the part.
-  fn take_from(&mut self, mut own: OwnPart, request: UsageRequest) -> UsageVerdict {
+  /// Takes a request from a share of the limit, if it is there, and keeps the share.
+  fn charge_share(&mut self, mut local: LocalShare, request: UsageRequest) -> UsageVerdict {
     let UsageRequest { now_ms, units, .. } = request;
-    // Where the part is smaller than a request, one goes when the bucket is full.
-    let wanted = (units as f64).min(own.part.burst);
-    let left = own.bucket.left(own.part, now_ms);
+    // Where the share is smaller than a request, one goes when the bucket is full.
+    let wanted = (units as f64).min(local.share.burst);
+    let left = local.bucket.level(local.share, now_ms);
     let verdict = if left < wanted {
-      let wait_ms = own.bucket.wait_ms(own.part, wanted, now_ms);
+      let wait_ms = local.bucket.wait_ms(local.share, wanted, now_ms);
       UsageVerdict::OverLimit { left, wait_ms }
     } else {
-      own.bucket.charge(own.part, units as f64);
+      local.bucket.charge(local.share, units as f64);
       UsageVerdict::WithinLimit
     };
-    self.own.insert(request.organisation.clone(), own);
+    self.local.insert(request.organisation.clone(), local);
     verdict
   }
 }
 
-/// The part of a limit with a rate; it holds one request at least.
-fn part_of(request: UsageRequest, rate_per_s: f64) -> UseLimit {
+/// The share of a limit with a rate; it holds one request at least.
+fn share_of(request: UsageRequest, rate_per_s: f64) -> UseLimit {
   let UseLimit {
     burst,
     rate_per_s: whole_per_s,
@@ -285,17 +292,17 @@
   }
 }
 
-impl OwnPart {
-  fn new(of: UseLimit, part: UseLimit, now_ms: u64) -> Self {
+impl LocalShare {
+  fn new(of: UseLimit, share: UseLimit, now_ms: u64) -> Self {
     Self {
-      bucket: TokenBucket::full(part, now_ms),
+      bucket: TokenBucket::full(share, now_ms),
       of,
-      part,
+      share,
     }
   }
 }
 
-impl ShortLimit {
+impl NearLimit {
   /// Whether a request is within what was left when it was heard, less what was admitted since.
   fn verdict(&self, limit: UseLimit, units: u64) -> UsageVerdict {
     let wanted = (units as f64).min(limit.burst);
--- a/src/gateway/decisions/notice_tracker.rs
+++ b/src/gateway/decisions/notice_tracker.rs
@@ -26,16 +26,16 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Availability {
   /// It has said nothing against it.
-  Open,
+  Available,
   /// The pause that it wanted has ended, and it has not taken work since.
-  OnTrial {
+  Probing {
     /// When it asked for the pause.
     asked_ms: u64,
     /// Whether something was sent there just now: whatever else there is goes elsewhere until that is answered.
-    is_taken: bool,
+    is_sent: bool,
   },
   /// It wants no work for now.
-  Pausing {
+  BackingOff {
     /// When it asked for the pause.
     asked_ms: u64,
     /// When the pause ends.
@@ -50,8 +50,8 @@
 
 impl Availability {
   /// Whether its first request after a pause is on its way.
-  pub fn is_being_tried(self) -> bool {
-    matches!(self, Self::OnTrial { is_taken: true, .. })
+  pub fn is_probe_in_flight(self) -> bool {
+    matches!(self, Self::Probing { is_sent: true, .. })
   }
 }
 
@@ -133,7 +133,7 @@
       Some(Noted {
         pause: Some(pause), ..
       }) => pause.availability(now_ms),
-      _ => Availability::Open,
+      _ => Availability::Available,
     }
   }
 
@@ -180,12 +180,12 @@
 
 impl NoticeChange {
   fn between(before: Availability, after: Availability) -> Self {
-    let was_pausing = matches!(before, Availability::Pausing { .. });
+    let was_pausing = matches!(before, Availability::BackingOff { .. });
     Self {
       leaves: matches!(after, Availability::Leaving { .. })
         && !matches!(before, Availability::Leaving { .. }),
       pauses_until_ms: match after {
-        Availability::Pausing { until_ms, .. } if !was_pausing => Some(until_ms),
+        Availability::BackingOff { until_ms, .. } if !was_pausing => Some(until_ms),
         _ => None,
       },
     }
@@ -198,12 +198,12 @@
       asked_ms, until_ms, ..
     } = self;
     if now_ms < until_ms {
-      return Availability::Pausing { asked_ms, until_ms };
+      return Availability::BackingOff { asked_ms, until_ms };
     }
-    let is_taken = self
+    let is_sent = self
       .tried_ms
       .is_some_and(|tried_ms| now_ms < tried_ms + TRIAL_MS);
-    Availability::OnTrial { asked_ms, is_taken }
+    Availability::Probing { asked_ms, is_sent }
   }
 }
 
--- a/src/gateway/decisions/peer_usage.rs
+++ b/src/gateway/decisions/peer_usage.rs
@@ -3,19 +3,19 @@
 use {super::recent_usage::RecentUsage, crate::ids::Name, std::collections::HashMap};
 
 /// A counting box that has not been heard for this long counts as cut off: several messages were due.
-const SILENT_MS: u64 = 600;
+const SILENCE_TIMEOUT_MS: u64 = 600;
 
 /// Another counting box.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
   pub(super) incarnation: u64,
-  pub(super) heard_ms: u64,
+  pub(super) last_contact_ms: u64,
   /// Boxes that report to it.
-  pub(super) followers: usize,
+  pub(super) reporters: usize,
   /// Whether it still counts; one that does not is not waited for.
-  pub(super) is_counting: bool,
+  pub(super) is_coordinator: bool,
   /// Whether its first totals are charged.
-  counts_from_start: bool,
+  is_charged_from_start: bool,
   used: HashMap<Name, PeerUsage>,
 }
 
@@ -28,35 +28,35 @@
   assumed_to_ms: u64,
   recent: RecentUsage,
   /// Its part of the rate, as of when it fell silent.
-  silent_share: Option<f64>,
+  share_when_silent: Option<f64>,
 }
 
 impl Peer {
   /// A box that was not heard before.
-  pub(super) fn new(incarnation: u64, counts_from_start: bool) -> Self {
+  pub(super) fn new(incarnation: u64, is_charged_from_start: bool) -> Self {
     Self {
-      counts_from_start,
-      followers: 0,
-      heard_ms: 0,
+      is_charged_from_start,
+      reporters: 0,
+      last_contact_ms: 0,
       incarnation,
-      is_counting: true,
+      is_coordinator: true,
       used: HashMap::new(),
     }
   }
 
   /// Whether it may be cut off and go on counting.
-  pub(super) fn is_cut_off(&self, now_ms: u64) -> bool {
-    self.is_counting && self.is_silent(now_ms)
+  pub(super) fn is_unreachable(&self, now_ms: u64) -> bool {
+    self.is_coordinator && self.is_silent(now_ms)
   }
 
   fn is_silent(&self, now_ms: u64) -> bool {
-    now_ms > self.heard_ms + SILENT_MS
+    now_ms > self.last_contact_ms + SILENCE_TIMEOUT_MS
   }
 
   /// What it used of late for an organisation; a silent box is taken as it was when it was last heard.
   pub(super) fn recent(&self, organisation: &str, now_ms: u64) -> f64 {
     let at_ms = if self.is_silent(now_ms) {
-      self.heard_ms
+      self.last_contact_ms
     } else {
       now_ms
     };
@@ -65,8 +65,8 @@
   }
 
   /// Takes over a total; answers with the units to charge, beyond what was assumed.
-  pub(super) fn note(&mut self, organisation: &Name, total: i64, now_ms: u64) -> f64 {
-    let is_charged = self.counts_from_start || self.used.contains_key(organisation);
+  pub(super) fn record_total(&mut self, organisation: &Name, total: i64, now_ms: u64) -> f64 {
+    let is_charged = self.is_charged_from_start || self.used.contains_key(organisation);
     let used = self.used.entry(organisation.clone()).or_default();
     let units = if is_charged {
       (total - used.total) as f64
@@ -74,8 +74,8 @@
       0.0
     };
     used.total = total;
-    used.silent_share = None;
-    used.recent.note(units, now_ms);
+    used.share_when_silent = None;
+    used.recent.record(units, now_ms);
     units - std::mem::take(&mut used.assumed)
   }
 
@@ -89,9 +89,9 @@
     now_ms: u64,
   ) -> f64 {
     let used = self.used.entry(organisation.clone()).or_default();
-    let from_ms = used.assumed_to_ms.max(self.heard_ms);
+    let from_ms = used.assumed_to_ms.max(self.last_contact_ms);
     let passed_s = now_ms.saturating_sub(from_ms) as f64 / 1_000.0;
-    let units = rate_per_s * *used.silent_share.get_or_insert(share) * passed_s;
+    let units = rate_per_s * *used.share_when_silent.get_or_insert(share) * passed_s;
     used.assumed += units;
     used.assumed_to_ms = now_ms;
     units
--- a/src/gateway/decisions/permit_table.rs
+++ b/src/gateway/decisions/permit_table.rs
@@ -10,7 +10,7 @@
 };
 
 /// An account that nobody asked for so long is closed: its bucket would be full, and begins without a permit again.
-const MOST_IDLE_MS: u64 = 60_000;
+const MAX_IDLE_MS: u64 = 60_000;
 
 /// Accounts by endpoint's life.
 #[derive(Clone, Debug, Default)]
@@ -20,7 +20,7 @@
 
 impl PermitTable {
   /// Gives out permits at a life of an endpoint within a limit, or says when to ask again.
-  pub fn ask(
+  pub fn request(
     &mut self,
     life: EndpointIncarnation,
     limit: UseLimit,
@@ -32,21 +32,21 @@
       .entry(life)
       .or_insert_with(|| PermitAccount::new(limit, now_ms));
     account.set_limit(limit, now_ms);
-    account.ask(permit_request, now_ms)
+    account.request(permit_request, now_ms)
   }
 
   /// Permits that are left at a life of an endpoint; nothing where none were asked for lately.
-  pub fn left(&mut self, life: EndpointIncarnation, now_ms: u64) -> Option<f64> {
+  pub fn remaining(&mut self, life: EndpointIncarnation, now_ms: u64) -> Option<f64> {
     self
       .accounts
       .get_mut(&life)
-      .map(|account| account.left(now_ms))
+      .map(|account| account.remaining(now_ms))
   }
 
   /// Closes the accounts that nobody asks any more.
-  pub fn forget_old(&mut self, now_ms: u64) {
+  pub fn expire(&mut self, now_ms: u64) {
     self
       .accounts
-      .retain(|_, account| now_ms < account.asked_ms() + MOST_IDLE_MS);
+      .retain(|_, account| now_ms < account.last_request_ms() + MAX_IDLE_MS);
   }
 }
--- a/src/gateway/decisions/quarantine_registry.rs
+++ b/src/gateway/decisions/quarantine_registry.rs
@@ -6,7 +6,7 @@
 //! an end of its own since: an innocent one has to meet three ends in a row for that. Held means one run at a time, over
 //! all boxes: a trial. One that comes back whole clears the request, so that an innocent one is held for as long as one run
 //! takes. One that ends a further endpoint leads to the next trial, much later; after the last, nothing is sent until nobody has asked
-//! for it for [`KEPT_MS`].
+//! for it for [`RETENTION_MS`].
 //!
 //! Limits: three ends are what the users allow before it is a fault. They allow three more after that; two trials leave one for a
 //! run that began before its box had heard of the third end.
@@ -21,18 +21,18 @@
 };
 
 /// Lives of endpoints that end with a request before it is held.
-const MOST_ENDS: usize = 3;
-/// Pauses before the trials. The first comes at once: it frees the innocent, whose endpoints went for another reason. The second
+const MAX_CRASHES: usize = 3;
+/// Pauses before the probes. The first comes at once: it frees the innocent, whose endpoints went for another reason. The second
 /// comes after the endpoints that the request ended are back and have served others for some seconds.
-const TRIAL_PAUSES_MS: [u64; 2] = [0, 15_000];
+const PROBE_DELAYS_MS: [u64; 2] = [0, 15_000];
 /// How long something is kept that nobody asks for.
-const KEPT_MS: u64 = 600_000;
+const RETENTION_MS: u64 = 600_000;
 /// A mark this old is written anew when its request is asked for.
-const REFRESH_MS: u64 = KEPT_MS / 2;
+const REFRESH_MS: u64 = RETENTION_MS / 2;
 /// Callers of a request that is being tried come back after this: most answers are whole within it.
-const TRIAL_WAIT_MS: u64 = 1_000;
+const PROBE_WAIT_MS: u64 = 1_000;
 /// Requests that are kept: 1 MB. An engine with 128 seats that ends adds as many at the most.
-const MOST_KEPT: usize = 4_096;
+const MAX_REQUESTS: usize = 4_096;
 
 /// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -54,29 +54,29 @@
 /// What is known of one request, each with the time since when it stands.
 #[derive(Clone, Debug, Default)]
 struct Case {
-  ended: BTreeMap<EndpointIncarnation, u64>,
-  trials: BTreeMap<u32, u64>,
+  crashed: BTreeMap<EndpointIncarnation, u64>,
+  probes: BTreeMap<u32, u64>,
 }
 
 impl Case {
-  fn is_held(&self) -> bool {
-    self.ended.len() >= MOST_ENDS
+  fn is_quarantined(&self) -> bool {
+    self.crashed.len() >= MAX_CRASHES
   }
 
   fn newest_ms(&self) -> u64 {
-    let times = self.ended.values().chain(self.trials.values());
+    let times = self.crashed.values().chain(self.probes.values());
     times.copied().max().unwrap_or(0)
   }
 
   fn verdict(&self, now_ms: u64) -> QuarantineVerdict {
-    if !self.is_held() {
+    if !self.is_quarantined() {
       return QuarantineVerdict::Allowed;
     }
-    let latest = self.trials.last_key_value();
+    let latest = self.probes.last_key_value();
     let (taken, since_ms) = latest.map_or((0, 0), |(number, at_ms)| (*number, *at_ms));
-    let Some(pause_ms) = TRIAL_PAUSES_MS.get(taken as usize) else {
+    let Some(pause_ms) = PROBE_DELAYS_MS.get(taken as usize) else {
       return QuarantineVerdict::Quarantined {
-        retry_after_ms: KEPT_MS,
+        retry_after_ms: RETENTION_MS,
       };
     };
     let left_ms = (since_ms + pause_ms).saturating_sub(now_ms);
@@ -84,17 +84,17 @@
       return QuarantineVerdict::Probe { number: taken + 1 };
     }
     // While the trial may still be running, its end is worth waiting for.
-    let is_under_way = now_ms < since_ms + TRIAL_WAIT_MS;
+    let is_in_flight = now_ms < since_ms + PROBE_WAIT_MS;
     QuarantineVerdict::Quarantined {
-      retry_after_ms: if is_under_way { TRIAL_WAIT_MS } else { left_ms },
+      retry_after_ms: if is_in_flight { PROBE_WAIT_MS } else { left_ms },
     }
   }
 
   fn keys(&self, fingerprint: Fingerprint) -> Vec<QuarantineKey> {
-    let ended = self.ended.keys().copied().map(QuarantineMark::Crashed);
-    let trials = self.trials.keys().copied().map(QuarantineMark::Probe);
-    ended
-      .chain(trials)
+    let crashed = self.crashed.keys().copied().map(QuarantineMark::Crashed);
+    let probes = self.probes.keys().copied().map(QuarantineMark::Probe);
+    crashed
+      .chain(probes)
       .map(|mark| QuarantineKey { fingerprint, mark })
       .collect()
   }
@@ -113,7 +113,7 @@
 /// for born_ms in [1, 2, 3] {
 ///   assert_eq!(book.verdict(fingerprint, 0), QuarantineVerdict::Allowed);
 ///   let mark = QuarantineMark::Crashed(EndpointIncarnation::of("e-1", Some(born_ms)));
-///   book.note(QuarantineKey { fingerprint, mark }, 0);
+///   book.record(QuarantineKey { fingerprint, mark }, 0);
 /// }
 /// assert_eq!(book.verdict(fingerprint, 0), QuarantineVerdict::Probe { number: 1 });
 /// book.clear(fingerprint);
@@ -126,28 +126,28 @@
 
 impl QuarantineRegistry {
   /// Takes over something that this box saw or heard of, and since when it stands; whether it is new to it.
-  pub fn note(&mut self, key: QuarantineKey, since_ms: u64) -> bool {
-    if !self.cases.contains_key(&key.fingerprint) && self.cases.len() >= MOST_KEPT {
-      self.drop_least();
+  pub fn record(&mut self, key: QuarantineKey, since_ms: u64) -> bool {
+    if !self.cases.contains_key(&key.fingerprint) && self.cases.len() >= MAX_REQUESTS {
+      self.evict_least_crashed();
     }
     let case = self.cases.entry(key.fingerprint).or_default();
     let before = match key.mark {
-      QuarantineMark::Crashed(life) => case.ended.insert(life, since_ms),
-      QuarantineMark::Probe(number) => case.trials.insert(number, since_ms),
+      QuarantineMark::Crashed(life) => case.crashed.insert(life, since_ms),
+      QuarantineMark::Probe(number) => case.probes.insert(number, since_ms),
     };
     before.is_none()
   }
 
   /// Forgets something that no longer holds.
-  pub fn forget(&mut self, key: QuarantineKey) {
+  pub fn remove(&mut self, key: QuarantineKey) {
     let Some(case) = self.cases.get_mut(&key.fingerprint) else {
       return;
     };
     match key.mark {
-      QuarantineMark::Crashed(life) => case.ended.remove(&life),
-      QuarantineMark::Probe(number) => case.trials.remove(&number),
+      QuarantineMark::Crashed(life) => case.crashed.remove(&life),
+      QuarantineMark::Probe(number) => case.probes.remove(&number),
     };
-    if case.ended.is_empty() && case.trials.is_empty() {
+    if case.crashed.is_empty() && case.probes.is_empty() {
       self.cases.remove(&key.fingerprint);
     }
   }
@@ -159,8 +159,8 @@
   }
 
   /// Forgets what nobody has asked for in a long time; what was known of it.
-  pub fn forget_old(&mut self, now_ms: u64) -> Vec<QuarantineKey> {
-    let is_old = |case: &Case| now_ms >= case.newest_ms() + KEPT_MS;
+  pub fn expire(&mut self, now_ms: u64) -> Vec<QuarantineKey> {
+    let is_old = |case: &Case| now_ms >= case.newest_ms() + RETENTION_MS;
     let old: Vec<Fingerprint> = self
       .cases
       .iter()
@@ -182,25 +182,29 @@
   }
 
   /// Since when a life of an endpoint is known to have ended with a request.
-  pub fn ended_since_ms(&self, fingerprint: Fingerprint, life: EndpointIncarnation) -> Option<u64> {
-    self.cases.get(&fingerprint)?.ended.get(&life).copied()
+  pub fn crashed_since_ms(
+    &self,
+    fingerprint: Fingerprint,
+    life: EndpointIncarnation,
+  ) -> Option<u64> {
+    self.cases.get(&fingerprint)?.crashed.get(&life).copied()
   }
 
   /// How many lives of endpoints have ended with a request, and how many trials it had.
   pub fn counts(&self, fingerprint: Fingerprint) -> (usize, usize) {
     let case = self.cases.get(&fingerprint);
-    case.map_or((0, 0), |case| (case.ended.len(), case.trials.len()))
+    case.map_or((0, 0), |case| (case.crashed.len(), case.probes.len()))
   }
 
   /// Whether one more end holds a request: before it is sent on, that end has to be known.
-  pub fn is_near(&self, fingerprint: Fingerprint) -> bool {
-    self.counts(fingerprint).0 + 1 >= MOST_ENDS
+  pub fn is_near_quarantine(&self, fingerprint: Fingerprint) -> bool {
+    self.counts(fingerprint).0 + 1 >= MAX_CRASHES
   }
 
   /// What has to be written anew to be kept, now that a request is asked for.
-  pub fn due(&self, fingerprint: Fingerprint, now_ms: u64) -> Vec<QuarantineKey> {
+  pub fn marks_to_refresh(&self, fingerprint: Fingerprint, now_ms: u64) -> Vec<QuarantineKey> {
     match self.cases.get(&fingerprint) {
-      Some(case) if case.is_held() && now_ms >= case.newest_ms() + REFRESH_MS => {
+      Some(case) if case.is_quarantined() && now_ms >= case.newest_ms() + REFRESH_MS => {
         case.keys(fingerprint)
       }
       _ => Vec::new(),
@@ -221,8 +225,12 @@
   }
 
   /// How many requests are held.
-  pub fn held(&self) -> usize {
-    self.cases.values().filter(|case| case.is_held()).count()
+  pub fn quarantined(&self) -> usize {
+    self
+      .cases
+      .values()
+      .filter(|case| case.is_quarantined())
+      .count()
   }
 
   /// Whether no request is kept: then no fingerprint needs to be worked out.
@@ -231,11 +239,11 @@
   }
 
   /// Drops the request with the fewest ends, the oldest of them.
-  fn drop_least(&mut self) {
+  fn evict_least_crashed(&mut self) {
     let least = self
       .cases
       .iter()
-      .min_by_key(|(_, case)| (case.ended.len(), case.newest_ms()))
+      .min_by_key(|(_, case)| (case.crashed.len(), case.newest_ms()))
       .map(|(fingerprint, _)| *fingerprint);
     if let Some(fingerprint) = least {
       self.cases.remove(&fingerprint);
--- a/src/gateway/decisions/recent_engines.rs
+++ b/src/gateway/decisions/recent_engines.rs
@@ -8,9 +8,9 @@
 
 /// How long an engine that is gone without a word still counts in its last role. The users' crashes and cuts last up to
 /// 6 s, of which its entry outlasts three heartbeats; a change of role takes 6 s.
-const MISSED_MS: u64 = 7_000;
+const MISSING_GRACE_MS: u64 = 7_000;
 /// How long an engine that leaves still counts: the one that replaces it enters sooner.
-const LEAVING_MS: u64 = 3_000;
+const LEAVING_GRACE_MS: u64 = 3_000;
 
 /// The engines that stay. A crashed one's entry lapses only after its next incarnation has entered: while an address
 /// stands twice, neither entry tells what is there.
@@ -37,9 +37,9 @@
 }
 
 #[derive(Clone, Debug)]
-struct Sight {
+struct Observation {
   entry: EndpointEntry,
-  seen_ms: u64,
+  observed_ms: u64,
   counts_until_ms: u64,
 }
 
@@ -52,39 +52,39 @@
 ///   role: Some(Role::Decode), seats: 16, service: "llm".into(),
 /// };
 /// let mut recent = RecentEngines::default();
-/// recent.note(std::slice::from_ref(&engine), 0);
-/// recent.note(&[], 3_000);
+/// recent.record(std::slice::from_ref(&engine), 0);
+/// recent.record(&[], 3_000);
 /// assert_eq!(recent.missing("llm"), [engine]);
-/// recent.note(&[], 20_000);
+/// recent.record(&[], 20_000);
 /// assert!(recent.missing("llm").is_empty());
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct RecentEngines {
-  by_address: HashMap<SocketAddr, Sight>,
-  noted_ms: u64,
+  by_address: HashMap<SocketAddr, Observation>,
+  last_recorded_ms: u64,
 }
 
 impl RecentEngines {
   /// Notes the engines that are here at a time. Those that leave count as gone, and so do, for now, those of an address
   /// that stands twice.
-  pub fn note(&mut self, engines: &[EndpointEntry], now_ms: u64) {
-    self.noted_ms = now_ms;
+  pub fn record(&mut self, engines: &[EndpointEntry], now_ms: u64) {
+    self.last_recorded_ms = now_ms;
     for engine in stable_engines(engines) {
-      let sight = Sight {
+      let observation = Observation {
         entry: engine.clone(),
-        counts_until_ms: now_ms + MISSED_MS,
-        seen_ms: now_ms,
+        counts_until_ms: now_ms + MISSING_GRACE_MS,
+        observed_ms: now_ms,
       };
-      self.by_address.insert(engine.address, sight);
+      self.by_address.insert(engine.address, observation);
     }
     for engine in engines.iter().filter(|engine| engine.leaving) {
-      if let Some(sight) = self.by_address.get_mut(&engine.address) {
-        sight.counts_until_ms = sight.counts_until_ms.min(now_ms + LEAVING_MS);
+      if let Some(observation) = self.by_address.get_mut(&engine.address) {
+        observation.counts_until_ms = observation.counts_until_ms.min(now_ms + LEAVING_GRACE_MS);
       }
     }
     self
       .by_address
-      .retain(|_, sight| now_ms < sight.counts_until_ms);
+      .retain(|_, observation| now_ms < observation.counts_until_ms);
   }
 
   /// The engines of a service that were not here at the last note, and may come back.
@@ -92,9 +92,9 @@
     self
       .by_address
       .values()
-      .filter(|sight| sight.seen_ms < self.noted_ms)
-      .filter(|sight| &*sight.entry.service == service)
-      .map(|sight| sight.entry.clone())
+      .filter(|observation| observation.observed_ms < self.last_recorded_ms)
+      .filter(|observation| &*observation.entry.service == service)
+      .map(|observation| observation.entry.clone())
       .collect()
   }
 }
--- a/src/gateway/decisions/recent_usage.rs
+++ b/src/gateway/decisions/recent_usage.rs
@@ -2,9 +2,9 @@
 
 /// Time after which a use counts for a third: longer than the pauses between the requests of a small organisation, shorter than
 /// the time in which its callers move to another hall.
-const MEMORY_MS: f64 = 4_000.0;
-/// Age of the sum that [`RecentUsage::before_cut`] tells, at least: a cut is noticed that late.
-const CUT_NOTICED_MS: u64 = 600;
+const DECAY_MS: f64 = 4_000.0;
+/// Age of the sum that [`RecentUsage::before_outage`] tells, at least: a cut is noticed that late.
+const DETECTION_DELAY_MS: u64 = 600;
 
 /// A sum of units that fades as they get older.
 #[derive(Clone, Copy, Debug, Default)]
@@ -17,9 +17,9 @@
 
 impl RecentUsage {
   /// Units were used, or given back.
-  pub(super) fn note(&mut self, units: f64, now_ms: u64) {
+  pub(super) fn record(&mut self, units: f64, now_ms: u64) {
     let sum = self.units(now_ms);
-    if now_ms >= self.before[1].1 + CUT_NOTICED_MS {
+    if now_ms >= self.before[1].1 + DETECTION_DELAY_MS {
       self.before = [self.before[1], (sum, now_ms)];
     }
     self.units = (sum + units).max(0.0);
@@ -27,23 +27,27 @@
   }
 
   /// The sum as it was before a cut that is noticed now.
-  pub(super) fn before_cut(&self, now_ms: u64) -> f64 {
-    let cut_ms = now_ms.saturating_sub(CUT_NOTICED_MS);
-    if self.at_ms <= cut_ms {
-      return self.units(cut_ms);
+  pub(super) fn before_outage(&self, now_ms: u64) -> f64 {
+    let outage_ms = now_ms.saturating_sub(DETECTION_DELAY_MS);
+    if self.at_ms <= outage_ms {
+      return self.units(outage_ms);
     }
-    let known = self.before.iter().rev().find(|(_, at_ms)| *at_ms <= cut_ms);
+    let known = self
+      .before
+      .iter()
+      .rev()
+      .find(|(_, at_ms)| *at_ms <= outage_ms);
     known.map_or(0.0, |(units, _)| *units)
   }
 
   /// The sum now.
   pub(super) fn units(&self, now_ms: u64) -> f64 {
     let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
-    self.units * (-age_ms / MEMORY_MS).exp()
+    self.units * (-age_ms / DECAY_MS).exp()
   }
 
   /// The mean rate of late, in units a second.
   pub(super) fn per_s(&self, now_ms: u64) -> f64 {
-    self.units(now_ms) * 1_000.0 / MEMORY_MS
+    self.units(now_ms) * 1_000.0 / DECAY_MS
   }
 }
--- a/src/gateway/decisions/retry_window.rs
+++ b/src/gateway/decisions/retry_window.rs
@@ -3,9 +3,9 @@
 use std::collections::VecDeque;
 
 /// Slices of a second that the window is counted in.
-const SLICES_PER_SECOND: u64 = 4;
+const BUCKETS_PER_SECOND: u64 = 4;
 /// Length of a slice.
-const SLICE_MS: u64 = 1_000 / SLICES_PER_SECOND;
+const BUCKET_MS: u64 = 1_000 / BUCKETS_PER_SECOND;
 /// Part of the allowance that is used: boxes count in slices, and see each other join late.
 const USED_SHARE: f64 = 0.7;
 
@@ -24,7 +24,7 @@
 struct Slice {
   number: u64,
   requests: u32,
-  repeats: u32,
+  retries: u32,
 }
 
 /// The requests and repeats that this box sent to one service in the last window.
@@ -45,33 +45,33 @@
 
 impl RetryWindow {
   /// A caller's request came for the service.
-  pub fn note_request(&mut self, now_ms: u64) {
+  pub fn record_request(&mut self, now_ms: u64) {
     self.slice(now_ms).requests += 1;
   }
 
   /// A repeat was sent that could not be held back.
-  pub fn note_repeat(&mut self, now_ms: u64) {
-    self.slice(now_ms).repeats += 1;
+  pub fn record_retry(&mut self, now_ms: u64) {
+    self.slice(now_ms).retries += 1;
   }
 
   /// A repeat that was taken just now was not sent.
-  pub fn give_back(&mut self, now_ms: u64) {
+  pub fn refund(&mut self, now_ms: u64) {
     let slice = self.slice(now_ms);
-    slice.repeats = slice.repeats.saturating_sub(1);
+    slice.retries = slice.retries.saturating_sub(1);
   }
 
   /// Takes a repeat, if one is left.
   pub fn take(&mut self, allowance: RetryAllowance, boxes: usize, now_ms: u64) -> bool {
-    if self.left(allowance, boxes, now_ms) < 1.0 {
+    if self.remaining(allowance, boxes, now_ms) < 1.0 {
       return false;
     }
-    self.note_repeat(now_ms);
+    self.record_retry(now_ms);
     true
   }
 
   /// Repeats that this box may still send now.
-  pub fn left(&mut self, allowance: RetryAllowance, boxes: usize, now_ms: u64) -> f64 {
-    let oldest = (now_ms.saturating_sub(allowance.window_ms)) / SLICE_MS;
+  pub fn remaining(&mut self, allowance: RetryAllowance, boxes: usize, now_ms: u64) -> f64 {
+    let oldest = (now_ms.saturating_sub(allowance.window_ms)) / BUCKET_MS;
     while self
       .slices
       .front()
@@ -80,19 +80,19 @@
       self.slices.pop_front();
     }
     let requests: u32 = self.slices.iter().map(|slice| slice.requests).sum();
-    let repeats: u32 = self.slices.iter().map(|slice| slice.repeats).sum();
+    let retries: u32 = self.slices.iter().map(|slice| slice.retries).sum();
     let boxes = boxes.max(1) as f64;
     let allowed = allowance.ratio * f64::from(requests) + allowance.slack / boxes;
-    USED_SHARE * allowed - f64::from(repeats)
+    USED_SHARE * allowed - f64::from(retries)
   }
 
   /// The slice of this moment, begun when it is the first to need it.
   fn slice(&mut self, now_ms: u64) -> &mut Slice {
-    let number = now_ms / SLICE_MS;
+    let number = now_ms / BUCKET_MS;
     if self.slices.back().is_none_or(|slice| slice.number < number) {
       self.slices.push_back(Slice {
         number,
-        repeats: 0,
+        retries: 0,
         requests: 0,
       });
     }
--- a/src/gateway/decisions/slot_forecast.rs
+++ b/src/gateway/decisions/slot_forecast.rs
@@ -17,7 +17,7 @@
 /// let mut forecast = SlotForecast::default();
 /// assert!(forecast.has_chance(5, 400));
 /// for at_ms in [0, 500, 1_000, 1_500] {
-///   forecast.note_seat(at_ms, true);
+///   forecast.record_slot(at_ms, true);
 /// }
 /// // A seat comes each half second: the next one may come in 400 ms, the sixth does not.
 /// assert!(forecast.has_chance(0, 400));
@@ -35,7 +35,7 @@
 
 impl SlotForecast {
   /// A request got a seat; `others_wait` tells whether further ones look for one.
-  pub fn note_seat(&mut self, now_ms: u64, others_wait: bool) {
+  pub fn record_slot(&mut self, now_ms: u64, others_wait: bool) {
     if let Some(since_ms) = self.waited_since_ms {
       let took_ms = now_ms.saturating_sub(since_ms);
       self.interval_ms = Some(moved(self.interval_ms, took_ms));
@@ -44,12 +44,12 @@
   }
 
   /// No request looks for a seat any more.
-  pub fn note_idle(&mut self) {
+  pub fn record_idle(&mut self) {
     self.waited_since_ms = None;
   }
 
   /// A stream came to its end.
-  pub fn note_stream(&mut self, took_ms: u64) {
+  pub fn record_stream(&mut self, took_ms: u64) {
     self.stream_ms = Some(moved(self.stream_ms, took_ms));
   }
 
--- a/src/gateway/decisions/token_bucket.rs
+++ b/src/gateway/decisions/token_bucket.rs
@@ -4,7 +4,7 @@
 
 /// The deepest debt, as a time at the limit's rate. More is not paid back: a count that is wrong, or told by a box that lies,
 /// refuses an organisation for this long at the most.
-const MOST_DEBT_S: f64 = 1.0;
+const MAX_DEBT_S: f64 = 1.0;
 
 /// What is left of a limit. It may be in debt: units that others report late have been used all the same.
 ///
@@ -13,16 +13,16 @@
 /// let limit = UseLimit { burst: 100.0, rate_per_s: 10.0 };
 /// let mut bucket = TokenBucket::full(limit, 0);
 /// bucket.charge(limit, 105.0);
-/// assert_eq!(bucket.left(limit, 0), -5.0);
-/// assert_eq!(bucket.left(limit, 200), -3.0);
+/// assert_eq!(bucket.level(limit, 0), -5.0);
+/// assert_eq!(bucket.level(limit, 200), -3.0);
 /// assert_eq!(bucket.wait_ms(limit, 20.0, 200), 2_300);
 /// bucket.charge(limit, 1_000_000.0);
-/// assert_eq!(bucket.left(limit, 200), -10.0);
-/// assert_eq!(bucket.left(limit, 60_000), 100.0);
+/// assert_eq!(bucket.level(limit, 200), -10.0);
+/// assert_eq!(bucket.level(limit, 60_000), 100.0);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TokenBucket {
-  left: f64,
+  level: f64,
   at_ms: u64,
 }
 
@@ -31,7 +31,7 @@
   pub fn full(limit: UseLimit, now_ms: u64) -> Self {
     Self {
       at_ms: now_ms,
-      left: limit.burst,
+      level: limit.burst,
     }
   }
 
@@ -39,34 +39,34 @@
   pub fn empty(now_ms: u64) -> Self {
     Self {
       at_ms: now_ms,
-      left: 0.0,
+      level: 0.0,
     }
   }
 
   /// Units that are left now.
-  pub fn left(&mut self, limit: UseLimit, now_ms: u64) -> f64 {
+  pub fn level(&mut self, limit: UseLimit, now_ms: u64) -> f64 {
     let passed_ms = now_ms.saturating_sub(self.at_ms);
     self.at_ms = self.at_ms.max(now_ms);
-    self.left += limit.rate_per_s * passed_ms as f64 / 1_000.0;
-    self.left = self.left.min(limit.burst);
-    self.left
+    self.level += limit.rate_per_s * passed_ms as f64 / 1_000.0;
+    self.level = self.level.min(limit.burst);
+    self.level
   }
 
   /// Takes units, or gives them back when there are less than none.
   pub fn charge(&mut self, limit: UseLimit, units: f64) {
-    let deepest = -limit.rate_per_s * MOST_DEBT_S;
-    self.left = (self.left - units).max(deepest).min(limit.burst);
+    let deepest = -limit.rate_per_s * MAX_DEBT_S;
+    self.level = (self.level - units).max(deepest).min(limit.burst);
   }
 
   /// Time until so many units are there, if nothing is taken.
   pub fn wait_ms(&mut self, limit: UseLimit, units: f64, now_ms: u64) -> u64 {
-    let missing = units.min(limit.burst) - self.left(limit, now_ms);
+    let missing = units.min(limit.burst) - self.level(limit, now_ms);
     (missing.max(0.0) / limit.rate_per_s * 1_000.0).ceil() as u64
   }
 
   /// The limit has changed: what the bucket holds more, or less, is there at once.
   pub fn change(&mut self, from: UseLimit, to: UseLimit, now_ms: u64) {
-    let left = self.left(from, now_ms);
-    self.left = (left + (to.burst - from.burst).max(0.0)).min(to.burst);
+    let level = self.level(from, now_ms);
+    self.level = (level + (to.burst - from.burst).max(0.0)).min(to.burst);
   }
 }
--- a/src/gateway/decisions/unavailable.rs
+++ b/src/gateway/decisions/unavailable.rs
@@ -4,14 +4,14 @@
 ///
 /// ```
 /// use rillford::gateway::Unavailable;
-/// let pausing = Unavailable::Pausing { asked_ms: 200, left_ms: 2_800 };
+/// let pausing = Unavailable::BackingOff { asked_ms: 200, left_ms: 2_800 };
 /// assert_eq!(pausing.to_string(), "it wants no work for 2800 ms more, as it said 200 ms ago");
 /// ```
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Unavailable {
   /// The store lists it no more.
   #[error("its entry has gone")]
-  Gone,
+  Unlisted,
   /// Operators drain its hall.
   #[error("its hall is drained")]
   HallDrained,
@@ -26,7 +26,7 @@
   },
   /// It wants no work for now.
   #[error("it wants no work for {left_ms} ms more, as it said {asked_ms} ms ago")]
-  Pausing {
+  BackingOff {
     /// How long ago it said so.
     asked_ms: u64,
     /// How long that holds.
--- a/src/gateway/decisions/usage_table.rs
+++ b/src/gateway/decisions/usage_table.rs
@@ -1,14 +1,14 @@
 //! What organisations have used of their limits, counted over all boxes by the few that count. Free of I/O.
 //!
 //! Load pattern: an organisation sends several times its usual within milliseconds and over every box, while halls are
-//! cut off from each other. Each counting box charges what it and its followers admit at once, and what the other counting
+//! cut off from each other. Each counting box charges what it and its reporters admit at once, and what the other counting
 //! boxes admit as soon as they say so. Use in any window stays within rate x window + burst + the debt at its end, and the
 //! debt is at most what is admitted elsewhere while a message is on its way. A counting box that is silent is taken to go on
 //! using its former part of the rate: both sides of a cut do so, which leaves each its own part and keeps the sum.
 
 use {
   super::{
-    follower_list::FollowerList, peer_usage::Peer, recent_usage::RecentUsage,
+    peer_usage::Peer, recent_usage::RecentUsage, reporter_list::ReporterList,
     token_bucket::TokenBucket, usage_verdict::UsageVerdict,
   },
   crate::{gateway::edge::UseLimit, ids::Name},
@@ -18,13 +18,13 @@
 
 /// Weight that a counting box has without any use, as a time at the limit's rate: a cut that comes before the first use
 /// leaves each box a part.
-const LEAST_WEIGHT_S: f64 = 0.02;
+const MIN_WEIGHT_S: f64 = 0.02;
 /// Part of the burst below which an organisation is short: its requests are counted before they are admitted.
-const SHORT_SHARE: f64 = 0.5;
+const NEAR_LIMIT_SHARE: f64 = 0.5;
 
 /// Part of the burst by which a total has changed when the others are told at once: with 18 boxes that count they know all but
 /// a sixth of a burst, as a rule.
-const CHANGE_SHARE: f64 = 0.01;
+const REPORTED_CHANGE_SHARE: f64 = 0.01;
 
 /// Which totals are told.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -45,7 +45,7 @@
   /// How long ago it started.
   pub uptime_ms: u64,
   /// Boxes that report to it.
-  pub followers: usize,
+  pub reporters: usize,
   /// Units that it has counted since then, by organisation; some may be left out.
   pub totals: Vec<(Name, i64)>,
 }
@@ -58,10 +58,10 @@
   /// Units that this box has counted since it started.
   total: i64,
   /// The total as it was last told.
-  told: i64,
+  reported: i64,
   recent: RecentUsage,
   /// Up to when a part was kept back for boxes that are alone.
-  kept_back_to_ms: u64,
+  withheld_until_ms: u64,
 }
 
 /// The accounts of a counting box.
@@ -85,9 +85,9 @@
   /// Totals of organisations that have no limit any more.
   former_totals: HashMap<Name, i64>,
   peers: HashMap<Name, Peer>,
-  followers: FollowerList,
+  reporters: ReporterList,
   /// Part of all boxes that reports to nobody who counts.
-  lone_share: f64,
+  isolated_share: f64,
 }
 
 impl UsageTable {
@@ -120,11 +120,11 @@
 
   /// Counts a request if it is within its organisation's limit.
   pub fn admit(&mut self, organisation: &Name, units: u64, now_ms: u64) -> UsageVerdict {
-    self.settle_unheard(organisation, now_ms);
+    self.charge_unreachable(organisation, now_ms);
     let Some(account) = self.accounts.get_mut(organisation) else {
       return UsageVerdict::WithinLimit;
     };
-    let left = account.bucket.left(account.limit, now_ms);
+    let left = account.bucket.level(account.limit, now_ms);
     // A request larger than the bucket is admitted when the bucket is full.
     let wanted = (units as f64).min(account.limit.burst);
     if left < wanted {
@@ -138,51 +138,51 @@
   /// Counts what a follower has admitted, or given back.
   pub fn count(&mut self, organisation: &str, units: i64, now_ms: u64) {
     if let Some(account) = self.accounts.get_mut(organisation) {
-      account.bucket.left(account.limit, now_ms);
+      account.bucket.level(account.limit, now_ms);
       account.count(units, now_ms);
     }
   }
 
   /// The organisations that are short, each with the units that are left.
-  pub fn short(&mut self, now_ms: u64) -> Vec<(Name, f64)> {
-    let standings = self.standings(now_ms);
-    let short = standings
+  pub fn near_limit(&mut self, now_ms: u64) -> Vec<(Name, f64)> {
+    let balances = self.balances(now_ms);
+    let short = balances
       .into_iter()
-      .filter(|(_, left, limit)| *left < limit.burst * SHORT_SHARE);
+      .filter(|(_, left, limit)| *left < limit.burst * NEAR_LIMIT_SHARE);
     short.map(|(name, left, _)| (name, left)).collect()
   }
 
   /// Units that are left of an organisation's limit; nothing when it has none.
-  pub fn left(&mut self, organisation: &str, now_ms: u64) -> Option<(f64, UseLimit)> {
+  pub fn remaining(&mut self, organisation: &str, now_ms: u64) -> Option<(f64, UseLimit)> {
     let account = self.accounts.get_mut(organisation)?;
-    let left = account.bucket.left(account.limit, now_ms);
+    let left = account.bucket.level(account.limit, now_ms);
     Some((left, account.limit))
   }
 
   /// All organisations that are limited, each with the units that are left.
-  pub fn standings(&mut self, now_ms: u64) -> Vec<(Name, f64, UseLimit)> {
+  pub fn balances(&mut self, now_ms: u64) -> Vec<(Name, f64, UseLimit)> {
     let names: Vec<Name> = self.accounts.keys().cloned().collect();
-    let mut standings = Vec::new();
+    let mut balances = Vec::new();
     for name in names {
-      self.settle_unheard(&name, now_ms);
-      if let Some((left, limit)) = self.left(&name, now_ms) {
-        standings.push((name, left, limit));
+      self.charge_unreachable(&name, now_ms);
+      if let Some((left, limit)) = self.remaining(&name, now_ms) {
+        balances.push((name, left, limit));
       }
     }
-    standings
+    balances
   }
 
   /// What this box has counted since it started, by organisation: all of it, or what has changed enough to matter to others.
-  pub fn totals_to_tell(&mut self, span: ReportScope) -> Vec<(Name, i64)> {
+  pub fn totals_to_report(&mut self, span: ReportScope) -> Vec<(Name, i64)> {
     let mut totals = Vec::new();
     for (name, account) in &mut self.accounts {
-      let untold = (account.total - account.told).abs() as f64;
+      let unreported = (account.total - account.reported).abs() as f64;
       let is_due = match span {
         ReportScope::All => account.total != 0,
-        ReportScope::Changed => untold > account.limit.burst * CHANGE_SHARE,
+        ReportScope::Changed => unreported > account.limit.burst * REPORTED_CHANGE_SHARE,
       };
       if is_due {
-        account.told = account.total;
+        account.reported = account.total;
         totals.push((name.clone(), account.total));
       }
     }
@@ -190,7 +190,7 @@
   }
 
   /// Charges what another counting box has counted since it was last heard.
-  pub fn hear(&mut self, from: &UsageTotals, own_uptime_ms: u64, now_ms: u64) {
+  pub fn merge_totals(&mut self, from: &UsageTotals, own_uptime_ms: u64, now_ms: u64) {
     let is_new = match self.peers.get(&from.box_name) {
       Some(peer) => peer.incarnation != from.incarnation,
       None => true,
@@ -204,60 +204,60 @@
     let Some(peer) = self.peers.get_mut(&from.box_name) else {
       return;
     };
-    peer.heard_ms = now_ms;
-    peer.followers = from.followers;
+    peer.last_contact_ms = now_ms;
+    peer.reporters = from.reporters;
     for (name, total) in &from.totals {
-      let units = peer.note(name, *total, now_ms);
+      let units = peer.record_total(name, *total, now_ms);
       if let Some(account) = self.accounts.get_mut(name) {
-        account.bucket.left(account.limit, now_ms);
+        account.bucket.level(account.limit, now_ms);
         account.bucket.charge(account.limit, units);
       }
     }
   }
 
   /// A box has reported.
-  pub fn note_follower(&mut self, name: &Name, now_ms: u64) {
-    self.followers.note(name, now_ms);
+  pub fn record_reporter(&mut self, name: &Name, now_ms: u64) {
+    self.reporters.record(name, now_ms);
   }
 
   /// How many boxes report to this one.
-  pub fn follower_count(&mut self, now_ms: u64) -> usize {
-    self.followers.count(now_ms)
+  pub fn reporter_count(&mut self, now_ms: u64) -> usize {
+    self.reporters.count(now_ms)
   }
 
   /// Works out how many of all boxes report to nobody who counts: those go on by themselves, and a part of each limit is kept
   /// back for them.
   pub fn set_box_count(&mut self, boxes: usize, now_ms: u64) {
-    let counting = self.peers.values().filter(|peer| peer.is_counting);
-    let of_peers: usize = counting.map(|peer| peer.followers + 1).sum();
-    let heard = of_peers + self.followers.count(now_ms) + 1;
-    self.lone_share = boxes.saturating_sub(heard) as f64 / boxes.max(1) as f64;
+    let counting = self.peers.values().filter(|peer| peer.is_coordinator);
+    let of_peers: usize = counting.map(|peer| peer.reporters + 1).sum();
+    let heard = of_peers + self.reporters.count(now_ms) + 1;
+    self.isolated_share = boxes.saturating_sub(heard) as f64 / boxes.max(1) as f64;
   }
 
   /// Says which boxes count now. What the others told is kept for when they are back: their totals go on.
-  pub fn set_counting(&mut self, is_counting: impl Fn(&str) -> bool) {
+  pub fn set_coordinators(&mut self, is_coordinator: impl Fn(&str) -> bool) {
     for (name, peer) in &mut self.peers {
-      peer.is_counting = is_counting(name);
+      peer.is_coordinator = is_coordinator(name);
     }
   }
 
   /// Takes boxes that are not heard to go on using their parts of the rate.
-  fn settle_unheard(&mut self, organisation: &Name, now_ms: u64) {
+  fn charge_unreachable(&mut self, organisation: &Name, now_ms: u64) {
     let Some(account) = self.accounts.get_mut(organisation) else {
       return;
     };
-    account.keep_back(self.lone_share, now_ms);
-    if !self.peers.values().any(|peer| peer.is_cut_off(now_ms)) {
+    account.withhold(self.isolated_share, now_ms);
+    if !self.peers.values().any(|peer| peer.is_unreachable(now_ms)) {
       return;
     }
-    let least = account.limit.rate_per_s * LEAST_WEIGHT_S;
+    let least = account.limit.rate_per_s * MIN_WEIGHT_S;
     let weight = |peer: &Peer| peer.recent(organisation, now_ms) + least;
-    let own = account.recent.before_cut(now_ms) + least;
-    let counting = self.peers.values().filter(|peer| peer.is_counting);
+    let own = account.recent.before_outage(now_ms) + least;
+    let counting = self.peers.values().filter(|peer| peer.is_coordinator);
     let all = own + counting.map(weight).sum::<f64>();
-    account.bucket.left(account.limit, now_ms);
+    account.bucket.level(account.limit, now_ms);
     for peer in self.peers.values_mut() {
-      if peer.is_cut_off(now_ms) {
+      if peer.is_unreachable(now_ms) {
         let share = weight(peer) / all;
         let units = peer.assume(organisation, share, account.limit.rate_per_s, now_ms);
         account.bucket.charge(account.limit, units);
@@ -271,10 +271,10 @@
     let total = former_total.unwrap_or(0);
     Self {
       bucket: TokenBucket::full(limit, now_ms),
-      kept_back_to_ms: now_ms,
+      withheld_until_ms: now_ms,
       limit,
       recent: RecentUsage::default(),
-      told: total,
+      reported: total,
       total,
     }
   }
@@ -288,11 +288,11 @@
   }
 
   /// Keeps back what boxes that are alone may use.
-  fn keep_back(&mut self, share: f64, now_ms: u64) {
-    let passed_s = now_ms.saturating_sub(self.kept_back_to_ms) as f64 / 1_000.0;
-    self.kept_back_to_ms = now_ms;
+  fn withhold(&mut self, share: f64, now_ms: u64) {
+    let passed_s = now_ms.saturating_sub(self.withheld_until_ms) as f64 / 1_000.0;
+    self.withheld_until_ms = now_ms;
     if share > 0.0 {
-      self.bucket.left(self.limit, now_ms);
+      self.bucket.level(self.limit, now_ms);
       let units = self.limit.rate_per_s * share * passed_s;
       self.bucket.charge(self.limit, units);
     }
@@ -301,6 +301,6 @@
   fn count(&mut self, units: i64, now_ms: u64) {
     self.bucket.charge(self.limit, units as f64);
     self.total += units;
-    self.recent.note(units as f64, now_ms);
+    self.recent.record(units as f64, now_ms);
   }
 }
--- a/src/gateway/limits/admission.rs
+++ b/src/gateway/limits/admission.rs
@@ -63,7 +63,7 @@
       }
       CountedBy::Ledger => {
         let mut ledger = self.gateway.use_ledger.borrow_mut();
-        ledger.note(&self.organisation, units, now_ms);
+        ledger.record(&self.organisation, units, now_ms);
       }
     }
   }
@@ -128,7 +128,7 @@
     LocalVerdict::Settled(verdict) => verdict,
     LocalVerdict::Ask => match ask(gateway, name, units).await {
       Some(verdict) => verdict,
-      None => gateway.use_ledger.borrow_mut().admit_alone(request()),
+      None => gateway.use_ledger.borrow_mut().admit_isolated(request()),
     },
   }
 }
@@ -136,7 +136,7 @@
 /// Asks the boxes that count; nothing when none answers in time.
 async fn ask(gateway: &Gateway, name: &Name, units: u64) -> Option<UsageVerdict> {
   for address in candidates(gateway).into_iter().take(MOST_ASKED) {
-    let used = gateway.use_ledger.borrow_mut().take_untold();
+    let used = gateway.use_ledger.borrow_mut().take_unreported();
     let message = UseReport {
       asks: Some((name.clone(), units)),
       box_name: gateway.settings.identity.name.clone(),
@@ -147,11 +147,11 @@
         gateway.counting_box.set(Some(address));
         let now_ms = gateway.now_ms();
         let mut ledger = gateway.use_ledger.borrow_mut();
-        ledger.heard(answer.short, now_ms);
+        ledger.record_near_limit(answer.short, now_ms);
         match answer.verdict {
-          Some(UsageVerdict::WithinLimit) => ledger.note_counted(name, units, now_ms),
+          Some(UsageVerdict::WithinLimit) => ledger.record_admitted(name, units, now_ms),
           Some(UsageVerdict::OverLimit { left, wait_ms }) => {
-            ledger.note_refused(name, left, wait_ms, now_ms);
+            ledger.record_rejected(name, left, wait_ms, now_ms);
           }
           None => {}
         }
@@ -159,11 +159,14 @@
       }
       Err(error) => {
         log::info!("E610 not asked: {address} on {name}: {error}");
-        gateway.use_ledger.borrow_mut().untell(message.used);
+        gateway
+          .use_ledger
+          .borrow_mut()
+          .restore_unreported(message.used);
       }
     }
   }
-  gateway.use_ledger.borrow_mut().note_unreached();
+  gateway.use_ledger.borrow_mut().record_unreachable();
   None
 }
 
--- a/src/gateway/limits/figures.rs
+++ b/src/gateway/limits/figures.rs
@@ -31,7 +31,7 @@
 
 fn nearest_to_limits(gateway: &Gateway) -> Vec<(Name, f64, UseLimit)> {
   let now_ms = gateway.now_ms();
-  let mut all = gateway.use_book.borrow_mut().standings(now_ms);
+  let mut all = gateway.use_book.borrow_mut().balances(now_ms);
   let left_share = |left: f64, limit: UseLimit| left / limit.burst.max(1.0);
   all.sort_by(|one, other| {
     left_share(one.1, one.2)
--- a/src/gateway/limits/messages.rs
+++ b/src/gateway/limits/messages.rs
@@ -78,7 +78,7 @@
   };
   let now_ms = gateway.now_ms();
   let mut book = gateway.use_book.borrow_mut();
-  book.note_follower(&report.box_name, now_ms);
+  book.record_reporter(&report.box_name, now_ms);
   for (organisation, units) in &report.used {
     book.count(organisation, *units, now_ms);
   }
@@ -86,7 +86,7 @@
     .asks
     .map(|(organisation, units)| book.admit(&organisation, units, now_ms));
   let answer = UseAnswer {
-    short: book.short(now_ms),
+    short: book.near_limit(now_ms),
     verdict,
   };
   message_answer(&answer)
@@ -106,7 +106,7 @@
   gateway
     .use_book
     .borrow_mut()
-    .hear(&totals, uptime_ms, now_ms);
+    .merge_totals(&totals, uptime_ms, now_ms);
   status_answer(StatusCode::OK)
 }
 
--- a/src/gateway/limits/telling.rs
+++ b/src/gateway/limits/telling.rs
@@ -30,7 +30,7 @@
   let mut turn = 0_u32;
   loop {
     sleep(PAUSE).await;
-    if gateway.use_book.borrow().is_empty() || !gateway.settings.limits.way.is_told() {
+    if gateway.use_book.borrow().is_empty() || !gateway.settings.limits.way.uses_coordinators() {
       continue;
     }
     if gateway.is_counting() {
@@ -60,14 +60,14 @@
   };
   let totals = {
     let mut book = gateway.use_book.borrow_mut();
-    book.set_counting(|peer| names.iter().any(|name| &**name == peer));
+    book.set_coordinators(|peer| names.iter().any(|name| &**name == peer));
     let now_ms = gateway.now_ms();
     book.set_box_count(gateway.box_count(), now_ms);
     UsageTotals {
       box_name: name,
-      followers: book.follower_count(now_ms),
+      reporters: book.reporter_count(now_ms),
       incarnation: gateway.incarnation,
-      totals: book.totals_to_tell(span),
+      totals: book.totals_to_report(span),
       uptime_ms: now_ms,
     }
   };
@@ -82,7 +82,7 @@
 
 /// Reports to the first box that counts and answers.
 async fn tell_one_that_counts(gateway: &Gateway) {
-  let untold = gateway.use_ledger.borrow_mut().take_untold();
+  let untold = gateway.use_ledger.borrow_mut().take_unreported();
   let message = UseReport {
     asks: None,
     box_name: gateway.settings.identity.name.clone(),
@@ -93,7 +93,10 @@
       Ok(answer) => {
         let now_ms = gateway.now_ms();
         gateway.counting_box.set(Some(address));
-        gateway.use_ledger.borrow_mut().heard(answer.short, now_ms);
+        gateway
+          .use_ledger
+          .borrow_mut()
+          .record_near_limit(answer.short, now_ms);
         return;
       }
       Err(error) => log::debug!("use not told to {address}: {error}"),
@@ -101,8 +104,8 @@
   }
   // It may have been counted all the same; counted twice it is on the safe side of the limit.
   let mut ledger = gateway.use_ledger.borrow_mut();
-  ledger.untell(message.used);
-  ledger.note_unreached();
+  ledger.restore_unreported(message.used);
+  ledger.record_unreachable();
 }
 
 /// The boxes that count, the one that answered last before all others.
--- a/src/gateway/membership/store_view.rs
+++ b/src/gateway/membership/store_view.rs
@@ -141,10 +141,10 @@
     let mut book = self.gateway.quarantine.book.borrow_mut();
     match value.map(mark_age_ms) {
       Some(Some(age_ms)) => {
-        book.note(key, self.gateway.now_ms().saturating_sub(age_ms));
+        book.record(key, self.gateway.now_ms().saturating_sub(age_ms));
       }
       Some(None) => log::warn!("E405 value of mark {text} can't be read"),
-      None => book.forget(key),
+      None => book.remove(key),
     }
   }
 
@@ -154,7 +154,7 @@
       .book
       .borrow_mut()
       .drained_halls_mut()
-      .note(hall, is_drained, revision);
+      .record(hall, is_drained, revision);
     match news {
       HallDrainChange::Unchanged => {}
       HallDrainChange::Started => {
--- a/src/gateway/parts/notice.rs
+++ b/src/gateway/parts/notice.rs
@@ -114,7 +114,7 @@
   if !is_due {
     return;
   }
-  let heard = gateway.book.borrow().limits().heard(entry);
+  let heard = gateway.book.borrow().limits().advertised(entry);
   let per_s = heard.and_then(|heard| heard.per_s);
   let facts = gateway.dialect.answer_facts(&answer.headers);
   let request = facts.request_id.as_deref().unwrap_or("-");
--- a/src/gateway/parts/part.rs
+++ b/src/gateway/parts/part.rs
@@ -352,7 +352,7 @@
       }
       Ok(())
     }
-    (Err(Unavailable::Gone), _) => Err(Unavailable::Gone.into()),
+    (Err(Unavailable::Unlisted), _) => Err(Unavailable::Unlisted.into()),
     (_, Purpose::GiveBack) => Ok(()),
     (Err(unavailable), Purpose::Request | Purpose::Call) => {
       gateway.counters.not_sent.inc();
--- a/src/gateway/permits/cold_span_message.rs
+++ b/src/gateway/permits/cold_span_message.rs
@@ -26,7 +26,7 @@
   /// It on the clock of the box that is told.
   pub(super) fn span(self, now_ms: u64) -> ColdPeriod {
     ColdPeriod {
-      noted_ms: now_ms,
+      recorded_ms: now_ms,
       per_s: self.per_s.max(0.0),
       until_ms: now_ms.saturating_add(self.left_ms),
     }
--- a/src/gateway/permits/figures.rs
+++ b/src/gateway/permits/figures.rs
@@ -17,7 +17,7 @@
   let now_ms = gateway.now_ms();
   let mut text = String::new();
   for (id, heard) in lowest_limits(gateway) {
-    let age_ms = now_ms.saturating_sub(heard.heard_ms);
+    let age_ms = now_ms.saturating_sub(heard.received_ms);
     let per_s = heard.per_s.unwrap_or_default();
     // Writing to a string does not fail.
     let _ = writeln!(
@@ -53,5 +53,5 @@
 fn permits_left(gateway: &Gateway, id: &str, now_ms: u64) -> Option<f64> {
   let born_ms = gateway.book.borrow().entry(id)?.born_ms;
   let life = EndpointIncarnation::of(id, born_ms);
-  gateway.permit_book.borrow_mut().left(life, now_ms)
+  gateway.permit_book.borrow_mut().remaining(life, now_ms)
 }
--- a/src/gateway/permits/messages.rs
+++ b/src/gateway/permits/messages.rs
@@ -95,9 +95,9 @@
   let mut book = gateway.book.borrow_mut();
   if let Some(cold) = question.cold {
     let limits = book.limits_mut();
-    limits.note_cold(id, born_ms, cold.span(now_ms));
+    limits.record_cold(id, born_ms, cold.span(now_ms));
   }
-  let named = book.limits().heard_of(id, born_ms);
+  let named = book.limits().advertised_by(id, born_ms);
   let per_s = book.limits().lowest_per_s(id, born_ms, now_ms);
   drop(book);
   let permit_request = PermitRequest {
@@ -127,7 +127,7 @@
   let Some(per_s) = per_s else {
     return PermitVerdict::Granted(permit_request.permits);
   };
-  let verdict = gateway.permit_book.borrow_mut().ask(
+  let verdict = gateway.permit_book.borrow_mut().request(
     life,
     coordinator_limit(per_s),
     permit_request,
--- a/src/gateway/permits/taking.rs
+++ b/src/gateway/permits/taking.rs
@@ -80,7 +80,7 @@
     .borrow_mut()
     .limits_mut()
     .permits()
-    .take(&entry.id, now_ms);
+    .acquire(&entry.id, now_ms);
   let permit_request = match local {
     LocalPermitVerdict::Granted => {
       gateway.counters.permits_taken.inc();
@@ -105,7 +105,7 @@
     .borrow_mut()
     .limits_mut()
     .permits()
-    .note_verdict(&entry.id, verdict, now_ms);
+    .record_verdict(&entry.id, verdict, now_ms);
   match verdict {
     PermitVerdict::Granted(_) => {
       gateway.counters.permits_taken.inc();
@@ -119,7 +119,7 @@
 pub(crate) fn return_permit(gateway: &Gateway, entry: &EndpointEntry) {
   let now_ms = gateway.now_ms();
   let mut book = gateway.book.borrow_mut();
-  book.limits_mut().permits().give_back(&entry.id, now_ms);
+  book.limits_mut().permits().return_unused(&entry.id, now_ms);
 }
 
 /// The limit that is in force at an endpoint.
@@ -179,7 +179,7 @@
     let book = gateway.book.borrow();
     let limits = book.limits();
     (
-      limits.heard(entry),
+      limits.advertised(entry),
       limits.cold_period(&entry.id, entry.born_ms, now_ms),
     )
   };
@@ -201,7 +201,7 @@
       if let Some(told) = answer.told {
         let mut book = gateway.book.borrow_mut();
         let limits = book.limits_mut();
-        limits.note_told(&entry.id, entry.born_ms, told.heard(now_ms));
+        limits.record_reported(&entry.id, entry.born_ms, told.heard(now_ms));
       }
       Some(answer)
     }
@@ -237,7 +237,7 @@
     unused: 0,
     ..permit_request.clone()
   };
-  gateway.lone_permits.borrow_mut().ask(
+  gateway.lone_permits.borrow_mut().request(
     life,
     isolated_limit(per_s),
     &permit_request,
@@ -262,7 +262,7 @@
   let PermitCaller { request, priority } = caller;
   let AdvertisedLimit { per_s, source, .. } = heard;
   let per_s = per_s.unwrap_or_default();
-  let age_ms = gateway.now_ms().saturating_sub(heard.heard_ms);
+  let age_ms = gateway.now_ms().saturating_sub(heard.received_ms);
   let id = &entry.id;
   let limit = format!("limit {per_s} heard by {source:?} {age_ms} ms ago, decided by {decided_by}");
   match verdict {
--- a/src/gateway/permits/telling.rs
+++ b/src/gateway/permits/telling.rs
@@ -38,7 +38,11 @@
 
 /// Tells others that this box heard an endpoint begin to name a limit; nobody waits for it.
 pub(crate) fn tell_limit(gateway: &Rc<Gateway>, endpoint: &Name, born_ms: Option<u64>) {
-  let heard = gateway.book.borrow().limits().heard_of(endpoint, born_ms);
+  let heard = gateway
+    .book
+    .borrow()
+    .limits()
+    .advertised_by(endpoint, born_ms);
   let Some(heard) = heard else {
     return;
   };
@@ -121,12 +125,12 @@
   told: AdvertisedLimit,
 ) -> LimitChange {
   let mut book = gateway.book.borrow_mut();
-  let news = book.limits_mut().note_told(endpoint, born_ms, told);
+  let news = book.limits_mut().record_reported(endpoint, born_ms, told);
   if news == LimitChange::Started {
     log::info!(
       "E540 names a limit: {endpoint} born {born_ms:?} takes {} requests a second of all boxes, as another box heard {} ms ago",
       told.per_s.unwrap_or_default(),
-      gateway.now_ms().saturating_sub(told.heard_ms)
+      gateway.now_ms().saturating_sub(told.received_ms)
     );
   }
   news
--- a/src/gateway/permits/told_limit.rs
+++ b/src/gateway/permits/told_limit.rs
@@ -18,7 +18,7 @@
   /// A word that was heard here.
   pub(super) fn new(heard: AdvertisedLimit, now_ms: u64) -> Self {
     Self {
-      age_ms: now_ms.saturating_sub(heard.heard_ms),
+      age_ms: now_ms.saturating_sub(heard.received_ms),
       per_s: heard.per_s,
     }
   }
@@ -26,7 +26,7 @@
   /// It as heard by the box that is told. A figure that no endpoint can name is none.
   pub(super) fn heard(self, now_ms: u64) -> AdvertisedLimit {
     AdvertisedLimit {
-      heard_ms: now_ms.saturating_sub(self.age_ms),
+      received_ms: now_ms.saturating_sub(self.age_ms),
       per_s: self
         .per_s
         .filter(|per_s| per_s.is_finite() && *per_s >= 0.0),
--- a/src/gateway/process/start.rs
+++ b/src/gateway/process/start.rs
@@ -180,8 +180,8 @@
     gateway.pool.close_old(now_ms);
     gateway.book.borrow_mut().remove_lapsed(now_ms);
     expire_notices(&gateway, now_ms);
-    gateway.permit_book.borrow_mut().forget_old(now_ms);
-    gateway.lone_permits.borrow_mut().forget_old(now_ms);
+    gateway.permit_book.borrow_mut().expire(now_ms);
+    gateway.lone_permits.borrow_mut().expire(now_ms);
   }
 }
 
--- a/src/gateway/quarantine/endpoint_end.rs
+++ b/src/gateway/quarantine/endpoint_end.rs
@@ -56,7 +56,7 @@
 pub(crate) async fn note_lost(gateway: &Rc<Gateway>, request: &Rc<RoutedRequest>, lost: LostPart) {
   let is_near = {
     let book = gateway.quarantine.book.borrow();
-    !book.is_empty() && book.is_near(lost.fingerprint)
+    !book.is_empty() && book.is_near_quarantine(lost.fingerprint)
   };
   // It goes on when the caller leaves meanwhile.
   let judged = spawn_local(judge(gateway.clone(), request.clone(), lost));
@@ -103,7 +103,7 @@
     .quarantine
     .book
     .borrow()
-    .ended_since_ms(fingerprint, life);
+    .crashed_since_ms(fingerprint, life);
   if ended_ms.is_none_or(|ended_ms| sent_ms <= ended_ms) {
     return life;
   }
@@ -132,7 +132,7 @@
   };
   let now_ms = gateway.now_ms();
   let mut book = gateway.quarantine.book.borrow_mut();
-  if !book.note(key, now_ms) {
+  if !book.record(key, now_ms) {
     return;
   }
   // Most requests are there at one end only: theirs can wait.
--- a/src/gateway/quarantine/messages.rs
+++ b/src/gateway/quarantine/messages.rs
@@ -60,7 +60,7 @@
     .filter_map(|text| QuarantineKey::parse(text))
     .collect();
   for key in &keys {
-    gateway.quarantine.book.borrow_mut().note(*key, now_ms);
+    gateway.quarantine.book.borrow_mut().record(*key, now_ms);
   }
   gateway.quarantine.write(&keys, MarkOrigin::Told, true);
 }
--- a/src/gateway/quarantine/sharing.rs
+++ b/src/gateway/quarantine/sharing.rs
@@ -67,7 +67,7 @@
   loop {
     sleep(FORGET_PAUSE).await;
     let now_ms = gateway.now_ms();
-    let old = gateway.quarantine.book.borrow_mut().forget_old(now_ms);
+    let old = gateway.quarantine.book.borrow_mut().expire(now_ms);
     let is_first = {
       let boxes = gateway.boxes.borrow();
       boxes.names().first() == Some(&gateway.settings.identity.name)
--- a/src/gateway/quarantine/vetting.rs
+++ b/src/gateway/quarantine/vetting.rs
@@ -33,7 +33,7 @@
     let book = gateway.quarantine.book.borrow();
     (
       book.verdict(fingerprint, now_ms),
-      book.due(fingerprint, now_ms),
+      book.marks_to_refresh(fingerprint, now_ms),
     )
   };
   keep_longer(gateway, &due, now_ms);
@@ -61,7 +61,7 @@
   }
   let mut book = gateway.quarantine.book.borrow_mut();
   for key in due {
-    book.note(*key, now_ms);
+    book.record(*key, now_ms);
   }
   drop(book);
   share(gateway, due, false);
@@ -80,7 +80,7 @@
   };
   // One that is not this box's is another's, or the store does not say: this box waits either way.
   let now_ms = gateway.now_ms();
-  gateway.quarantine.book.borrow_mut().note(key, now_ms);
+  gateway.quarantine.book.borrow_mut().record(key, now_ms);
   if is_own {
     request.sending.set(Sending::Trial(number));
     log::info!(
@@ -112,7 +112,7 @@
       fingerprint: request.fingerprint(),
       mark: QuarantineMark::Probe(number),
     };
-    gateway.quarantine.book.borrow_mut().forget(key);
+    gateway.quarantine.book.borrow_mut().remove(key);
     gateway.quarantine.remove(&[key]);
   }
 }
--- a/src/gateway/requests/event_source.rs
+++ b/src/gateway/requests/event_source.rs
@@ -179,7 +179,7 @@
     );
     note_whole(&gateway, &self.stream.request, RoutedRequest::fingerprint);
     let took_ms = gateway.now_ms() - self.stream.request.arrived_ms;
-    gateway.seat_forecast.borrow_mut().note_stream(took_ms);
+    gateway.seat_forecast.borrow_mut().record_stream(took_ms);
     if let Some(mut head) = self.head.take() {
       head.booking.answered();
       gateway.rest(head.connection, &head.raw_headers);
--- a/src/gateway/requests/plain.rs
+++ b/src/gateway/requests/plain.rs
@@ -205,7 +205,7 @@
     let choice = self.gateway.choose(EndpointCriteria {
       allowed_halls: &self.request.allowed_halls,
       hall: self.gateway.preferred_hall(),
-      may_repeat: self.request.route.kind.may_repeat(),
+      is_retryable: self.request.route.kind.may_repeat(),
       role: None,
       service: &self.request.service,
       size: 1,
--- a/src/gateway/requests/prompt.rs
+++ b/src/gateway/requests/prompt.rs
@@ -58,7 +58,7 @@
     let choice = gateway.choose(EndpointCriteria {
       allowed_halls: &request.allowed_halls,
       hall,
-      may_repeat: true,
+      is_retryable: true,
       role: Some(Role::Prefill),
       service: &request.service,
       size: request.facts.prompt_tokens.max(1),
@@ -112,7 +112,7 @@
   if !gateway.settings.mechanisms.prompts_past_readers {
     return false;
   }
-  if gateway.draw() >= choice.share_beyond(limit_ms) {
+  if gateway.draw() >= choice.share_over(limit_ms) {
     return false;
   }
   log::info!(
--- a/src/gateway/requests/seat.rs
+++ b/src/gateway/requests/seat.rs
@@ -122,14 +122,14 @@
   }
 
   /// The request has a seat.
-  fn note_seat(&self) {
+  fn record_slot(&self) {
     let others_wait = self.gateway.seat_queue.borrow().len() > 1;
     let now_ms = self.gateway.now_ms();
     self
       .gateway
       .seat_forecast
       .borrow_mut()
-      .note_seat(now_ms, others_wait);
+      .record_slot(now_ms, others_wait);
   }
 
   fn is_first(&self) -> bool {
@@ -142,7 +142,7 @@
     let mut queue = self.gateway.seat_queue.borrow_mut();
     queue.leave(self.place);
     if queue.is_empty() {
-      self.gateway.seat_forecast.borrow_mut().note_idle();
+      self.gateway.seat_forecast.borrow_mut().record_idle();
     }
     drop(queue);
     self.gateway.seat_queue_moved.notify_waiters();
@@ -166,7 +166,7 @@
     let choice = gateway.choose(EndpointCriteria {
       allowed_halls: &request.allowed_halls,
       hall: gateway.preferred_hall(),
-      may_repeat: request.route.kind.may_repeat(),
+      is_retryable: request.route.kind.may_repeat(),
       role: Some(Role::Decode),
       service: &request.service,
       size: request.tokens().max(1),
@@ -174,10 +174,10 @@
     })?;
     match ask_seat(gateway, request, &choice.entry, request.tokens()).await {
       Some(reservation) => {
-        queued.note_seat();
+        queued.record_slot();
         return Some((choice.entry, reservation));
       }
-      None if choice.left_alone => sleep(SEAT_PAUSE).await,
+      None if choice.is_backing_off => sleep(SEAT_PAUSE).await,
       None => {}
     }
   }
--- a/src/gateway/requests/stream_request.rs
+++ b/src/gateway/requests/stream_request.rs
@@ -162,7 +162,7 @@
     let choice = self.gateway.choose(EndpointCriteria {
       allowed_halls: &self.request.allowed_halls,
       hall: self.gateway.preferred_hall(),
-      may_repeat: self.may_repeat(),
+      is_retryable: self.may_repeat(),
       role: None,
       service: &self.request.service,
       size: self.request.tokens().max(1),
--- a/src/gateway/roles/role_steward.rs
+++ b/src/gateway/roles/role_steward.rs
@@ -100,7 +100,7 @@
 
   fn note_engines(&mut self) {
     let entries = self.current_entries();
-    self.recent.note(&entries, self.gateway.now_ms());
+    self.recent.record(&entries, self.gateway.now_ms());
   }
 
   fn current_entries(&self) -> Vec<EndpointEntry> {
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -222,7 +222,7 @@
 
   /// Whether this box decides on limits by its own count.
   pub(crate) fn counts_use(&self) -> bool {
-    self.settings.limits.way.is_told() && self.is_counting()
+    self.settings.limits.way.uses_coordinators() && self.is_counting()
   }
 
   /// Whether the store was heard so recently that what this box knows can be trusted.
@@ -265,15 +265,15 @@
     let Some(cold_start) = self.cold_start(&entry.service) else {
       return;
     };
-    let noted_ms = self.now_ms();
+    let recorded_ms = self.now_ms();
     let span = ColdPeriod {
-      noted_ms,
+      recorded_ms,
       per_s: cold_start.per_s,
-      until_ms: noted_ms.saturating_add(cold_ms),
+      until_ms: recorded_ms.saturating_add(cold_ms),
     };
     let mut book = self.book.borrow_mut();
     let limits = book.limits_mut();
-    limits.note_cold(&entry.id, entry.born_ms, span);
+    limits.record_cold(&entry.id, entry.born_ms, span);
   }
 
   /// The endpoints of a hall whose drain has ended may have turned cold shortly before, and their entries tell so late.
@@ -408,7 +408,7 @@
       .borrow_mut()
       .entry(service.clone())
       .or_default()
-      .note_request(now_ms);
+      .record_request(now_ms);
   }
 
   /// Whether a repeat could be taken now.
@@ -420,7 +420,7 @@
     windows
       .entry(service.clone())
       .or_default()
-      .left(allowance, boxes, now_ms)
+      .remaining(allowance, boxes, now_ms)
       >= 1.0
   }
 
@@ -428,7 +428,7 @@
   pub(crate) fn give_repeat_back(&self, service: &Name) {
     let now_ms = self.now_ms();
     if let Some(window) = self.windows.borrow_mut().get_mut(service) {
-      window.give_back(now_ms);
+      window.refund(now_ms);
     }
   }
 
--- a/src/gateway/state/quarantine.rs
+++ b/src/gateway/state/quarantine.rs
@@ -109,7 +109,7 @@
     format!(
       "rillford_quarantine_known {}\nrillford_quarantine_held {}\n",
       book.len(),
-      book.held()
+      book.quarantined()
     )
   }
 
--- a/tests/gateway/budget.rs
+++ b/tests/gateway/budget.rs
@@ -32,7 +32,7 @@
   for now_ms in (0..60_000).step_by(7) {
     let window = &mut windows[draw() as usize % boxes];
     if draw() % 3 == 0 {
-      window.note_request(now_ms);
+      window.record_request(now_ms);
       requests.push(now_ms);
     }
     if window.take(ALLOWANCE, boxes, now_ms) {
--- a/tests/gateway/choice.rs
+++ b/tests/gateway/choice.rs
@@ -38,7 +38,7 @@
   EndpointCriteria {
     allowed_halls: &AllowedHalls::Any,
     hall: "north",
-    may_repeat: true,
+    is_retryable: true,
     role: None,
     service: "portal",
     size: 1,
@@ -48,7 +48,7 @@
 
 fn unrepeatable() -> EndpointCriteria<'static> {
   EndpointCriteria {
-    may_repeat: false,
+    is_retryable: false,
     ..wanted()
   }
 }
@@ -222,7 +222,7 @@
   };
   let choice = book.choose(work, 0, || 0.5).unwrap();
   assert_eq!(choice.expected_ms, None);
-  assert_eq!(choice.share_beyond(1.0), 0.0);
+  assert_eq!(choice.share_over(1.0), 0.0);
   book.record_send("a", 500);
   book.record_outcome(
     "a",
@@ -235,8 +235,8 @@
   book.record_send("a", 500);
   let choice = book.choose(work, 100, || 0.5).unwrap();
   assert_eq!(choice.expected_ms, Some(200));
-  assert_eq!(choice.share_beyond(300.0), 0.0);
-  assert_eq!(choice.share_beyond(50.0), 0.75);
+  assert_eq!(choice.share_over(300.0), 0.0);
+  assert_eq!(choice.share_over(50.0), 0.75);
 }
 
 /// An endpoint was chosen, ended while a prompt was read for it, and was back under its id and address before the request was
@@ -251,6 +251,6 @@
   book.put(life(1));
   assert_eq!(book.check(&life(1), 0), Ok(()));
   book.put(life(2));
-  assert_eq!(book.check(&life(1), 0), Err(Unavailable::Gone));
+  assert_eq!(book.check(&life(1), 0), Err(Unavailable::Unlisted));
   assert_eq!(book.check(&life(2), 0), Ok(()));
 }
--- a/tests/gateway/cold_endpoints.rs
+++ b/tests/gateway/cold_endpoints.rs
@@ -201,8 +201,8 @@
 fn lower_of_two_limits_holds(#[case] named: &str, #[case] source: LimitSource) {
   let entry = entry();
   let mut limits = EndpointLimits::default();
-  limits.note_answer(&entry, NamedLimit::PerS(named.parse().unwrap()), 0, 10);
-  limits.note_cold(&entry.id, entry.born_ms, span(10, 1_000));
+  limits.record_response(&entry, NamedLimit::PerS(named.parse().unwrap()), 0, 10);
+  limits.record_cold(&entry.id, entry.born_ms, span(10, 1_000));
   let in_force: AdvertisedLimit = limits.in_force(&entry, 500).unwrap();
   assert_eq!(in_force.source, source);
   assert_eq!(
@@ -215,17 +215,17 @@
 fn another_life_is_not_cold_and_a_warm_endpoint_has_no_limit() {
   let entry = entry();
   let mut limits = EndpointLimits::default();
-  limits.note_cold(&entry.id, entry.born_ms, span(0, 0));
-  assert!(!limits.are_heeded());
-  limits.note_cold(&entry.id, entry.born_ms, span(0, 1_000));
+  limits.record_cold(&entry.id, entry.born_ms, span(0, 0));
+  assert!(!limits.are_enforced());
+  limits.record_cold(&entry.id, entry.born_ms, span(0, 1_000));
   assert_eq!(limits.per_s(&entry, 999), Some(COLD_PER_S));
   let later = EndpointEntry {
     born_ms: Some(2),
     ..entry.clone()
   };
   assert_eq!(limits.per_s(&later, 999), None);
-  limits.forget_old(1_000);
-  assert!(!limits.are_heeded());
+  limits.expire(1_000);
+  assert!(!limits.are_enforced());
 }
 
 fn entry() -> EndpointEntry {
@@ -242,9 +242,9 @@
   }
 }
 
-fn span(noted_ms: u64, until_ms: u64) -> ColdPeriod {
+fn span(recorded_ms: u64, until_ms: u64) -> ColdPeriod {
   ColdPeriod {
-    noted_ms,
+    recorded_ms,
     per_s: COLD_PER_S,
     until_ms,
   }
@@ -271,7 +271,7 @@
   let mut fleet: Vec<ReplayBox> = (0..boxes)
     .map(|number| {
       let mut limits = EndpointLimits::default();
-      limits.note_cold(&entry.id, entry.born_ms, span(0, LASTS_MS));
+      limits.record_cold(&entry.id, entry.born_ms, span(0, LASTS_MS));
       ReplayBox {
         limits,
         name: format!("north-{number}"),
@@ -285,7 +285,7 @@
     }
     let at = random.random_range(0..boxes);
     let here = &mut fleet[at];
-    let local = here.limits.permits().take(&entry.id, now_ms);
+    let local = here.limits.permits().acquire(&entry.id, now_ms);
     let granted = match local {
       LocalPermitVerdict::Granted => true,
       LocalPermitVerdict::Refused { .. } => false,
@@ -298,9 +298,9 @@
           unused,
         };
         let limit = coordinator_limit(here.limits.per_s(&entry, now_ms).unwrap());
-        let verdict: PermitVerdict = counting.ask(life, limit, &wish, now_ms);
+        let verdict: PermitVerdict = counting.request(life, limit, &wish, now_ms);
         let ledger = here.limits.permits();
-        ledger.note_verdict(&entry.id, verdict, now_ms)
+        ledger.record_verdict(&entry.id, verdict, now_ms)
       }
     };
     if granted {
--- a/tests/gateway/hall_drain.rs
+++ b/tests/gateway/hall_drain.rs
@@ -266,11 +266,11 @@
   let mut book = EndpointRegistry::default();
   book.put(entry("a", OWN_HALL));
   book.put(entry("b", OTHER_HALL));
-  book.drained_halls_mut().note(&OWN_HALL.into(), true, 7);
+  book.drained_halls_mut().record(&OWN_HALL.into(), true, 7);
   let wanted = EndpointCriteria {
     allowed_halls: &AllowedHalls::Any,
     hall: OWN_HALL,
-    may_repeat: true,
+    is_retryable: true,
     role: None,
     service: "llm",
     size: 1,
@@ -290,12 +290,12 @@
 fn newest_word_on_a_hall_holds_in_whatever_order_it_comes() {
   let mut halls = DrainedHalls::default();
   let hall = OWN_HALL.into();
-  assert_eq!(halls.note(&hall, true, 10), HallDrainChange::Started);
-  assert_eq!(halls.note(&hall, true, 10), HallDrainChange::Unchanged);
-  assert_eq!(halls.note(&hall, false, 20), HallDrainChange::Ended);
-  assert_eq!(halls.note(&hall, true, 10), HallDrainChange::Unchanged);
+  assert_eq!(halls.record(&hall, true, 10), HallDrainChange::Started);
+  assert_eq!(halls.record(&hall, true, 10), HallDrainChange::Unchanged);
+  assert_eq!(halls.record(&hall, false, 20), HallDrainChange::Ended);
+  assert_eq!(halls.record(&hall, true, 10), HallDrainChange::Unchanged);
   assert!(!halls.is_drained(OWN_HALL));
-  assert_eq!(halls.note(&hall, true, 30), HallDrainChange::Started);
-  assert_eq!(halls.note(&hall, false, 20), HallDrainChange::Unchanged);
+  assert_eq!(halls.record(&hall, true, 30), HallDrainChange::Started);
+  assert_eq!(halls.record(&hall, false, 20), HallDrainChange::Unchanged);
   assert!(halls.is_drained(OWN_HALL) && !halls.is_drained(OTHER_HALL));
 }
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -103,7 +103,7 @@
 fn totals(box_name: &str, incarnation: u64, uptime_ms: u64, units: i64) -> UsageTotals {
   UsageTotals {
     box_name: box_name.into(),
-    followers: 0,
+    reporters: 0,
     incarnation,
     totals: vec![("a".into(), units)],
     uptime_ms,
@@ -112,28 +112,28 @@
 
 fn left(book: &mut UsageTable, now_ms: u64) -> f64 {
   // Settles what is assumed of others.
-  book.short(now_ms);
-  book.left("a", now_ms).unwrap().0
+  book.near_limit(now_ms);
+  book.remaining("a", now_ms).unwrap().0
 }
 
 #[test]
 fn totals_of_others_are_charged_once_whatever_is_lost_or_comes_twice() {
   let mut book = book(0);
   for units in [10, 10, 30, 30] {
-    book.hear(&totals("north-0", 1, 0, units), 0, 0);
+    book.merge_totals(&totals("north-0", 1, 0, units), 0, 0);
   }
   assert_eq!(left(&mut book, 0), 70.0);
   // It has started anew.
-  book.hear(&totals("north-0", 2, 0, 20), 0, 0);
+  book.merge_totals(&totals("north-0", 2, 0, 20), 0, 0);
   assert_eq!(left(&mut book, 0), 50.0);
 }
 
 #[test]
 fn what_an_older_box_counted_before_is_not_charged() {
   let mut book = book(0);
-  book.hear(&totals("north-0", 1, 90_000, 1_000_000), 10, 0);
+  book.merge_totals(&totals("north-0", 1, 90_000, 1_000_000), 10, 0);
   assert_eq!(left(&mut book, 0), 100.0);
-  book.hear(&totals("north-0", 1, 90_100, 1_000_030), 110, 0);
+  book.merge_totals(&totals("north-0", 1, 90_100, 1_000_030), 110, 0);
   assert_eq!(left(&mut book, 0), 70.0);
 }
 
@@ -141,10 +141,10 @@
 #[test]
 fn box_that_stops_counting_and_comes_back_is_charged_what_is_new() {
   let mut book = book(0);
-  book.hear(&totals("north-0", 1, 0, 50), 0, 0);
-  book.set_counting(|_| false);
-  book.set_counting(|_| true);
-  book.hear(&totals("north-0", 1, 100, 60), 100, 0);
+  book.merge_totals(&totals("north-0", 1, 0, 50), 0, 0);
+  book.set_coordinators(|_| false);
+  book.set_coordinators(|_| true);
+  book.merge_totals(&totals("north-0", 1, 100, 60), 100, 0);
   assert_eq!(left(&mut book, 0), 40.0);
 }
 
@@ -155,14 +155,14 @@
   for at_ms in [0, 500, 1_000] {
     told += 40;
     book.count("a", 40, at_ms);
-    book.hear(&totals("north-0", 1, at_ms, told), at_ms, at_ms);
+    book.merge_totals(&totals("north-0", 1, at_ms, told), at_ms, at_ms);
   }
   let at_cut = left(&mut book, 1_000);
   // Half of the rate is the other's.
   let after = left(&mut book, 2_000) - at_cut;
   assert!((45.0..55.0).contains(&after), "{after}");
   // It used nothing.
-  book.hear(&totals("north-0", 1, 2_000, told), 2_000, 2_000);
+  book.merge_totals(&totals("north-0", 1, 2_000, told), 2_000, 2_000);
   assert_eq!(left(&mut book, 2_000) - at_cut, 100.0);
 }
 
@@ -194,7 +194,7 @@
   counting.set_limits([], 0);
   counting.set_limits([("a".into(), limit())], 0);
   assert_eq!(
-    counting.totals_to_tell(ReportScope::All),
+    counting.totals_to_report(ReportScope::All),
     [(Name::from("a"), 80)]
   );
 }
@@ -205,7 +205,7 @@
 #[case::no_answer(true, 10)]
 fn box_that_is_alone_asks_nobody(#[case] is_unreached: bool, #[case] now_ms: u64) {
   let mut ledger = LocalUsage::default();
-  ledger.heard(vec![("a".into(), 10.0)], 0);
+  ledger.record_near_limit(vec![("a".into(), 10.0)], 0);
   let organisation = "a".into();
   let mut request = UsageRequest {
     boxes: 10,
@@ -217,12 +217,12 @@
   let way = LimitStrategy::AskNearLimit;
   assert_eq!(ledger.admit(request, way), LocalVerdict::Ask);
   if is_unreached {
-    ledger.note_unreached();
+    ledger.record_unreachable();
   }
   request.now_ms = now_ms;
   let within = LocalVerdict::Settled(UsageVerdict::WithinLimit);
   assert_eq!(ledger.admit(request, way), within);
-  ledger.heard(vec![], now_ms);
+  ledger.record_near_limit(vec![], now_ms);
   assert_eq!(ledger.admit(request, way), within);
 }
 
@@ -263,12 +263,12 @@
         Step::Tells { from } => {
           let told = UsageTotals {
             box_name: format!("north-{from}").as_str().into(),
-            followers: 0,
+            reporters: 0,
             incarnation: 1,
-            totals: books[from].totals_to_tell(ReportScope::All),
+            totals: books[from].totals_to_report(ReportScope::All),
             uptime_ms: now_ms,
           };
-          books[1 - from].hear(&told, now_ms, now_ms);
+          books[1 - from].merge_totals(&told, now_ms, now_ms);
           untold[from] = 0;
         }
         Step::Passes { ms } => now_ms += ms,
--- a/tests/gateway/notice_book.rs
+++ b/tests/gateway/notice_book.rs
@@ -53,7 +53,7 @@
   let wanted = EndpointCriteria {
     allowed_halls: &AllowedHalls::Any,
     hall: "north",
-    may_repeat: false,
+    is_retryable: false,
     role: None,
     service: "portal",
     size: 1,
@@ -70,7 +70,7 @@
   book.record_notice(&a, &pause(3_000), 1_000);
   book.record_notice(&a, &pause(500), 1_100);
   assert_eq!(chosen(&book, 3_999), None);
-  let unavailable = Unavailable::Pausing {
+  let unavailable = Unavailable::BackingOff {
     asked_ms: 2_999,
     left_ms: 1,
   };
@@ -94,7 +94,7 @@
   // Nothing came back: another may try.
   assert_eq!(chosen(&book, 1_600), Some("a".into()));
   book.record_accepted("a", 1_700);
-  assert_eq!(book.availability(&a, 1_700), Availability::Open);
+  assert_eq!(book.availability(&a, 1_700), Availability::Available);
 }
 
 #[test]
--- a/tests/gateway/places.rs
+++ b/tests/gateway/places.rs
@@ -122,12 +122,12 @@
   let limit = coordinator_limit(2.0);
   let mut account = PermitAccount::new(limit, 0);
   assert!(matches!(
-    account.ask(&wish("a", 1), 0),
+    account.request(&wish("a", 1), 0),
     PermitVerdict::Refused { .. }
   ));
   let mut granted = 0;
   for _ in 0..20 {
-    if let PermitVerdict::Granted(places) = account.ask(&wish("a", 1), 3_600_000) {
+    if let PermitVerdict::Granted(places) = account.request(&wish("a", 1), 3_600_000) {
       granted += places;
     }
   }
@@ -139,13 +139,13 @@
   let mut account = PermitAccount::new(coordinator_limit(2.0), 0);
   let mut waits = Vec::new();
   for number in 0..4 {
-    match account.ask(&wish(&format!("box-{number}"), 1), 0) {
+    match account.request(&wish(&format!("box-{number}"), 1), 0) {
       PermitVerdict::Refused { wait_ms } => waits.push(wait_ms),
       PermitVerdict::Granted(_) => panic!("a place from nowhere"),
     }
   }
   assert!(waits.is_sorted_by(|one, other| one < other), "{waits:?}");
-  let again = account.ask(&wish("box-0", 1), 0);
+  let again = account.request(&wish("box-0", 1), 0);
   assert_eq!(again, PermitVerdict::Refused { wait_ms: waits[0] });
 }
 
@@ -153,32 +153,32 @@
 fn less_urgent_requests_leave_a_place_for_urgent_ones() {
   let mut account = PermitAccount::new(coordinator_limit(2.0), 0);
   assert_eq!(
-    account.ask(&wish("a", 0), 60_000),
+    account.request(&wish("a", 0), 60_000),
     PermitVerdict::Granted(1)
   );
   assert_eq!(
-    account.ask(&wish("a", 5), 60_001),
+    account.request(&wish("a", 5), 60_001),
     PermitVerdict::Granted(1)
   );
   assert!(matches!(
-    account.ask(&wish("a", 5), 60_002),
+    account.request(&wish("a", 5), 60_002),
     PermitVerdict::Refused { .. }
   ));
   assert_eq!(
-    account.ask(&wish("b", 0), 60_003),
+    account.request(&wish("b", 0), 60_003),
     PermitVerdict::Granted(1)
   );
   // Once nobody urgent asks any more, the others get all.
   assert_eq!(
-    account.ask(&wish("a", 5), 120_000),
+    account.request(&wish("a", 5), 120_000),
     PermitVerdict::Granted(1)
   );
   assert_eq!(
-    account.ask(&wish("a", 5), 120_001),
+    account.request(&wish("a", 5), 120_001),
     PermitVerdict::Granted(1)
   );
   assert_eq!(
-    account.ask(&wish("a", 5), 120_002),
+    account.request(&wish("a", 5), 120_002),
     PermitVerdict::Granted(1)
   );
 }
@@ -187,14 +187,14 @@
 fn figure_that_goes_up_and_down_brings_no_place() {
   let (high, low) = (coordinator_limit(400.0), coordinator_limit(200.0));
   let mut account = PermitAccount::new(high, 0);
-  account.ask(&wish("a", 1), 10_000);
-  while let PermitVerdict::Granted(_) = account.ask(&wish("a", 1), 10_000) {}
+  account.request(&wish("a", 1), 10_000);
+  while let PermitVerdict::Granted(_) = account.request(&wish("a", 1), 10_000) {}
   for _ in 0..50 {
     account.set_limit(low, 10_000);
     account.set_limit(high, 10_000);
   }
   assert!(matches!(
-    account.ask(&wish("a", 1), 10_000),
+    account.request(&wish("a", 1), 10_000),
     PermitVerdict::Refused { .. }
   ));
 }
@@ -204,15 +204,15 @@
   let mut ledger = LocalPermits::default();
   let id = "e-1".into();
   for at_ms in 0..200 {
-    ledger.take(&id, at_ms);
+    ledger.acquire(&id, at_ms);
   }
-  let LocalPermitVerdict::Ask { permits, unused: 0 } = ledger.take(&id, 200) else {
+  let LocalPermitVerdict::Ask { permits, unused: 0 } = ledger.acquire(&id, 200) else {
     panic!("nothing was given yet");
   };
   assert!(permits > 1);
-  assert!(ledger.note_verdict(&id, PermitVerdict::Granted(3), 200));
-  assert_eq!(ledger.take(&id, 201), LocalPermitVerdict::Granted);
-  let LocalPermitVerdict::Ask { unused, .. } = ledger.take(&id, 1_000) else {
+  assert!(ledger.record_verdict(&id, PermitVerdict::Granted(3), 200));
+  assert_eq!(ledger.acquire(&id, 201), LocalPermitVerdict::Granted);
+  let LocalPermitVerdict::Ask { unused, .. } = ledger.acquire(&id, 1_000) else {
     panic!("what was given is too old");
   };
   assert_eq!(unused, 1);
@@ -220,7 +220,7 @@
 
 fn limits(entry: &EndpointEntry, per_s: f64, at_ms: u64) -> EndpointLimits {
   let mut limits = EndpointLimits::default();
-  limits.note_answer(entry, NamedLimit::PerS(per_s), at_ms, at_ms);
+  limits.record_response(entry, NamedLimit::PerS(per_s), at_ms, at_ms);
   limits
 }
 
@@ -230,21 +230,21 @@
   let mut limits = limits(&entry, 2.0, 10_000);
   // Sent before the word was heard: nobody knows which answer the endpoint gave first.
   assert_eq!(
-    limits.note_answer(&entry, NamedLimit::Unsaid, 9_990, 12_000),
+    limits.record_response(&entry, NamedLimit::Unsaid, 9_990, 12_000),
     LimitChange::Unchanged
   );
   // An endpoint that names it on and off names it.
   assert_eq!(
-    limits.note_answer(&entry, NamedLimit::Unsaid, 10_100, 10_200),
+    limits.record_response(&entry, NamedLimit::Unsaid, 10_100, 10_200),
     LimitChange::Unchanged
   );
   assert_eq!(
-    limits.note_answer(&entry, NamedLimit::Unreadable, 11_900, 12_000),
+    limits.record_response(&entry, NamedLimit::Unreadable, 11_900, 12_000),
     LimitChange::Unchanged
   );
   assert_eq!(limits.per_s(&entry, 0), Some(2.0));
   assert_eq!(
-    limits.note_answer(&entry, NamedLimit::Unsaid, 11_900, 12_000),
+    limits.record_response(&entry, NamedLimit::Unsaid, 11_900, 12_000),
     LimitChange::Ended
   );
   assert_eq!(limits.per_s(&entry, 0), None);
@@ -254,7 +254,7 @@
 fn word_holds_over_silence_and_ends_with_the_life() {
   let first = entry("e-1", 1);
   let mut limits = limits(&first, 2.0, 10_000);
-  limits.forget_old(300_000);
+  limits.expire(300_000);
   assert_eq!(limits.per_s(&first, 0), Some(2.0));
   assert_eq!(limits.per_s(&entry("e-1", 2), 0), None);
 }
@@ -263,9 +263,9 @@
 fn of_answers_that_crossed_the_smaller_figure_holds() {
   let entry = entry("e-1", 1);
   let mut limits = limits(&entry, 2.0, 10_000);
-  limits.note_answer(&entry, NamedLimit::PerS(5.0), 9_990, 10_010);
+  limits.record_response(&entry, NamedLimit::PerS(5.0), 9_990, 10_010);
   assert_eq!(limits.per_s(&entry, 0), Some(2.0));
-  limits.note_answer(&entry, NamedLimit::PerS(5.0), 10_020, 10_030);
+  limits.record_response(&entry, NamedLimit::PerS(5.0), 10_020, 10_030);
   assert_eq!(limits.per_s(&entry, 0), Some(5.0));
 }
 
@@ -273,17 +273,17 @@
 fn newest_word_holds_whichever_box_heard_it() {
   let entry = entry("e-1", 1);
   let mut limits = limits(&entry, 2.0, 10_000);
-  let told = |per_s, heard_ms| AdvertisedLimit {
-    heard_ms,
+  let told = |per_s, received_ms| AdvertisedLimit {
+    received_ms,
     per_s,
     source: LimitSource::Box,
   };
-  let older = limits.note_told(&entry.id, entry.born_ms, told(Some(9.0), 9_000));
+  let older = limits.record_reported(&entry.id, entry.born_ms, told(Some(9.0), 9_000));
   assert_eq!(older, LimitChange::Unchanged);
-  let newer = limits.note_told(&entry.id, entry.born_ms, told(Some(3.0), 11_000));
+  let newer = limits.record_reported(&entry.id, entry.born_ms, told(Some(3.0), 11_000));
   assert_eq!(newer, LimitChange::Changed(2.0));
   assert_eq!(limits.per_s(&entry, 0), Some(3.0));
-  let ended = limits.note_told(&entry.id, entry.born_ms, told(None, 12_000));
+  let ended = limits.record_reported(&entry.id, entry.born_ms, told(None, 12_000));
   assert_eq!(ended, LimitChange::Ended);
   assert_eq!(limits.per_s(&entry, 0), None);
 }
@@ -302,7 +302,7 @@
     let wanted = EndpointCriteria {
       allowed_halls: &AllowedHalls::Any,
       hall: "north",
-      may_repeat: false,
+      is_retryable: false,
       role: None,
       service: "portal",
       size: 1,
@@ -317,7 +317,7 @@
   book
     .limits_mut()
     .permits()
-    .note_verdict(&one.id, refused, 1_000);
+    .record_verdict(&one.id, refused, 1_000);
   assert_eq!(chosen(&book, 1_100), Some("b".into()));
   assert_eq!(book.available_in_ms("portal", 1_100), None);
   book.record_limit(&other, NamedLimit::PerS(2.0), 1_000, 1_000);
@@ -325,7 +325,7 @@
   book
     .limits_mut()
     .permits()
-    .note_verdict(&other.id, refused, 1_000);
+    .record_verdict(&other.id, refused, 1_000);
   assert_eq!(chosen(&book, 1_100), None);
   assert_eq!(book.available_in_ms("portal", 1_100), Some(300));
   assert_eq!(chosen(&book, 1_400), Some("a".into()));
@@ -337,7 +337,7 @@
   let one = entry("a", 1);
   book.put(one.clone());
   book.record_limit(&one, NamedLimit::PerS(0.0), 1_000, 1_000);
-  assert!(!book.limits().are_heeded());
+  assert!(!book.limits().are_enforced());
   assert_eq!(book.limits().per_s(&one, 0), None);
 }
 
--- a/tests/gateway/quarantine.rs
+++ b/tests/gateway/quarantine.rs
@@ -44,7 +44,7 @@
 fn holding(request: u64, since_ms: u64) -> QuarantineRegistry {
   let mut book = QuarantineRegistry::default();
   for engine in ["e-1", "e-2", "e-3"] {
-    book.note(ended(request, engine, 1), since_ms);
+    book.record(ended(request, engine, 1), since_ms);
   }
   book
 }
@@ -66,12 +66,12 @@
 fn one_life_counts_once_and_three_hold() {
   let mut book = QuarantineRegistry::default();
   for _ in 0..9 {
-    book.note(ended(1, "e-1", 1), 0);
+    book.record(ended(1, "e-1", 1), 0);
   }
   assert_eq!(book.counts(fingerprint(1)), (1, 0));
-  book.note(ended(1, "e-1", 2), 0);
+  book.record(ended(1, "e-1", 2), 0);
   assert_eq!(book.verdict(fingerprint(1), 0), QuarantineVerdict::Allowed);
-  book.note(ended(1, "e-1", 3), 0);
+  book.record(ended(1, "e-1", 3), 0);
   assert_eq!(
     book.verdict(fingerprint(1), 0),
     QuarantineVerdict::Probe { number: 1 }
@@ -82,7 +82,7 @@
 #[test]
 fn two_trials_the_second_much_later_and_then_none() {
   let mut book = holding(1, 0);
-  book.note(trial(1, 1), 100);
+  book.record(trial(1, 1), 100);
   let held = |retry_after_ms| QuarantineVerdict::Quarantined { retry_after_ms };
   assert_eq!(book.verdict(fingerprint(1), 200), held(1_000));
   assert_eq!(book.verdict(fingerprint(1), 5_100), held(10_000));
@@ -90,8 +90,8 @@
     book.verdict(fingerprint(1), 15_100),
     QuarantineVerdict::Probe { number: 2 }
   );
-  book.note(ended(1, "e-4", 1), 15_200);
-  book.note(trial(1, 2), 15_200);
+  book.record(ended(1, "e-4", 1), 15_200);
+  book.record(trial(1, 2), 15_200);
   for now_ms in [15_300, 60_000, 500_000] {
     assert_eq!(
       book.verdict(fingerprint(1), now_ms),
@@ -104,14 +104,14 @@
 #[test]
 fn what_is_asked_for_is_kept_and_what_is_not_is_forgotten() {
   let mut book = holding(1, 0);
-  assert!(book.due(fingerprint(1), 299_999).is_empty());
-  let due = book.due(fingerprint(1), 300_000);
+  assert!(book.marks_to_refresh(fingerprint(1), 299_999).is_empty());
+  let due = book.marks_to_refresh(fingerprint(1), 300_000);
   assert_eq!(due.len(), 3);
   for key in due {
-    book.note(key, 300_000);
+    book.record(key, 300_000);
   }
-  assert!(book.forget_old(TEN_MINUTES_MS).is_empty());
-  assert_eq!(book.forget_old(TEN_MINUTES_MS + 300_000).len(), 3);
+  assert!(book.expire(TEN_MINUTES_MS).is_empty());
+  assert_eq!(book.expire(TEN_MINUTES_MS + 300_000).len(), 3);
   assert!(book.is_empty());
 }
 
@@ -122,7 +122,7 @@
   let mut book = QuarantineRegistry::default();
   for (turn, born_ms) in [1, 2, 3].into_iter().enumerate() {
     for stream in 0..128 {
-      book.note(ended(stream, "e-1", born_ms), turn as u64 * 20_000);
+      book.record(ended(stream, "e-1", born_ms), turn as u64 * 20_000);
     }
     // Half of them end well on another engine.
     for stream in 0..64 {
@@ -132,7 +132,7 @@
   let verdict = |book: &QuarantineRegistry, stream| book.verdict(fingerprint(stream), 60_000);
   assert!((0..64).all(|stream| verdict(&book, stream) == QuarantineVerdict::Allowed));
   assert!((64..128).all(|stream| verdict(&book, stream) == QuarantineVerdict::Probe { number: 1 }));
-  book.note(trial(100, 1), 60_000);
+  book.record(trial(100, 1), 60_000);
   book.clear(fingerprint(100));
   assert_eq!(verdict(&book, 100), QuarantineVerdict::Allowed);
 }
@@ -142,7 +142,7 @@
 fn many_different_requests_are_bounded_and_push_out_no_held_one() {
   let mut book = holding(1, 0);
   for number in 2..10_002 {
-    book.note(ended(number, "e-1", number), number);
+    book.record(ended(number, "e-1", number), number);
   }
   assert!(book.len() <= 4_096, "{}", book.len());
   assert_eq!(
@@ -156,10 +156,10 @@
 #[test]
 fn marks_that_are_removed_free_the_request() {
   let mut book = holding(1, 0);
-  book.forget(ended(1, "e-3", 1));
+  book.remove(ended(1, "e-3", 1));
   assert_eq!(book.verdict(fingerprint(1), 0), QuarantineVerdict::Allowed);
-  book.forget(ended(1, "e-2", 1));
-  book.forget(ended(1, "e-1", 1));
+  book.remove(ended(1, "e-2", 1));
+  book.remove(ended(1, "e-1", 1));
   assert!(book.is_empty());
 }
 
@@ -237,11 +237,11 @@
     let mut one = QuarantineRegistry::default();
     let mut other = QuarantineRegistry::default();
     for key in &keys {
-      one.note(*key, 1_000);
+      one.record(*key, 1_000);
     }
     let start = usize::try_from(seed % (keys.len() as u64 + 1)).unwrap();
     for key in keys[start..].iter().chain(keys.iter().rev()) {
-      other.note(*key, 1_000);
+      other.record(*key, 1_000);
     }
     for request in 0..3 {
       for now_ms in [1_000, 3_000, 17_000] {
--- a/tests/gateway/role_plan.rs
+++ b/tests/gateway/role_plan.rs
@@ -42,16 +42,16 @@
 fn short_outage_changes_no_role() {
   let all = engines(3, 9);
   let mut recent = RecentEngines::default();
-  recent.note(&all, 0);
+  recent.record(&all, 0);
   // Two engines that write crash, and are back after 3.4 s under other ids.
   let left = &all[..7];
-  recent.note(left, 300);
+  recent.record(left, 300);
   assert_eq!(plan_roles(left, &recent.missing("llm"), 0.25), None);
   let mut back = all.clone();
   for engine in &mut back[7..] {
     engine.id = format!("{}-again", engine.id).into();
   }
-  recent.note(&back, 3_400);
+  recent.record(&back, 3_400);
   assert!(recent.missing("llm").is_empty());
   assert_eq!(plan_roles(&back, &recent.missing("llm"), 0.25), None);
 }
@@ -61,7 +61,7 @@
 fn engine_that_stands_twice_for_a_moment_changes_no_role() {
   let all = engines(3, 9);
   let mut recent = RecentEngines::default();
-  recent.note(&all, 0);
+  recent.record(&all, 0);
   let mut doubled = all.clone();
   for engine in &all[7..] {
     let again = EndpointEntry {
@@ -71,7 +71,7 @@
     };
     doubled.push(again);
   }
-  recent.note(&doubled, 3_000);
+  recent.record(&doubled, 3_000);
   let here: Vec<EndpointEntry> = stable_engines(&doubled).cloned().collect();
   assert_eq!(here.len(), 7);
   assert_eq!(recent.missing("llm").len(), 2);
@@ -88,7 +88,7 @@
 ) {
   let all = engines(3, 9);
   let mut recent = RecentEngines::default();
-  recent.note(&all, 0);
+  recent.record(&all, 0);
   let mut left = all.clone();
   if is_leaving {
     for engine in &mut left[7..] {
@@ -97,10 +97,10 @@
   } else {
     left.truncate(7);
   }
-  recent.note(&left, 100);
-  recent.note(&left, still_ms);
+  recent.record(&left, 100);
+  recent.record(&left, still_ms);
   assert_eq!(recent.missing("llm").len(), 2);
-  recent.note(&left, no_longer_ms);
+  recent.record(&left, no_longer_ms);
   let missing = recent.missing("llm");
   let turning = plan_roles(&left[..7], &missing, 0.25).unwrap();
   assert_eq!((turning.role, turning.engines.len()), (Role::Decode, 1));
--- a/tests/gateway/seats.rs
+++ b/tests/gateway/seats.rs
@@ -111,7 +111,7 @@
 ) {
   let mut forecast = SlotForecast::default();
   for seat_ms in seats_ms {
-    forecast.note_seat(*seat_ms, true);
+    forecast.record_slot(*seat_ms, true);
   }
   assert_eq!(forecast.has_chance(ahead, 450), has_chance);
 }
@@ -119,12 +119,12 @@
 #[test]
 fn time_without_waiting_requests_says_nothing_of_seats() {
   let mut forecast = SlotForecast::default();
-  forecast.note_seat(0, true);
-  forecast.note_idle();
-  forecast.note_seat(60_000, true);
+  forecast.record_slot(0, true);
+  forecast.record_idle();
+  forecast.record_slot(60_000, true);
   assert!(forecast.has_chance(9, 450));
-  forecast.note_seat(60_050, false);
-  forecast.note_seat(90_000, true);
+  forecast.record_slot(60_050, false);
+  forecast.record_slot(90_000, true);
   assert!(forecast.has_chance(4, 450));
 }
 
@@ -133,7 +133,7 @@
   let mut forecast = SlotForecast::default();
   assert_eq!(forecast.retry_after_ms(0.0), 3_500);
   for _ in 0..50 {
-    forecast.note_stream(10_000);
+    forecast.record_stream(10_000);
   }
   assert_eq!(forecast.retry_after_ms(0.0), 10_000);
   assert_eq!(forecast.retry_after_ms(1.0), 18_000);
