--- a/src/gateway/decisions/advertised_limits.rs
+++ b/src/gateway/decisions/advertised_limits.rs
@@ -1,8 +1,8 @@
-//! What endpoints name as the requests a second that they take of all boxes together. Free of I/O.
+//! The request rates that endpoints advertise as their limit over all boxes. Free of I/O.
 //!
-//! Load pattern: an endpoint in need names a figure below one request a second of each box, changes it with each answer, and
-//! answers to many boxes cross on their way. Its word holds as long as it says so; what counts is the newest word of which the
-//! order is known, of whichever box heard it.
+//! Load pattern: an overloaded endpoint advertises less than one request per second per box, changes the value with each
+//! response, and responses to different boxes overtake each other. The most recent value that can be ordered wins, whichever
+//! box received it.
 
 use {
   crate::{
@@ -12,109 +12,108 @@
   std::collections::HashMap,
 };
 
-/// A word that answers repeat on and off holds for so long after each.
-const REPEATED_MS: u64 = 1_000;
-/// A word is kept for so long without an answer of the endpoint: nobody asks there, or its entry has gone.
-const MOST_KEPT_MS: u64 = 10 * 60 * 1_000;
+/// A limit that only some responses repeat stays in force for this long after each of them.
+const MIN_HOLD_MS: u64 = 1_000;
+/// A limit is evicted after this time without a response of the endpoint.
+const RETENTION_MS: u64 = 10 * 60 * 1_000;
 
-/// Who heard an endpoint's word.
+/// Where a limit comes from.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LimitSource {
-  /// This box, in an answer of the endpoint.
+  /// A response of the endpoint to this box.
   Answer,
-  /// Another box.
+  /// A report of another box.
   Box,
-  /// It is cold: the configuration says what it carries.
+  /// The configured rate of a cold endpoint.
   Cold,
 }
-
-/// An endpoint's newest word.
+/// The limit that an endpoint advertised last.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdvertisedLimit {
-  /// Requests a second that it takes of all boxes together; nothing when it has ceased to name a limit.
+  /// Requests per second over all boxes; `None` once the endpoint advertises no limit.
   pub per_s: Option<f64>,
-  /// When it was heard, by whichever box.
+  /// When a box received it.
   pub received_ms: u64,
-  /// Who heard it.
+  /// Where it comes from.
   pub source: LimitSource,
 }
 
 impl AdvertisedLimit {
-  /// The figure; above all others when there is none.
+  /// The rate, infinite without a limit.
   pub(super) fn per_s_or_infinite(&self) -> f64 {
     self.per_s.unwrap_or(f64::INFINITY)
   }
 }
 
-/// What is new in an endpoint's word.
+/// How an endpoint's limit changed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitChange {
-  /// Nothing.
+  /// It did not.
   Unchanged,
-  /// It names a limit, and did not before.
+  /// It advertises a limit, and did not before.
   Started,
-  /// It names another figure than this one.
+  /// Its limit changed from this rate.
   Changed(f64),
-  /// It names none any more.
+  /// It no longer advertises a limit.
   Ended,
 }
 
-/// What one life of an endpoint has named.
+/// What one incarnation of an endpoint advertised.
 #[derive(Clone, Debug)]
-struct Noted {
-  born_ms: Option<u64>,
+struct Record {
+  started_ms: Option<u64>,
   limit: AdvertisedLimit,
-  /// When a limit was last heard, whatever was heard since.
+  /// When a response last had a limit.
   named_ms: u64,
 }
 
-/// The endpoints' advertised, by id; that of an earlier life counts for nothing.
+/// The advertised limits by endpoint id; those of an earlier incarnation are ignored.
 #[derive(Debug, Default)]
 pub struct AdvertisedLimits {
-  noted: HashMap<Name, Noted>,
+  records: HashMap<Name, Record>,
 }
 
 impl AdvertisedLimits {
-  /// Whether no endpoint has named a limit.
+  /// Whether no endpoint has advertised a limit.
   pub fn is_empty(&self) -> bool {
-    self.noted.is_empty()
+    self.records.is_empty()
   }
 
-  /// The newest word of a life of an endpoint, if it has named a limit.
+  /// What an incarnation of an endpoint advertised last.
   pub fn advertised(&self, entry: &EndpointEntry) -> Option<AdvertisedLimit> {
     self.advertised_by(&entry.id, entry.born_ms)
   }
 
-  /// The same of a life that may not be listed.
-  pub fn advertised_by(&self, id: &str, born_ms: Option<u64>) -> Option<AdvertisedLimit> {
-    self.noted(id, born_ms).map(|noted| noted.limit)
+  /// Like [`advertised`](Self::advertised), for an incarnation that may be unlisted.
+  pub fn advertised_by(&self, id: &str, started_ms: Option<u64>) -> Option<AdvertisedLimit> {
+    self.record(id, started_ms).map(|record| record.limit)
   }
 
-  /// The limit that a life of an endpoint names.
+  /// The rate that an incarnation of an endpoint advertises.
   pub fn per_s(&self, entry: &EndpointEntry) -> Option<f64> {
     self.advertised(entry)?.per_s
   }
 
-  /// Takes over what an answer says, to something that was sent at a time.
+  /// Applies the limit in a response to a request that was sent at `sent_ms`.
   pub fn record_response(
     &mut self,
     entry: &EndpointEntry,
-    said: NamedLimit,
+    limit: NamedLimit,
     sent_ms: u64,
     now_ms: u64,
   ) -> LimitChange {
-    let before = self.noted(&entry.id, entry.born_ms).cloned();
-    let per_s = match (said, before) {
+    let before = self.record(&entry.id, entry.born_ms).cloned();
+    let per_s = match (limit, before) {
       (NamedLimit::Unreadable, _) | (NamedLimit::Unsaid, None) => return LimitChange::Unchanged,
-      (NamedLimit::Unsaid, Some(before)) if !before.may_end(sent_ms, now_ms) => {
+      (NamedLimit::Unsaid, Some(before)) if !before.may_be_ended(sent_ms, now_ms) => {
         return LimitChange::Unchanged;
       }
       (NamedLimit::Unsaid, Some(_)) => None,
-      // Both answers were on their way at once, and nobody knows which the endpoint gave first.
-      (NamedLimit::PerS(said), Some(before)) if sent_ms < before.limit.received_ms => {
-        Some(before.limit.per_s.map_or(said, |known| known.min(said)))
+      // The requests overlapped, so the order of the responses is unknown: the lower limit applies.
+      (NamedLimit::PerS(per_s), Some(before)) if sent_ms < before.limit.received_ms => {
+        Some(before.limit.per_s.map_or(per_s, |known| known.min(per_s)))
       }
-      (NamedLimit::PerS(said), _) => Some(said),
+      (NamedLimit::PerS(per_s), _) => Some(per_s),
     };
     let limit = AdvertisedLimit {
       received_ms: now_ms,
@@ -124,53 +123,56 @@
     self.put(&entry.id, entry.born_ms, limit)
   }
 
-  /// Takes over a word that another box heard, if it is newer.
+  /// Applies a limit that another box reported, if it is newer.
   pub fn record_reported(
     &mut self,
     id: &Name,
-    born_ms: Option<u64>,
+    started_ms: Option<u64>,
     limit: AdvertisedLimit,
   ) -> LimitChange {
     let is_newer = self
-      .noted(id, born_ms)
-      .is_none_or(|noted| limit.received_ms > noted.limit.received_ms);
+      .record(id, started_ms)
+      .is_none_or(|record| limit.received_ms > record.limit.received_ms);
     if !is_newer {
       return LimitChange::Unchanged;
     }
-    self.put(id, born_ms, limit)
+    self.put(id, started_ms, limit)
   }
 
-  /// Forgets the advertised that nobody has heard again for long.
+  /// Evicts limits that were not received again within the retention period.
   pub fn expire(&mut self, now_ms: u64) {
     self
-      .noted
-      .retain(|_, noted| now_ms < noted.limit.received_ms + MOST_KEPT_MS);
+      .records
+      .retain(|_, record| now_ms < record.limit.received_ms + RETENTION_MS);
   }
 
-  /// The endpoints that name a limit, with it.
+  /// The endpoints that advertise a limit, with it.
   pub fn named(&self) -> impl Iterator<Item = (&Name, AdvertisedLimit)> {
-    let limits = self.noted.iter().map(|(id, noted)| (id, noted.limit));
+    let limits = self.records.iter().map(|(id, record)| (id, record.limit));
     limits.filter(|(_, limit)| limit.per_s.is_some())
   }
 
-  fn noted(&self, id: &str, born_ms: Option<u64>) -> Option<&Noted> {
-    self.noted.get(id).filter(|noted| noted.born_ms == born_ms)
+  fn record(&self, id: &str, started_ms: Option<u64>) -> Option<&Record> {
+    self
+      .records
+      .get(id)
+      .filter(|record| record.started_ms == started_ms)
   }
 
-  fn put(&mut self, id: &Name, born_ms: Option<u64>, limit: AdvertisedLimit) -> LimitChange {
-    let before = self.noted(id, born_ms);
+  fn put(&mut self, id: &Name, started_ms: Option<u64>, limit: AdvertisedLimit) -> LimitChange {
+    let before = self.record(id, started_ms);
     let named_ms = match (limit.per_s, before) {
       (None, Some(before)) => before.named_ms,
       _ => limit.received_ms,
     };
-    let news = LimitChange::between(before.and_then(|noted| noted.limit.per_s), limit.per_s);
-    let noted = Noted {
-      born_ms,
+    let change = LimitChange::between(before.and_then(|record| record.limit.per_s), limit.per_s);
+    let record = Record {
+      started_ms,
       limit,
       named_ms,
     };
-    self.noted.insert(id.clone(), noted);
-    news
+    self.records.insert(id.clone(), record);
+    change
   }
 }
 
@@ -186,9 +188,9 @@
   }
 }
 
-impl Noted {
-  /// Whether an answer without a limit ends it: the endpoint gave that answer after the word, and has not named one for a while.
-  fn may_end(&self, sent_ms: u64, now_ms: u64) -> bool {
-    sent_ms > self.named_ms && now_ms >= self.named_ms + REPEATED_MS
+impl Record {
+  /// Whether a response without a limit ends it: it was sent after the limit was received, and the hold time has passed.
+  fn may_be_ended(&self, sent_ms: u64, now_ms: u64) -> bool {
+    sent_ms > self.named_ms && now_ms >= self.named_ms + MIN_HOLD_MS
   }
 }
--- a/src/gateway/decisions/allowed_halls.rs
+++ b/src/gateway/decisions/allowed_halls.rs
@@ -1,11 +1,11 @@
-//! The data halls whose endpoints may be sent a request. Free of I/O.
+//! The data halls whose endpoints may serve a request. Free of I/O.
 
 use {
   crate::{gateway::edge::Homes, ids::Name},
   std::collections::{BTreeMap, BTreeSet},
 };
 
-/// The halls that a request's homes leave.
+/// The halls in the allowed regions of a request.
 ///
 /// ```
 /// use {rillford::gateway::{AllowedHalls, Homes}, std::collections::BTreeMap};
@@ -20,12 +20,12 @@
   /// Any hall.
   #[default]
   Any,
-  /// These alone; a hall whose region is not known is none of them.
+  /// Only these; a hall whose region is unknown is never among them.
   Only(BTreeSet<Name>),
 }
 
 impl AllowedHalls {
-  /// The halls whose regions are homes of all who have any. `regions` has each hall's.
+  /// The halls whose region is allowed by everyone who restricts regions. `regions` has the region of each hall.
   pub fn of<'a>(
     regions: &BTreeMap<Name, Name>,
     homes: impl IntoIterator<Item = Option<&'a Homes>>,
@@ -34,12 +34,12 @@
     if homes.is_empty() {
       return Self::Any;
     }
-    let is_home = |region: &Name| homes.iter().all(|homes| homes.contains(region));
-    let halls = regions.iter().filter(|(_, region)| is_home(region));
+    let is_allowed = |region: &Name| homes.iter().all(|homes| homes.contains(region));
+    let halls = regions.iter().filter(|(_, region)| is_allowed(region));
     Self::Only(halls.map(|(hall, _)| hall.clone()).collect())
   }
 
-  /// Whether a hall's endpoints may be sent the request.
+  /// Whether endpoints of a hall may serve the request.
   pub fn contains(&self, hall: &str) -> bool {
     match self {
       Self::Any => true,
--- a/src/gateway/decisions/choice.rs
+++ b/src/gateway/decisions/choice.rs
@@ -1,11 +1,11 @@
-//! What is asked of the book of endpoints, and what it answers.
+//! Input and result of the selection of an endpoint, and the outcome of the attempt.
 
 use {
   super::allowed_halls::AllowedHalls,
   crate::{decide::Role, gateway::edge::EndpointEntry, ids::Name},
 };
 
-/// What is wanted of an endpoint.
+/// The criteria by which an endpoint is selected.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointCriteria<'a> {
   /// The service.
@@ -14,32 +14,32 @@
   pub role: Option<Role>,
   /// Size of the work: prompt tokens for engines, 1 for plain services.
   pub size: u64,
-  /// Endpoints that were tried.
+  /// Endpoints that were tried before and are excluded.
   pub tried: &'a [Name],
   /// The halls that may be chosen.
   pub allowed_halls: &'a AllowedHalls,
-  /// The hall that is preferred.
+  /// The preferred hall.
   pub hall: &'a str,
-  /// Whether the work may be repeated: only such work tries an endpoint that failed before.
+  /// Whether the work may be retried: only such work probes an endpoint that was lost.
   pub is_retryable: bool,
 }
 
-/// The endpoint that was chosen.
+/// The selected endpoint.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Choice {
   /// The endpoint.
   pub entry: EndpointEntry,
-  /// Work of this box and, as far as known, of others that is ahead.
-  pub ahead: u64,
-  /// How long the work is expected to take with what is ahead, at the pace that was seen; nothing before the
-  /// first answer.
+  /// Work queued ahead: of this box and, as far as reported, of others.
+  pub queued_ahead: u64,
+  /// How long the work is expected to take with what is queued ahead, at the average pace of the endpoint; `None` before its
+  /// first response.
   pub expected_ms: Option<u64>,
-  /// Whether it said just now that it is full, or failed: no other is left.
+  /// Whether the box backs off from it after a loss or a full queue: no other endpoint is left.
   pub is_backing_off: bool,
 }
 
 impl Choice {
-  /// Part of such work that has to go elsewhere for the rest to be done within a time; 0 before the first answer.
+  /// Share of such work that has to go elsewhere for the rest to finish within a time; 0 before the first response.
   pub fn share_over(&self, limit_ms: f64) -> f64 {
     let Some(expected_ms) = self.expected_ms else {
       return 0.0;
@@ -48,22 +48,22 @@
   }
 }
 
-/// How an endpoint's part of the work ended.
+/// The outcome of an attempt at an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AttemptOutcome {
-  /// It answered.
+  /// It answered the request.
   Answered {
-    /// From sending to the answer, or to its first part.
+    /// Time from sending to the response, or to its first chunk.
     took_ms: u64,
   },
-  /// It answered with a failure of its own.
+  /// It answered with an error of its own.
   Failed,
-  /// It said that it is full.
+  /// It reported that it is full.
   Full,
-  /// It does not answer at all: it, or the path to its hall, is gone.
+  /// It could not be reached: it, or the path to its hall, is down.
   Unreachable,
-  /// It refused a connection, fell silent or broke off.
+  /// It refused the connection, stopped responding, or broke off.
   Lost,
-  /// This box no longer wanted the answer.
+  /// This box cancelled the attempt.
   Cancelled,
 }
--- a/src/gateway/decisions/drained_halls.rs
+++ b/src/gateway/decisions/drained_halls.rs
@@ -1,26 +1,26 @@
 //! The data halls that operators drain. Free of I/O.
 //!
-//! Load pattern: operators drain a hall under full load, several at once, or all; the word reaches a box from the store, from its
-//! reader and from a helper, in any order and twice.
+//! Load pattern: operators drain a hall under full load, several at once, or all; the update reaches a box from the store,
+//! from its store reader and from a fallback reader, in any order and more than once.
 
 use {crate::ids::Name, std::collections::BTreeMap};
 
-/// What is new in the word on a hall.
+/// How the drain of a hall changed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum HallDrainChange {
-  /// It was known, or is older than what is known.
+  /// It did not: the update was known, or is older than the known one.
   Unchanged,
-  /// The hall is to be sent nothing new from now on.
+  /// The hall gets no new requests from now on.
   Started,
-  /// The hall may be used again.
+  /// The hall gets requests again.
   Ended,
 }
 
-/// The newest word on one hall.
+/// The latest known state of one hall's drain.
 #[derive(Clone, Copy, Debug)]
 struct HallDrain {
   is_drained: bool,
-  /// The store's revision of that word.
+  /// The store's revision of that state.
   revision: u64,
 }
 
@@ -31,29 +31,29 @@
 /// let mut halls = DrainedHalls::default();
 /// assert_eq!(halls.record(&"north".into(), true, 7), HallDrainChange::Started);
 /// assert!(halls.is_drained("north"));
-/// // An older word that comes late changes nothing.
+/// // An older update that arrives late changes nothing.
 /// assert_eq!(halls.record(&"north".into(), false, 5), HallDrainChange::Unchanged);
 /// assert_eq!(halls.record(&"north".into(), false, 9), HallDrainChange::Ended);
 /// assert!(halls.is_empty());
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct DrainedHalls {
-  /// Those whose drain has ended too: an older word may still come.
+  /// Includes halls whose drain has ended: an older update may still arrive.
   by_hall: BTreeMap<Name, HallDrain>,
 }
 
 impl DrainedHalls {
-  /// Takes over the store's word on a hall, as it was at a revision.
+  /// Applies the state of a hall's drain at a revision of the store.
   pub fn record(&mut self, hall: &Name, is_drained: bool, revision: u64) -> HallDrainChange {
     let before = self.by_hall.get(hall).copied();
     if before.is_some_and(|before| revision <= before.revision) {
       return HallDrainChange::Unchanged;
     }
-    let word = HallDrain {
+    let drain = HallDrain {
       is_drained,
       revision,
     };
-    self.by_hall.insert(hall.clone(), word);
+    self.by_hall.insert(hall.clone(), drain);
     match (before.is_some_and(|before| before.is_drained), is_drained) {
       (false, true) => HallDrainChange::Started,
       (true, false) => HallDrainChange::Ended,
@@ -61,18 +61,18 @@
     }
   }
 
-  /// Whether a hall is to be sent nothing new.
+  /// Whether a hall gets no new requests.
   pub fn is_drained(&self, hall: &str) -> bool {
     self.by_hall.get(hall).is_some_and(|drain| drain.is_drained)
   }
 
-  /// The halls that are drained now.
+  /// The halls that are drained.
   pub fn names(&self) -> impl Iterator<Item = &Name> {
     let drained = self.by_hall.iter().filter(|(_, drain)| drain.is_drained);
     drained.map(|(hall, _)| hall)
   }
 
-  /// Whether no hall is drained now.
+  /// Whether no hall is drained.
   pub fn is_empty(&self) -> bool {
     self.names().next().is_none()
   }
--- a/src/gateway/decisions/endpoint_limits.rs
+++ b/src/gateway/decisions/endpoint_limits.rs
@@ -1,5 +1,5 @@
-//! What endpoints take of all boxes together, by their own word or while they are cold, and the permits that this box has there.
-//! Free of I/O.
+//! The request rates that endpoints accept over all boxes, advertised or while cold, and this box's permits there. Free of
+//! I/O.
 
 use {
   super::{
@@ -13,21 +13,21 @@
   },
 };
 
-/// From this figure on, in requests a second, it is no limit.
+/// A rate from here on, in requests per second, is no limit.
 const NO_LIMIT_PER_S: f64 = 1e6;
 
-/// Endpoints' advertised and this box's permits.
+/// The limits of endpoints, and this box's permits within them.
 #[derive(Debug, Default)]
 pub struct EndpointLimits {
   advertised: AdvertisedLimits,
   cold: ColdEndpoints,
   permits: LocalPermits,
-  /// Whether limits decide nothing.
+  /// Whether limits are recorded and not enforced.
   is_disabled: bool,
 }
 
 impl EndpointLimits {
-  /// Limits that are written down and decide nothing.
+  /// Limits that are recorded and not enforced.
   pub fn ignoring() -> Self {
     Self {
       is_disabled: true,
@@ -35,24 +35,23 @@
     }
   }
 
-  /// Whether any limit decides something.
+  /// Whether any limit is enforced.
   pub fn are_enforced(&self) -> bool {
     let has_any = !self.advertised.is_empty() || !self.cold.is_empty();
     has_any && !self.is_disabled
   }
 
-  /// The requests a second that a life of an endpoint takes of all boxes together, if any limit that is heeded is in force.
+  /// The requests per second that an incarnation of an endpoint accepts over all boxes, if an enforced limit is in force.
   pub fn per_s(&self, entry: &EndpointEntry, now_ms: u64) -> Option<f64> {
     self.in_force(entry, now_ms)?.per_s
   }
 
-  /// The same of a life that this box may not list.
-  pub fn lowest_per_s(&self, id: &str, born_ms: Option<u64>, now_ms: u64) -> Option<f64> {
-    self.lowest_limit(id, born_ms, now_ms)?.per_s
+  /// The lowest rate of an incarnation that may be unlisted, whether limits are enforced or not.
+  pub fn lowest_per_s(&self, id: &str, started_ms: Option<u64>, now_ms: u64) -> Option<f64> {
+    self.lowest_limit(id, started_ms, now_ms)?.per_s
   }
 
-  /// The lower of the limits that are in force at a life of an endpoint: the one that it names, and what it carries while it
-  /// is cold.
+  /// The limit in force at an incarnation of an endpoint: the lower of the advertised one and the rate while it is cold.
   pub fn in_force(&self, entry: &EndpointEntry, now_ms: u64) -> Option<AdvertisedLimit> {
     if self.is_disabled {
       return None;
@@ -60,11 +59,19 @@
     self.lowest_limit(&entry.id, entry.born_ms, now_ms)
   }
 
-  fn lowest_limit(&self, id: &str, born_ms: Option<u64>, now_ms: u64) -> Option<AdvertisedLimit> {
+  fn lowest_limit(
+    &self,
+    id: &str,
+    started_ms: Option<u64>,
+    now_ms: u64,
+  ) -> Option<AdvertisedLimit> {
     let is_limit =
       |limit: &AdvertisedLimit| limit.per_s.is_some_and(|per_s| per_s < NO_LIMIT_PER_S);
-    let named = self.advertised.advertised_by(id, born_ms).filter(is_limit);
-    let cold = self.cold_period(id, born_ms, now_ms);
+    let named = self
+      .advertised
+      .advertised_by(id, started_ms)
+      .filter(is_limit);
+    let cold = self.cold_period(id, started_ms, now_ms);
     let cold = cold.map(AdvertisedLimit::from);
     [named, cold].into_iter().flatten().min_by(|one, other| {
       one
@@ -73,29 +80,29 @@
     })
   }
 
-  /// The period in which a life of an endpoint is cold; nothing once it is warm.
-  pub fn cold_period(&self, id: &str, born_ms: Option<u64>, now_ms: u64) -> Option<ColdPeriod> {
-    self.cold.period(id, born_ms, now_ms)
+  /// The period in which an incarnation of an endpoint is cold; `None` once it is warm.
+  pub fn cold_period(&self, id: &str, started_ms: Option<u64>, now_ms: u64) -> Option<ColdPeriod> {
+    self.cold.period(id, started_ms, now_ms)
   }
 
-  /// Takes over that a life of an endpoint is cold.
-  pub fn record_cold(&mut self, id: &Name, born_ms: Option<u64>, period: ColdPeriod) {
+  /// Records that an incarnation of an endpoint is cold.
+  pub fn record_cold(&mut self, id: &Name, started_ms: Option<u64>, period: ColdPeriod) {
     if period.recorded_ms < period.until_ms {
-      self.cold.record(id, born_ms, period);
+      self.cold.record(id, started_ms, period);
     }
   }
 
-  /// A life's newest word, if it has named a limit.
+  /// What an incarnation of an endpoint advertised last.
   pub fn advertised(&self, entry: &EndpointEntry) -> Option<AdvertisedLimit> {
     self.advertised.advertised(entry)
   }
 
-  /// The newest word of a life that this box may not list.
-  pub fn advertised_by(&self, id: &str, born_ms: Option<u64>) -> Option<AdvertisedLimit> {
-    self.advertised.advertised_by(id, born_ms)
+  /// Like [`advertised`](Self::advertised), for an incarnation that may be unlisted.
+  pub fn advertised_by(&self, id: &str, started_ms: Option<u64>) -> Option<AdvertisedLimit> {
+    self.advertised.advertised_by(id, started_ms)
   }
 
-  /// How long there is no permit for this box at an endpoint; 0 when there may be one.
+  /// How long this box gets no permit at an endpoint; 0 when it may get one.
   pub fn blocked_for_ms(&self, entry: &EndpointEntry, now_ms: u64) -> u64 {
     match self.per_s(entry, now_ms) {
       Some(_) => self.permits.blocked_for_ms(&entry.id, now_ms),
@@ -103,29 +110,29 @@
     }
   }
 
-  /// Takes over what an answer says, to something that was sent at a time.
+  /// Applies the limit in a response to a request that was sent at `sent_ms`.
   pub fn record_response(
     &mut self,
     entry: &EndpointEntry,
-    said: NamedLimit,
+    limit: NamedLimit,
     sent_ms: u64,
     now_ms: u64,
   ) -> LimitChange {
-    let news = self
+    let change = self
       .advertised
-      .record_response(entry, said, sent_ms, now_ms);
-    self.apply_change(&entry.id, news)
+      .record_response(entry, limit, sent_ms, now_ms);
+    self.apply_change(&entry.id, change)
   }
 
-  /// Takes over a word that another box heard, if it is newer.
+  /// Applies a limit that another box reported, if it is newer.
   pub fn record_reported(
     &mut self,
     id: &Name,
-    born_ms: Option<u64>,
+    started_ms: Option<u64>,
     limit: AdvertisedLimit,
   ) -> LimitChange {
-    let news = self.advertised.record_reported(id, born_ms, limit);
-    self.apply_change(id, news)
+    let change = self.advertised.record_reported(id, started_ms, limit);
+    self.apply_change(id, change)
   }
 
   /// This box's permits.
@@ -133,24 +140,24 @@
     &mut self.permits
   }
 
-  /// Forgets what no longer counts.
+  /// Evicts expired limits and unused permits.
   pub fn expire(&mut self, now_ms: u64) {
     self.advertised.expire(now_ms);
     self.cold.expire(now_ms);
     self.permits.expire(now_ms);
   }
 
-  /// The endpoints that name a limit, with it.
+  /// The endpoints that advertise a limit, with it.
   pub fn named(&self) -> impl Iterator<Item = (&Name, AdvertisedLimit)> {
     self.advertised.named()
   }
 
-  /// What is known of permits is of the limit that has ended, or of an earlier life.
-  fn apply_change(&mut self, id: &Name, news: LimitChange) -> LimitChange {
-    if matches!(news, LimitChange::Started | LimitChange::Ended) {
+  /// Resets the permits when a limit starts or ends: they belong to the former limit or to an earlier incarnation.
+  fn apply_change(&mut self, id: &Name, change: LimitChange) -> LimitChange {
+    if matches!(change, LimitChange::Started | LimitChange::Ended) {
       self.permits.reset(id);
     }
-    news
+    change
   }
 }
 
--- a/src/gateway/decisions/endpoint_registry.rs
+++ b/src/gateway/decisions/endpoint_registry.rs
@@ -1,4 +1,4 @@
-//! What this box knows of each endpoint, and the choice among them. Free of I/O.
+//! What this box knows of each endpoint, and the selection among them. Free of I/O.
 
 use {
   super::{
@@ -7,8 +7,8 @@
     drained_halls::DrainedHalls,
     endpoint_counts::EndpointCounts,
     endpoint_limits::EndpointLimits,
-    hall_reach::HallReach,
-    known_endpoint::{Known, ON_TRIAL_RANK, Peers, Told},
+    endpoint_state::{EndpointState, PROBE_RANK, PeerAverages, ReportedLoad},
+    hall_reachability::HallReachability,
     notice_tracker::{Availability, NoticeChange, NoticeTracker},
     unavailable::Unavailable,
   },
@@ -20,29 +20,29 @@
   std::collections::{BTreeMap, HashMap},
 };
 
-/// Width of the random factor that keeps boxes with the same knowledge from the same choice.
+/// Width of the random factor that keeps boxes with equal knowledge from making the same choice.
 const NOISE: f64 = 0.2;
 
-/// The endpoints by incarnation.
+/// The endpoints by id.
 #[derive(Debug, Default)]
 pub struct EndpointRegistry {
-  /// In order, so that equal draws make equal choices.
-  known: BTreeMap<Name, Known>,
-  halls: HashMap<Name, HallReach>,
+  /// Ordered, so that equal draws make equal choices.
+  endpoints: BTreeMap<Name, EndpointState>,
+  halls: HashMap<Name, HallReachability>,
   /// The halls that operators drain.
   drained_halls: DrainedHalls,
-  /// What they have said of themselves; outlasts entries that go and come back.
+  /// What they signalled; outlives entries that are removed and come back.
   notices: NoticeTracker,
-  /// The limits that they name.
+  /// The limits that they advertise.
   limits: EndpointLimits,
-  /// Whether what they have said of themselves decides nothing.
+  /// Whether notices are recorded and not honoured.
   ignores_notices: bool,
-  /// Since when the store has been heard without a break.
-  store_since_ms: Option<u64>,
+  /// Start of the uninterrupted contact with the store.
+  store_connected_since_ms: Option<u64>,
 }
 
 impl EndpointRegistry {
-  /// An empty book in which nothing is decided by what endpoints say of themselves.
+  /// An empty registry that does not honour endpoints' notices.
   pub fn ignoring_notices() -> Self {
     Self {
       ignores_notices: true,
@@ -50,7 +50,7 @@
     }
   }
 
-  /// The same book, in which nothing is decided by the limits that endpoints name.
+  /// The same registry, not enforcing the limits that endpoints advertise.
   pub fn ignoring_limits(self) -> Self {
     Self {
       limits: EndpointLimits::ignoring(),
@@ -58,62 +58,65 @@
     }
   }
 
-  /// Takes over an entry as it was written.
+  /// Inserts or updates an entry.
   pub fn put(&mut self, entry: EndpointEntry) {
-    match self.known.get_mut(&entry.id) {
-      Some(known) => {
-        known.entry = entry;
-        known.lapses_ms = None;
+    match self.endpoints.get_mut(&entry.id) {
+      Some(endpoint) => {
+        endpoint.entry = entry;
+        endpoint.lapses_at_ms = None;
       }
       None => {
-        self.known.insert(entry.id.clone(), Known::new(entry));
+        self
+          .endpoints
+          .insert(entry.id.clone(), EndpointState::new(entry));
       }
     }
   }
 
-  /// Forgets an endpoint whose entry has gone.
+  /// Removes an endpoint whose entry was deleted.
   pub fn remove(&mut self, id: &str) {
-    self.known.remove(id);
+    self.endpoints.remove(id);
   }
 
-  /// Keeps an endpoint whose entry went while the store was away until a time, unless it comes back.
+  /// Keeps an endpoint until a time although its entry was missing after a store outage, unless the entry comes back.
   pub fn mark_lapsed(&mut self, id: &str, until_ms: u64) {
-    if let Some(known) = self.known.get_mut(id) {
-      known.lapses_ms.get_or_insert(until_ms);
+    if let Some(endpoint) = self.endpoints.get_mut(id) {
+      endpoint.lapses_at_ms.get_or_insert(until_ms);
     }
   }
 
-  /// Forgets the endpoints whose entries did not come back in time.
+  /// Removes the endpoints whose lapsed entries did not come back in time.
   pub fn remove_lapsed(&mut self, now_ms: u64) {
-    self
-      .known
-      .retain(|_, known| known.lapses_ms.is_none_or(|until_ms| now_ms < until_ms));
+    self.endpoints.retain(|_, endpoint| {
+      endpoint
+        .lapses_at_ms
+        .is_none_or(|until_ms| now_ms < until_ms)
+    });
   }
 
-  /// The incarnations that are known.
+  /// The ids of all endpoints.
   pub fn ids(&self) -> Vec<Name> {
-    self.known.keys().cloned().collect()
+    self.endpoints.keys().cloned().collect()
   }
 
   /// The entry of an endpoint.
   pub fn entry(&self, id: &str) -> Option<&EndpointEntry> {
-    self.known.get(id).map(|known| &known.entry)
+    self.endpoints.get(id).map(|endpoint| &endpoint.entry)
   }
 
-  /// This box's requests at an endpoint, and their size.
+  /// This box's requests in flight at an endpoint, and their size.
   pub fn local_load(&self, id: &str) -> (u64, u64) {
-    self
-      .known
-      .get(id)
-      .map_or((0, 0), |known| (u64::from(known.requests), known.size))
+    self.endpoints.get(id).map_or((0, 0), |endpoint| {
+      (u64::from(endpoint.requests), endpoint.size)
+    })
   }
 
   /// All entries.
   pub fn entries(&self) -> impl Iterator<Item = &EndpointEntry> {
-    self.known.values().map(|known| &known.entry)
+    self.endpoints.values().map(|endpoint| &endpoint.entry)
   }
 
-  /// All entries; those of endpoints that leave by their own word say so too, and those of drained halls.
+  /// All entries; those of endpoints that signalled that they leave, and those in drained halls, are marked as leaving.
   pub fn current_entries(&self, now_ms: u64) -> Vec<EndpointEntry> {
     self
       .entries()
@@ -124,7 +127,7 @@
       .collect()
   }
 
-  /// Whether an endpoint leaves, by the store's word or its own.
+  /// Whether an endpoint leaves, as listed in the store or as signalled by itself.
   pub fn is_leaving(&self, entry: &EndpointEntry, now_ms: u64) -> bool {
     entry.leaving
       || matches!(
@@ -133,7 +136,7 @@
       )
   }
 
-  /// Whether the life of an endpoint that was chosen before may be sent work now. Fails when it may not, and says why.
+  /// Whether the incarnation of an endpoint that was chosen before still accepts work; fails with the reason otherwise.
   pub fn check(&self, chosen: &EndpointEntry, now_ms: u64) -> Result<(), Unavailable> {
     let entry = self
       .entry(&chosen.id)
@@ -142,7 +145,7 @@
     self.check_listed(entry, now_ms)
   }
 
-  /// The same of an entry that is listed.
+  /// Like [`check`](Self::check), for an entry that is listed.
   fn check_listed(&self, entry: &EndpointEntry, now_ms: u64) -> Result<(), Unavailable> {
     if entry.leaving {
       return Err(Unavailable::ListedAsLeaving);
@@ -152,27 +155,30 @@
     }
     match self.availability(entry, now_ms) {
       Availability::Available | Availability::Probing { .. } => Ok(()),
-      Availability::Leaving { said_ms } => Err(Unavailable::Leaving {
-        said_ms: now_ms.saturating_sub(said_ms),
+      Availability::Leaving { signalled_ms } => Err(Unavailable::Leaving {
+        signalled_ago_ms: now_ms.saturating_sub(signalled_ms),
       }),
-      Availability::BackingOff { asked_ms, until_ms } => Err(Unavailable::BackingOff {
-        asked_ms: now_ms.saturating_sub(asked_ms),
-        left_ms: until_ms - now_ms,
+      Availability::BackingOff {
+        requested_ms,
+        until_ms,
+      } => Err(Unavailable::BackingOff {
+        requested_ago_ms: now_ms.saturating_sub(requested_ms),
+        remaining_ms: until_ms - now_ms,
       }),
     }
   }
 
-  /// The same, and whether there may be a place for it within the endpoint's limit.
+  /// Like [`check_listed`](Self::check_listed); also fails while no permit is available within the endpoint's limit.
   fn check_permit(&self, entry: &EndpointEntry, now_ms: u64) -> Result<(), Unavailable> {
     self.check_listed(entry, now_ms)?;
     match self.limits.blocked_for_ms(entry, now_ms) {
       0 => Ok(()),
-      left_ms => Err(Unavailable::NoPermit { left_ms }),
+      remaining_ms => Err(Unavailable::NoPermit { remaining_ms }),
     }
   }
 
-  /// How long it takes until a first endpoint of a service that answers requests takes work again; nothing while one does, or when none
-  /// pauses or is at its limit.
+  /// Time until the first answering endpoint of a service accepts work again; `None` while one does, or when none is backing off
+  /// or at its limit.
   pub fn available_in_ms(&self, service: &str, now_ms: u64) -> Option<u64> {
     let answering = self
       .entries()
@@ -181,8 +187,11 @@
     for entry in answering {
       match self.check_permit(entry, now_ms) {
         Ok(()) => return None,
-        Err(Unavailable::BackingOff { left_ms, .. } | Unavailable::NoPermit { left_ms }) => {
-          first_ms = Some(first_ms.map_or(left_ms, |first_ms: u64| first_ms.min(left_ms)));
+        Err(
+          Unavailable::BackingOff { remaining_ms, .. } | Unavailable::NoPermit { remaining_ms },
+        ) => {
+          first_ms =
+            Some(first_ms.map_or(remaining_ms, |first_ms: u64| first_ms.min(remaining_ms)));
         }
         Err(_) => {}
       }
@@ -190,109 +199,110 @@
     first_ms
   }
 
-  /// How many endpoints are known.
   pub fn len(&self) -> usize {
-    self.known.len()
+    self.endpoints.len()
   }
 
-  /// Whether no endpoint is known.
   pub fn is_empty(&self) -> bool {
-    self.known.is_empty()
+    self.endpoints.is_empty()
   }
 
-  /// Chooses the endpoint that promises the earliest end of the work.
+  /// Chooses the endpoint with the lowest rank and, among equals, the earliest expected completion.
   pub fn choose(
     &self,
-    wanted: EndpointCriteria,
+    criteria: EndpointCriteria,
     now_ms: u64,
     mut draw: impl FnMut() -> f64,
   ) -> Option<Choice> {
-    // Hardly ever has an endpoint or an operator said anything, and a look at each makes a choice among thousands twice as long.
-    let heeds_notices = self.heeds_notices();
-    let heeds_words = heeds_notices || self.limits.are_enforced() || !self.drained_halls.is_empty();
-    let takes_work = |known: &Known| {
-      !known.entry.leaving && (!heeds_words || self.check_permit(&known.entry, now_ms).is_ok())
+    // Signals are rare, and checking each endpoint doubles the time of a choice among thousands.
+    let honours_notices = self.honours_notices();
+    let honours_signals =
+      honours_notices || self.limits.are_enforced() || !self.drained_halls.is_empty();
+    let accepts_work = |endpoint: &EndpointState| {
+      !endpoint.entry.leaving
+        && (!honours_signals || self.check_permit(&endpoint.entry, now_ms).is_ok())
     };
-    let candidates: Vec<&Known> = self
-      .known
+    let candidates: Vec<&EndpointState> = self
+      .endpoints
       .values()
-      .filter(|known| {
-        &*known.entry.service == wanted.service
-          && takes_work(known)
-          && wanted.allowed_halls.contains(&known.entry.hall)
-          && (wanted.role.is_none() || known.entry.role == wanted.role)
-          && !wanted.tried.contains(&known.entry.id)
+      .filter(|endpoint| {
+        &*endpoint.entry.service == criteria.service
+          && accepts_work(endpoint)
+          && criteria.allowed_halls.contains(&endpoint.entry.hall)
+          && (criteria.role.is_none() || endpoint.entry.role == criteria.role)
+          && !criteria.tried.contains(&endpoint.entry.id)
       })
       .collect();
-    let peers = Peers::of(&candidates);
+    let peers = PeerAverages::of(&candidates);
     candidates
       .into_iter()
-      .map(|known| {
-        let is_hall_unreachable = self.is_hall_unreachable(&known.entry.hall, now_ms);
-        let rank = known.rank(wanted, is_hall_unreachable, now_ms);
-        let is_probe_in_flight =
-          heeds_notices && self.availability(&known.entry, now_ms).is_probe_in_flight();
+      .map(|endpoint| {
+        let is_hall_unreachable = self.is_hall_unreachable(&endpoint.entry.hall, now_ms);
+        let rank = endpoint.rank(criteria, is_hall_unreachable, now_ms);
+        let is_probe_in_flight = honours_notices
+          && self
+            .availability(&endpoint.entry, now_ms)
+            .is_probe_in_flight();
         (
           if is_probe_in_flight {
-            rank.max(ON_TRIAL_RANK)
+            rank.max(PROBE_RANK)
           } else {
             rank
           },
-          known.cost(wanted, peers, now_ms) * (1.0 + NOISE * draw()),
-          known,
+          endpoint.cost(criteria, peers, now_ms) * (1.0 + NOISE * draw()),
+          endpoint,
         )
       })
       .min_by(|one, other| one.0.cmp(&other.0).then(one.1.total_cmp(&other.1)))
-      .map(|(_, _, known)| Choice {
-        ahead: known.ahead(wanted.size, now_ms) as u64,
-        entry: known.entry.clone(),
-        expected_ms: known.expected_ms(wanted.size, now_ms),
-        is_backing_off: now_ms < known.avoid_until_ms,
+      .map(|(_, _, endpoint)| Choice {
+        queued_ahead: endpoint.queued_ahead(criteria.size, now_ms) as u64,
+        entry: endpoint.entry.clone(),
+        expected_ms: endpoint.expected_ms(criteria.size, now_ms),
+        is_backing_off: now_ms < endpoint.backoff_until_ms,
       })
   }
 
-  /// Whether anything was said that decides something.
-  fn heeds_notices(&self) -> bool {
+  /// Whether there are notices, and they are honoured.
+  fn honours_notices(&self) -> bool {
     !self.ignores_notices && !self.notices.is_empty()
   }
 
-  /// Whether a hall seems to be cut off from this box.
+  /// Whether a hall seems to be unreachable from this box.
   pub fn is_hall_unreachable(&self, hall: &str, now_ms: u64) -> bool {
     self
       .halls
       .get(hall)
-      .is_some_and(|reach| reach.is_unreachable(now_ms))
+      .is_some_and(|hall| hall.is_unreachable(now_ms))
   }
 
-  /// Work of a size was sent.
+  /// Records that work of a size was sent.
   pub fn record_send(&mut self, id: &str, size: u64) {
-    if let Some(known) = self.known.get_mut(id) {
-      known.requests += 1;
-      known.size += size;
+    if let Some(endpoint) = self.endpoints.get_mut(id) {
+      endpoint.requests += 1;
+      endpoint.size += size;
     }
   }
 
-  /// Work of a size ended; `units` is what the time until its answer is measured by.
+  /// Records the outcome of work of a size; `units` scales the response time.
   pub fn record_outcome(
     &mut self,
     id: &str,
     size: u64,
     units: u64,
-    end: AttemptOutcome,
+    outcome: AttemptOutcome,
     now_ms: u64,
   ) {
-    let Some(known) = self.known.get_mut(id) else {
+    let Some(endpoint) = self.endpoints.get_mut(id) else {
       return;
     };
-    known.requests = known.requests.saturating_sub(1);
-    known.size = known.size.saturating_sub(size);
-    let hall = self.halls.entry(known.entry.hall.clone()).or_default();
-    hall.record(&known.entry.id, end, now_ms);
-    known.record_outcome(units, end, now_ms);
+    endpoint.requests = endpoint.requests.saturating_sub(1);
+    endpoint.size = endpoint.size.saturating_sub(size);
+    let hall = self.halls.entry(endpoint.entry.hall.clone()).or_default();
+    hall.record(&endpoint.entry.id, outcome, now_ms);
+    endpoint.record_outcome(units, outcome, now_ms);
   }
 
-  /// Takes over what an endpoint said of itself in an answer to what was sent to this entry of it; nothing where another life
-  /// has entered since.
+  /// Records a notice from a response of an endpoint's incarnation; ignored if a newer one is listed.
   pub fn record_notice(
     &mut self,
     entry: &EndpointEntry,
@@ -305,19 +315,18 @@
     self.notices.record(entry, notice, now_ms)
   }
 
-  /// Takes over what an endpoint named as its limit in an answer to what was sent to this entry of it; nothing where another life
-  /// has entered since.
+  /// Records the limit in a response of an endpoint's incarnation; ignored if a newer one is listed.
   pub fn record_limit(
     &mut self,
     entry: &EndpointEntry,
-    said: NamedLimit,
+    limit: NamedLimit,
     sent_ms: u64,
     now_ms: u64,
   ) -> LimitChange {
     if self.has_newer_incarnation(entry) {
       return LimitChange::Unchanged;
     }
-    self.limits.record_response(entry, said, sent_ms, now_ms)
+    self.limits.record_response(entry, limit, sent_ms, now_ms)
   }
 
   /// The halls that operators drain.
@@ -325,71 +334,70 @@
     &self.drained_halls
   }
 
-  /// The same, to change.
+  /// Mutable access to [`drained_halls`](Self::drained_halls).
   pub fn drained_halls_mut(&mut self) -> &mut DrainedHalls {
     &mut self.drained_halls
   }
 
-  /// The limits that endpoints name, and this box's permits there.
+  /// The limits that endpoints advertise, and this box's permits there.
   pub fn limits(&self) -> &EndpointLimits {
     &self.limits
   }
 
-  /// The same, to change.
+  /// Mutable access to [`limits`](Self::limits).
   pub fn limits_mut(&mut self) -> &mut EndpointLimits {
     &mut self.limits
   }
 
-  /// Whether another life has entered under an endpoint's id.
+  /// Whether a newer incarnation is listed under an endpoint's id.
   fn has_newer_incarnation(&self, entry: &EndpointEntry) -> bool {
     self
       .entry(&entry.id)
       .is_some_and(|now| now.born_ms != entry.born_ms)
   }
 
-  /// Whether a life of an endpoint may be sent work, by its own word.
+  /// Whether an incarnation of an endpoint accepts work, according to its own signals.
   pub fn availability(&self, entry: &EndpointEntry, now_ms: u64) -> Availability {
-    if !self.heeds_notices() {
+    if !self.honours_notices() {
       return Availability::Available;
     }
     self.notices.availability(entry, now_ms)
   }
 
-  /// Something is sent to an endpoint; answers with when it asked for a pause if it is the first since the pause.
+  /// Records a send after a backoff; returns when the endpoint asked for the backoff if this is the first probe.
   pub fn record_probe(&mut self, id: &str, now_ms: u64) -> Option<u64> {
     self.notices.record_probe(id, now_ms)
   }
 
-  /// An endpoint took work.
+  /// Records that an endpoint accepted work.
   pub fn record_accepted(&mut self, id: &str, now_ms: u64) {
     self.notices.record_accepted(id, now_ms);
   }
 
-  /// The store was heard, or was lost.
+  /// Sets the start of the uninterrupted contact with the store; `None` when it is lost.
   pub fn set_store_connected_since(&mut self, since_ms: Option<u64>) {
-    self.store_since_ms = since_ms;
+    self.store_connected_since_ms = since_ms;
   }
 
-  /// Forgets what endpoints said once it no longer counts; answers with those that are taken back although they said that
-  /// they leave.
+  /// Evicts expired notices and limits; returns the endpoints that are readmitted although they signalled that they leave.
   pub fn expire_notices(&mut self, now_ms: u64) -> Vec<Name> {
     self.limits.expire(now_ms);
-    let known = &self.known;
+    let endpoints = &self.endpoints;
     self.notices.expire(
-      self.store_since_ms,
-      |id| known.get(id).map(|known| &known.entry),
+      self.store_connected_since_ms,
+      |id| endpoints.get(id).map(|endpoint| &endpoint.entry),
       now_ms,
     )
   }
 
-  /// How many endpoints take work: of a service, or of all.
+  /// Counts the endpoints of a service, or all, by availability.
   pub fn count(&self, service: Option<&str>, now_ms: u64) -> EndpointCounts {
     let mut counts = EndpointCounts::default();
-    let wanted = self
+    let selected = self
       .entries()
       .filter(|entry| service.is_none_or(|service| &*entry.service == service));
-    for entry in wanted {
-      let pauses = matches!(
+    for entry in selected {
+      let is_backing_off = matches!(
         self.availability(entry, now_ms),
         Availability::BackingOff { .. }
       );
@@ -397,47 +405,47 @@
       counts.known += 1;
       counts.leaving += usize::from(self.is_leaving(entry, now_ms));
       counts.limited += usize::from(self.limits.per_s(entry, now_ms).is_some());
-      counts.pausing += usize::from(pauses);
+      counts.pausing += usize::from(is_backing_off);
     }
     counts
   }
 
-  /// Another endpoint that was asked later answered first.
+  /// Records that a later, hedged attempt at another endpoint was answered first.
   pub fn mark_outrun(&mut self, id: &str) {
-    if let Some(known) = self.known.get_mut(id) {
-      known.record_failure_share(true);
+    if let Some(endpoint) = self.endpoints.get_mut(id) {
+      endpoint.record_failure_share(true);
     }
   }
 
-  /// An endpoint has owed an answer for too long: it, or the path to its hall, may be gone.
+  /// Records that a response is overdue: the endpoint, or the path to its hall, may have failed.
   pub fn mark_overdue(&mut self, id: &str, now_ms: u64) {
-    let Some(known) = self.known.get_mut(id) else {
+    let Some(endpoint) = self.endpoints.get_mut(id) else {
       return;
     };
-    known.record_failure_share(true);
-    known.record_loss(now_ms);
-    let hall = self.halls.entry(known.entry.hall.clone()).or_default();
-    hall.unreachable.insert(known.entry.id.clone());
-    hall.noted_ms = now_ms;
+    endpoint.record_failure_share(true);
+    endpoint.record_loss(now_ms);
+    let hall = self.halls.entry(endpoint.entry.hall.clone()).or_default();
+    hall.unreachable.insert(endpoint.entry.id.clone());
+    hall.last_failure_ms = now_ms;
   }
 
-  /// An endpoint is at fault although it answers.
+  /// Records that an endpoint is faulty although it answers.
   pub fn mark_faulty(&mut self, id: &str, now_ms: u64) {
-    if let Some(known) = self.known.get_mut(id) {
-      known.record_loss(now_ms);
+    if let Some(endpoint) = self.endpoints.get_mut(id) {
+      endpoint.record_loss(now_ms);
     }
   }
 
-  /// An endpoint told its load with an answer that this box still counts.
+  /// Records the load that an endpoint reported; this box's open request is still part of it.
   pub fn record_load(&mut self, id: &str, load: ToldLoad, now_ms: u64) {
-    if let Some(known) = self.known.get_mut(id) {
-      let others = load
+    if let Some(endpoint) = self.endpoints.get_mut(id) {
+      let other_requests = load
         .running
         .saturating_add(load.waiting)
-        .saturating_sub(known.requests);
-      known.told = Some(Told {
+        .saturating_sub(endpoint.requests);
+      endpoint.reported_load = Some(ReportedLoad {
         at_ms: now_ms,
-        others,
+        other_requests,
       });
     }
   }
--- a/src/gateway/decisions/notice_tracker.rs
+++ b/src/gateway/decisions/notice_tracker.rs
@@ -1,7 +1,7 @@
-//! What endpoints have said of themselves in their answers. Free of I/O.
+//! What endpoints signal about themselves in their responses. Free of I/O.
 //!
-//! Load pattern: one of a few endpoints turns away all that comes, within a millisecond, so it looks the least busy of them
-//! and is chosen again and again; or it leaves while the store, which lists it as ready, is away.
+//! Load pattern: an endpoint rejects everything within a millisecond, so it looks the least busy and is chosen again and
+//! again; or it leaves while the store, which lists it as ready, is unreachable.
 
 use {
   crate::{
@@ -11,88 +11,88 @@
   std::collections::HashMap,
 };
 
-/// The longest pause that is kept at one word: an endpoint that asks for hours by mistake is asked again after this.
-const MOST_PAUSE_MS: u64 = 5 * 60 * 1_000;
-/// An endpoint that has said that it leaves is taken back when the store, heard all the while, has listed it as ready for so
-/// long: its heartbeats and late writes reach the store within some eleven seconds, and an entry without heartbeats goes.
-const CONTRADICTED_MS: u64 = 15 * 1_000;
-/// Without the store's word an endpoint counts as leaving for so long; by then it has ended, unless it was mistaken.
-const MOST_LEAVING_MS: u64 = 10 * 60 * 1_000;
+/// Longest backoff honoured: an endpoint that asks for hours by mistake is probed after this.
+const MAX_BACKOFF_MS: u64 = 5 * 60 * 1_000;
+/// An endpoint that signalled that it leaves is readmitted when the store, in contact all the while, has listed it as ready
+/// for this long: heartbeats and delayed writes arrive within about eleven seconds, and an entry without heartbeats expires.
+const CONTRADICTION_TIMEOUT_MS: u64 = 15 * 1_000;
+/// Without contact to the store an endpoint counts as leaving for this long; by then it has exited, or the signal was wrong.
+const MAX_LEAVING_MS: u64 = 10 * 60 * 1_000;
 
-/// What is sent first after a pause is answered within this time, or something else may be tried.
-const TRIAL_MS: u64 = 500;
+/// A probe that is not answered within this time may be followed by another.
+const PROBE_TIMEOUT_MS: u64 = 500;
 
-/// Whether an endpoint may be sent work, by its own word.
+/// Whether an endpoint accepts work, according to its own signals.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Availability {
-  /// It has said nothing against it.
+  /// It signalled nothing else.
   Available,
-  /// The pause that it wanted has ended, and it has not taken work since.
+  /// Its backoff has passed, and it has not accepted work since.
   Probing {
-    /// When it asked for the pause.
-    asked_ms: u64,
-    /// Whether something was sent there just now: whatever else there is goes elsewhere until that is answered.
+    /// When it asked for the backoff.
+    requested_ms: u64,
+    /// Whether a probe is in flight; other requests go elsewhere until it is answered.
     is_sent: bool,
   },
-  /// It wants no work for now.
+  /// It asked for a backoff that has not passed.
   BackingOff {
-    /// When it asked for the pause.
-    asked_ms: u64,
-    /// When the pause ends.
+    /// When it asked for the backoff.
+    requested_ms: u64,
+    /// When the backoff ends.
     until_ms: u64,
   },
-  /// It leaves.
+  /// It is leaving.
   Leaving {
-    /// When it last said so.
-    said_ms: u64,
+    /// When it last signalled that.
+    signalled_ms: u64,
   },
 }
 
 impl Availability {
-  /// Whether its first request after a pause is on its way.
+  /// Whether a probe is in flight.
   pub fn is_probe_in_flight(self) -> bool {
     matches!(self, Self::Probing { is_sent: true, .. })
   }
 }
 
-/// What is new in a notice.
+/// What a notice changed.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct NoticeChange {
-  /// It was not known that the endpoint leaves.
-  pub leaves: bool,
-  /// A pause begins, and ends at this time.
-  pub pauses_until_ms: Option<u64>,
+  /// Whether the endpoint is leaving, and was not before.
+  pub starts_leaving: bool,
+  /// The end of the backoff that starts, if one does.
+  pub backoff_until_ms: Option<u64>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Pause {
-  asked_ms: u64,
+struct Backoff {
+  requested_ms: u64,
   until_ms: u64,
-  /// Since when the first request after it is on its way.
-  tried_ms: Option<u64>,
+  /// When the last probe was sent.
+  probed_ms: Option<u64>,
 }
 
-/// What one life of an endpoint has said.
+/// What one incarnation of an endpoint signalled.
 #[derive(Clone, Copy, Debug)]
-struct Noted {
-  born_ms: Option<u64>,
-  leaving_said_ms: Option<u64>,
-  pause: Option<Pause>,
+struct Signals {
+  started_ms: Option<u64>,
+  leaving_signalled_ms: Option<u64>,
+  backoff: Option<Backoff>,
 }
 
-/// What endpoints have said of themselves, by id; the word of an earlier life counts for nothing.
+/// What endpoints signalled, by id; signals of an earlier incarnation are ignored.
 #[derive(Debug, Default)]
 pub struct NoticeTracker {
-  noted: HashMap<Name, Noted>,
+  signals: HashMap<Name, Signals>,
 }
 
 impl NoticeTracker {
-  /// Whether nothing that was said counts any more.
+  /// Whether no signal is in force.
   pub fn is_empty(&self) -> bool {
-    self.noted.is_empty()
+    self.signals.is_empty()
   }
 
-  /// Takes over what a life of an endpoint said in an answer.
+  /// Records a notice from a response of an incarnation of an endpoint.
   pub fn record(
     &mut self,
     entry: &EndpointEntry,
@@ -103,145 +103,159 @@
       return NoticeChange::default();
     }
     let before = self.availability(entry, now_ms);
-    let noted = self
-      .noted
+    let signals = self
+      .signals
       .entry(entry.id.clone())
-      .or_insert(Noted::new(entry));
-    if noted.born_ms != entry.born_ms {
-      *noted = Noted::new(entry);
+      .or_insert(Signals::new(entry));
+    if signals.started_ms != entry.born_ms {
+      *signals = Signals::new(entry);
     }
     if notice.leaving {
-      noted.leaving_said_ms = Some(now_ms);
+      signals.leaving_signalled_ms = Some(now_ms);
     }
     if let Some(pause_ms) = notice.pause_ms {
-      noted.pause(pause_ms, now_ms);
+      signals.back_off(pause_ms, now_ms);
     }
     NoticeChange::between(before, self.availability(entry, now_ms))
   }
 
-  /// Whether a life of an endpoint may be sent work.
+  /// Whether an incarnation of an endpoint accepts work.
   pub fn availability(&self, entry: &EndpointEntry, now_ms: u64) -> Availability {
-    let noted = self
-      .noted
+    let signals = self
+      .signals
       .get(&entry.id)
-      .filter(|noted| noted.born_ms == entry.born_ms);
-    match noted {
-      Some(Noted {
-        leaving_said_ms: Some(said_ms),
+      .filter(|signals| signals.started_ms == entry.born_ms);
+    match signals {
+      Some(Signals {
+        leaving_signalled_ms: Some(signalled_ms),
         ..
-      }) => Availability::Leaving { said_ms: *said_ms },
-      Some(Noted {
-        pause: Some(pause), ..
-      }) => pause.availability(now_ms),
+      }) => Availability::Leaving {
+        signalled_ms: *signalled_ms,
+      },
+      Some(Signals {
+        backoff: Some(backoff),
+        ..
+      }) => backoff.availability(now_ms),
       _ => Availability::Available,
     }
   }
 
-  /// Something is sent to an endpoint; answers with when it asked for a pause if it is the first since the pause.
+  /// Records a send after a backoff; returns when the endpoint asked for the backoff if this is the first probe.
   pub fn record_probe(&mut self, id: &str, now_ms: u64) -> Option<u64> {
-    let pause = self.noted.get_mut(id)?.pause.as_mut()?;
-    if now_ms < pause.until_ms {
+    let backoff = self.signals.get_mut(id)?.backoff.as_mut()?;
+    if now_ms < backoff.until_ms {
       return None;
     }
-    let is_first = pause.tried_ms.is_none();
-    pause.tried_ms = Some(now_ms);
-    is_first.then_some(pause.asked_ms)
+    let is_first = backoff.probed_ms.is_none();
+    backoff.probed_ms = Some(now_ms);
+    is_first.then_some(backoff.requested_ms)
   }
 
-  /// An endpoint took work: the pause that it wanted before is over for good.
+  /// Ends the backoff of an endpoint that accepted work.
   pub fn record_accepted(&mut self, id: &str, now_ms: u64) {
-    if let Some(noted) = self.noted.get_mut(id) {
-      noted.pause = noted.pause.filter(|pause| now_ms < pause.until_ms);
+    if let Some(signals) = self.signals.get_mut(id) {
+      signals.backoff = signals.backoff.filter(|backoff| now_ms < backoff.until_ms);
     }
   }
 
-  /// Forgets what no longer counts; answers with the endpoints that are taken back although they said that they leave.
-  /// `store_since_ms` is since when the store has been heard, `entry` what it lists.
+  /// Evicts expired signals; returns the endpoints that are readmitted although they signalled that they leave.
+  /// `store_since_ms` is the start of the uninterrupted contact with the store, `entry` what the store lists.
   pub fn expire<'a>(
     &mut self,
     store_since_ms: Option<u64>,
     entry: impl Fn(&str) -> Option<&'a EndpointEntry>,
     now_ms: u64,
   ) -> Vec<Name> {
-    let mut taken_back = Vec::new();
-    for (id, noted) in &mut self.noted {
+    let mut readmitted = Vec::new();
+    for (id, signals) in &mut self.signals {
       let lists_ready =
-        entry(id).is_some_and(|entry| !entry.leaving && entry.born_ms == noted.born_ms);
+        entry(id).is_some_and(|entry| !entry.leaving && entry.born_ms == signals.started_ms);
       let ready_since_ms = store_since_ms.filter(|_| lists_ready);
-      if noted.is_mistaken(ready_since_ms, now_ms) {
-        noted.leaving_said_ms = None;
-        taken_back.push(id.clone());
+      if signals.is_mistaken(ready_since_ms, now_ms) {
+        signals.leaving_signalled_ms = None;
+        readmitted.push(id.clone());
       }
     }
-    self.noted.retain(|_, noted| noted.counts(now_ms));
-    taken_back
+    self.signals.retain(|_, signals| signals.is_current(now_ms));
+    readmitted
   }
 }
 
 impl NoticeChange {
   fn between(before: Availability, after: Availability) -> Self {
-    let was_pausing = matches!(before, Availability::BackingOff { .. });
+    let was_backing_off = matches!(before, Availability::BackingOff { .. });
     Self {
-      leaves: matches!(after, Availability::Leaving { .. })
+      starts_leaving: matches!(after, Availability::Leaving { .. })
         && !matches!(before, Availability::Leaving { .. }),
-      pauses_until_ms: match after {
-        Availability::BackingOff { until_ms, .. } if !was_pausing => Some(until_ms),
+      backoff_until_ms: match after {
+        Availability::BackingOff { until_ms, .. } if !was_backing_off => Some(until_ms),
         _ => None,
       },
     }
   }
 }
 
-impl Pause {
+impl Backoff {
   fn availability(self, now_ms: u64) -> Availability {
     let Self {
-      asked_ms, until_ms, ..
+      requested_ms,
+      until_ms,
+      ..
     } = self;
     if now_ms < until_ms {
-      return Availability::BackingOff { asked_ms, until_ms };
+      return Availability::BackingOff {
+        requested_ms,
+        until_ms,
+      };
     }
     let is_sent = self
-      .tried_ms
-      .is_some_and(|tried_ms| now_ms < tried_ms + TRIAL_MS);
-    Availability::Probing { asked_ms, is_sent }
+      .probed_ms
+      .is_some_and(|probed_ms| now_ms < probed_ms + PROBE_TIMEOUT_MS);
+    Availability::Probing {
+      requested_ms,
+      is_sent,
+    }
   }
 }
 
-impl Noted {
+impl Signals {
   fn new(entry: &EndpointEntry) -> Self {
     Self {
-      born_ms: entry.born_ms,
-      leaving_said_ms: None,
-      pause: None,
+      started_ms: entry.born_ms,
+      leaving_signalled_ms: None,
+      backoff: None,
     }
   }
 
-  /// Of several pauses the one that ends last counts.
-  fn pause(&mut self, pause_ms: u64, now_ms: u64) {
-    let until_ms = now_ms + pause_ms.min(MOST_PAUSE_MS);
-    if self.pause.is_none_or(|pause| pause.until_ms < until_ms) {
-      self.pause = Some(Pause {
-        asked_ms: now_ms,
-        tried_ms: None,
+  /// Applies a requested backoff; the one that ends last wins.
+  fn back_off(&mut self, pause_ms: u64, now_ms: u64) {
+    let until_ms = now_ms + pause_ms.min(MAX_BACKOFF_MS);
+    if self
+      .backoff
+      .is_none_or(|backoff| backoff.until_ms < until_ms)
+    {
+      self.backoff = Some(Backoff {
+        requested_ms: now_ms,
+        probed_ms: None,
         until_ms,
       });
     }
   }
 
-  /// Whether it stays although it said that it leaves.
+  /// Whether the signal that it leaves proved wrong.
   fn is_mistaken(&self, ready_since_ms: Option<u64>, now_ms: u64) -> bool {
-    let Some(said_ms) = self.leaving_said_ms else {
+    let Some(signalled_ms) = self.leaving_signalled_ms else {
       return false;
     };
-    let is_contradicted =
-      ready_since_ms.is_some_and(|since_ms| now_ms > since_ms.max(said_ms) + CONTRADICTED_MS);
-    is_contradicted || now_ms > said_ms + MOST_LEAVING_MS
+    let is_contradicted = ready_since_ms
+      .is_some_and(|since_ms| now_ms > since_ms.max(signalled_ms) + CONTRADICTION_TIMEOUT_MS);
+    is_contradicted || now_ms > signalled_ms + MAX_LEAVING_MS
   }
 
-  fn counts(&self, now_ms: u64) -> bool {
-    let pauses = self
-      .pause
-      .is_some_and(|pause| now_ms < pause.until_ms + MOST_PAUSE_MS);
-    self.leaving_said_ms.is_some() || pauses
+  fn is_current(&self, now_ms: u64) -> bool {
+    let is_backing_off = self
+      .backoff
+      .is_some_and(|backoff| now_ms < backoff.until_ms + MAX_BACKOFF_MS);
+    self.leaving_signalled_ms.is_some() || is_backing_off
   }
 }
--- a/src/gateway/decisions/unavailable.rs
+++ b/src/gateway/decisions/unavailable.rs
@@ -4,7 +4,7 @@
 ///
 /// ```
 /// use rillford::gateway::Unavailable;
-/// let pausing = Unavailable::BackingOff { asked_ms: 200, left_ms: 2_800 };
+/// let pausing = Unavailable::BackingOff { requested_ago_ms: 200, remaining_ms: 2_800 };
 /// assert_eq!(pausing.to_string(), "it wants no work for 2800 ms more, as it said 200 ms ago");
 /// ```
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
@@ -19,23 +19,23 @@
   #[error("it leaves, as the store lists it")]
   ListedAsLeaving,
   /// It leaves, by its own word.
-  #[error("it leaves, as it said {said_ms} ms ago")]
+  #[error("it leaves, as it said {signalled_ago_ms} ms ago")]
   Leaving {
     /// How long ago it last said so.
-    said_ms: u64,
+    signalled_ago_ms: u64,
   },
   /// It wants no work for now.
-  #[error("it wants no work for {left_ms} ms more, as it said {asked_ms} ms ago")]
+  #[error("it wants no work for {remaining_ms} ms more, as it said {requested_ago_ms} ms ago")]
   BackingOff {
     /// How long ago it said so.
-    asked_ms: u64,
+    requested_ago_ms: u64,
     /// How long that holds.
-    left_ms: u64,
+    remaining_ms: u64,
   },
   /// It takes so many requests a second of all boxes together, and these are there.
-  #[error("there is no permit within its limit for {left_ms} ms more")]
+  #[error("there is no permit within its limit for {remaining_ms} ms more")]
   NoPermit {
     /// How long that holds.
-    left_ms: u64,
+    remaining_ms: u64,
   },
 }
--- a/src/gateway/parts/notice.rs
+++ b/src/gateway/parts/notice.rs
@@ -152,7 +152,7 @@
     .map(|heard_ms| now_ms - heard_ms.min(now_ms));
   let id = &entry.id;
   let status = answer.status.as_u16();
-  if news.leaves {
+  if news.starts_leaving {
     gateway.counters.leaving_notices.inc();
     gateway.pool.close(id);
     log::info!(
@@ -161,7 +161,7 @@
       listed(gateway, id)
     );
   }
-  if let Some(until_ms) = news.pauses_until_ms {
+  if let Some(until_ms) = news.backoff_until_ms {
     gateway.counters.pause_notices.inc();
     log::info!(
       "E536 pauses by its own word: {id} born {:?}, in its answer {status} to {request}, for {} ms",
--- a/src/gateway/permits/taking.rs
+++ b/src/gateway/permits/taking.rs
@@ -247,7 +247,9 @@
 
 fn no_permit(gateway: &Gateway, left_ms: u64) -> Unavailable {
   gateway.counters.without_permit.inc();
-  Unavailable::NoPermit { left_ms }
+  Unavailable::NoPermit {
+    remaining_ms: left_ms,
+  }
 }
 
 /// Says why a request goes to an endpoint, or not: which figure, who heard it, how old it is, who decided.
--- a/src/gateway/requests/prompt.rs
+++ b/src/gateway/requests/prompt.rs
@@ -70,7 +70,7 @@
     }
     let entry = choice.entry;
     let sent_ms = gateway.now_ms();
-    match read_at(gateway, request, &entry, choice.ahead).await {
+    match read_at(gateway, request, &entry, choice.queued_ahead).await {
       Ok(handle) => {
         note_whole(gateway, request, RoutedRequest::reading_fingerprint);
         let ttl_ms = export_ttl_ms(gateway, request);
--- a/tests/gateway/notice_book.rs
+++ b/tests/gateway/notice_book.rs
@@ -71,8 +71,8 @@
   book.record_notice(&a, &pause(500), 1_100);
   assert_eq!(chosen(&book, 3_999), None);
   let unavailable = Unavailable::BackingOff {
-    asked_ms: 2_999,
-    left_ms: 1,
+    requested_ago_ms: 2_999,
+    remaining_ms: 1,
   };
   assert_eq!(book.check(&a, 3_999), Err(unavailable));
   assert_eq!(chosen(&book, 4_000), Some("a".into()));
@@ -109,8 +109,8 @@
 fn word_of_leaving_outlasts_entries_that_go_come_back_and_say_ready() {
   let mut book = book(&["a"]);
   let a = entry("a", Some(1));
-  assert!(book.record_notice(&a, &leaving(), 1_000).leaves);
-  assert!(!book.record_notice(&a, &leaving(), 1_500).leaves);
+  assert!(book.record_notice(&a, &leaving(), 1_000).starts_leaving);
+  assert!(!book.record_notice(&a, &leaving(), 1_500).starts_leaving);
   book.put(a.clone());
   assert_eq!(chosen(&book, 2_000), None);
   book.remove("a");
