--- a/emulator/src/limits/replay.rs
+++ b/emulator/src/limits/replay.rs
@@ -238,7 +238,7 @@
     let book = &mut self.boxes[counting].book;
     book.record_reporter(&asking, now_ms);
     for (organisation, units) in &used {
-      book.count(organisation, *units, now_ms);
+      book.charge(organisation, *units, now_ms);
     }
     let verdict = book.admit(name, REQUEST_UNITS, now_ms);
     let short = book.near_limit(now_ms);
@@ -246,9 +246,10 @@
     ledger.record_near_limit(short, now_ms);
     match verdict {
       UsageVerdict::WithinLimit => ledger.record_admitted(name, REQUEST_UNITS, now_ms),
-      UsageVerdict::OverLimit { left, wait_ms } => {
-        ledger.record_rejected(name, left, wait_ms, now_ms)
-      }
+      UsageVerdict::OverLimit {
+        remaining: left,
+        wait_ms,
+      } => ledger.record_rejected(name, left, wait_ms, now_ms),
     }
     verdict
   }
@@ -320,7 +321,7 @@
     let book = &mut self.boxes[at].book;
     book.record_reporter(&reporting, now_ms);
     for (organisation, units) in used {
-      book.count(organisation, *units, now_ms);
+      book.charge(organisation, *units, now_ms);
     }
     let short = book.near_limit(now_ms);
     let at_ms = now_ms + self.message_ms(at, from, now_ms);
--- a/emulator/src/places/replay.rs
+++ b/emulator/src/places/replay.rs
@@ -298,7 +298,7 @@
     let id = self.entry.id.clone();
     match self.boxes[at].limits.permits().acquire(&id, now_ms) {
       LocalPermitVerdict::Granted => self.send(at),
-      LocalPermitVerdict::Refused { .. } => self.figures.elsewhere += 1,
+      LocalPermitVerdict::Rejected { .. } => self.figures.elsewhere += 1,
       LocalPermitVerdict::Ask { permits, unused } => {
         let wish = PermitRequest {
           box_name: PlaceFleet::name(at).as_str().into(),
@@ -421,7 +421,7 @@
 
   fn decide_alone(&mut self, at: usize, wish: &PermitRequest) -> PermitVerdict {
     if !self.order(at).iter().skip(1).any(|one| *one == at) {
-      return PermitVerdict::Refused {
+      return PermitVerdict::Rejected {
         wait_ms: NOT_ALONE_WAIT_MS,
       };
     }
--- a/src/gateway/decisions/backoff_jitter.rs
+++ b/src/gateway/decisions/backoff_jitter.rs
@@ -1,13 +1,12 @@
-//! When boxes come back to an endpoint that wanted no work for a while. Free of I/O.
+//! When boxes return to an endpoint that asked for a backoff. Free of I/O.
 //!
-//! Load pattern: an endpoint that is full turns away one request of each of hundreds of boxes within a second, and asks all of them for
-//! the same pause. They would come back as one, find it full, and be sent away again.
+//! Load pattern: a full endpoint rejects one request of each of hundreds of boxes within a second, and asks all of them for
+//! the same backoff. Without jitter they return at once, find it full, and are rejected again.
 
-/// Each box comes back so much later than the one before, at the mean: hundreds of boxes that come as one find the endpoint full and
-/// are sent away again, and more callers are refused.
-const TURN_MS: f64 = 5.0;
+/// Mean interval between the returns of two boxes.
+const RETURN_INTERVAL_MS: f64 = 5.0;
 
-/// The pause that one of so many boxes keeps; `draw` from 0 to 1 spreads them, over no longer than the pause itself.
+/// The backoff that one of `boxes` boxes observes; `draw` from 0 to 1 spreads them, over at most the backoff itself.
 ///
 /// ```
 /// use rillford::gateway::jittered_backoff_ms;
@@ -15,7 +14,7 @@
 /// assert_eq!(jittered_backoff_ms(3_000, 300, 1.0), 4_500);
 /// assert_eq!(jittered_backoff_ms(100, 300, 1.0), 200);
 /// ```
-pub fn jittered_backoff_ms(wanted_ms: u64, boxes: usize, draw: f64) -> u64 {
-  let spread_ms = (boxes as f64 * TURN_MS).min(wanted_ms as f64);
-  wanted_ms.saturating_add((spread_ms * draw) as u64)
+pub fn jittered_backoff_ms(requested_ms: u64, boxes: usize, draw: f64) -> u64 {
+  let spread_ms = (boxes as f64 * RETURN_INTERVAL_MS).min(requested_ms as f64);
+  requested_ms.saturating_add((spread_ms * draw) as u64)
 }
--- a/src/gateway/decisions/box_list.rs
+++ b/src/gateway/decisions/box_list.rs
@@ -6,25 +6,26 @@
   std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// From this many boxes on, a hall's boxes follow its readers: each call to the store is priced.
-const RELAY_FROM_BOXES: usize = 16;
-/// Readers of a hall. The first reads the store; the second follows it, and reads the store when it fails.
-const READERS: usize = 2;
+/// Number of boxes from which on only a hall's store readers read the store and relay its changes: each store call is
+/// billed.
+const MIN_BOXES_FOR_RELAY: usize = 16;
+/// Store readers of a hall. The first reads the store; the second follows the first, and reads the store when it fails.
+const READERS_PER_HALL: usize = 2;
 
-/// Boxes of a hall that its others ask in turn: when both readers fail, the next boxes read the store in their place, and the
-/// rest need not.
-const ASKED: usize = 4;
+/// Fallback readers of a hall, tried in turn: when both store readers fail, the next boxes take their place, and the rest
+/// need not read the store.
+const FALLBACK_READERS_PER_HALL: usize = 4;
 
-/// What a box says of itself in the store.
+/// A box's entry in the store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BoxEntry {
-  /// Its data hall.
+  /// The data hall.
   pub hall: Name,
-  /// Where the other boxes reach it.
+  /// The address for other boxes.
   pub address: SocketAddr,
 }
 
-/// The boxes that have an entry, by name.
+/// The boxes with an entry, by name.
 ///
 /// ```
 /// use rillford::gateway::{BoxEntry, BoxList};
@@ -43,98 +44,98 @@
 }
 
 impl BoxList {
-  /// Takes over an entry.
+  /// Inserts or updates an entry.
   pub fn put(&mut self, name: Name, entry: BoxEntry) {
     self.boxes.insert(name, entry);
   }
 
-  /// Forgets a box.
   pub fn remove(&mut self, name: &str) {
     self.boxes.remove(name);
   }
 
-  /// The boxes' names.
   pub fn names(&self) -> Vec<Name> {
     self.boxes.keys().cloned().collect()
   }
 
-  /// All boxes, in the order of their names.
+  /// All boxes, ordered by name.
   pub fn entries(&self) -> impl Iterator<Item = (&Name, &BoxEntry)> {
     self.boxes.iter()
   }
 
-  /// How many boxes there are.
   pub fn len(&self) -> usize {
     self.boxes.len()
   }
 
-  /// Whether no box is known.
   pub fn is_empty(&self) -> bool {
     self.boxes.is_empty()
   }
 
-  /// Whether the boxes are so many that most follow others.
+  /// Whether the deployment is so large that most boxes follow store readers.
   pub fn is_large(&self) -> bool {
-    self.boxes.len() >= RELAY_FROM_BOXES
+    self.boxes.len() >= MIN_BOXES_FOR_RELAY
   }
 
-  /// Whether other boxes of its hall follow a box.
+  /// Whether a box is a store reader that others of its hall follow.
   pub fn is_reader(&self, name: &str) -> bool {
     self
-      .place_in_hall(name)
-      .is_some_and(|place| self.is_large() && place < READERS)
+      .position_in_hall(name)
+      .is_some_and(|position| self.is_large() && position < READERS_PER_HALL)
   }
 
-  /// Whether others of its hall ask a box when their readers fail.
+  /// Whether others of its hall ask a box when their store readers fail.
   pub fn is_fallback_reader(&self, name: &str) -> bool {
-    !self.is_large() || self.place_in_hall(name).is_some_and(|place| place < ASKED)
+    !self.is_large()
+      || self
+        .position_in_hall(name)
+        .is_some_and(|position| position < FALLBACK_READERS_PER_HALL)
   }
 
-  /// Whether a box tries to become steward: in a large deployment only the readers do, since each try is a call.
+  /// Whether a box tries to become leader: in a large deployment only store readers do, since each try is a store call.
   pub fn is_leader_candidate(&self, name: &str) -> bool {
     !self.is_large() || self.is_reader(name)
   }
 
-  /// The boxes that a box asks in turn when it doesn't reach the store itself: of each hall those that others ask, the own hall's
-  /// first.
+  /// The boxes that a box asks in turn while it can't reach the store: the fallback readers of all halls, those of its own
+  /// hall first.
   pub fn fallback_readers_for(&self, name: &str, hall: &str) -> Vec<SocketAddr> {
-    let asked = self
+    let fallback_readers = self
       .boxes
       .iter()
       .filter(|(other, _)| &***other != name && self.is_fallback_reader(other));
-    let (own, others): (Vec<_>, Vec<_>) = asked
+    let (own, others): (Vec<_>, Vec<_>) = fallback_readers
       .map(|(_, entry)| entry)
       .partition(|entry| &*entry.hall == hall);
     let entries = own.into_iter().chain(others);
     entries.map(|entry| entry.address).collect()
   }
 
-  /// Whether a box counts organisations' use for others: all do in a small deployment, and the readers of each hall in a large
+  /// Whether a box coordinates organisations' usage: all do in a small deployment, the store readers of each hall in a large
   /// one.
   pub fn is_coordinator(&self, name: &str, hall: &str) -> bool {
-    !self.is_large() || self.before(name, hall).count() < READERS
+    !self.is_large() || self.before(name, hall).count() < READERS_PER_HALL
   }
 
-  /// The boxes that count besides one of them.
+  /// The coordinators besides one of them.
   pub fn other_coordinators(&self, name: &str) -> Vec<SocketAddr> {
-    let others = self.counting().filter(|(other, _)| &***other != name);
+    let others = self.coordinators().filter(|(other, _)| &***other != name);
     others.map(|(_, entry)| entry.address).collect()
   }
 
-  /// The names of the boxes that count.
+  /// The names of the coordinators.
   pub fn coordinator_names(&self) -> Vec<Name> {
-    self.counting().map(|(name, _)| name.clone()).collect()
+    self.coordinators().map(|(name, _)| name.clone()).collect()
   }
 
-  /// The boxes that count, for one that does not: those of its hall come first, and the boxes of a hall share them.
+  /// The coordinators for a box that is none, in order of preference: those of its hall come first, and the boxes of a hall
+  /// are
   pub fn coordinators_for(&self, name: &str, hall: &str) -> Vec<SocketAddr> {
     let (mut own, others): (Vec<_>, Vec<_>) = self
-      .counting()
+      .coordinators()
       .map(|(_, entry)| entry)
       .partition(|entry| &*entry.hall == hall);
     if !own.is_empty() {
-      let turn = self.before(name, hall).count() % own.len();
-      own.rotate_left(turn);
+      let offset = self.before(name, hall).count() % own.len();
+      own.rotate_left(offset);
     }
     own
       .into_iter()
@@ -143,15 +144,15 @@
       .collect()
   }
 
-  /// The boxes that one of them tells of what it heard first: all others in a small deployment. In a large one those that read the
-  /// store for their halls, and for these also the part of their hall's boxes that is theirs.
+  /// The boxes that a box notifies of what it learned itself: all others in a small deployment. In a large one the
+  /// coordinators, and for a store reader also its share of the boxes of its hall.
   pub fn notified_by(&self, name: &str) -> Vec<SocketAddr> {
     let mut addresses = self.other_coordinators(name);
     addresses.extend(self.forwarded_by(name));
     addresses
   }
 
-  /// The boxes of its hall that a box tells on what it was told: the readers of a hall share the others.
+  /// The boxes of its hall to which a box forwards notifications: the store readers of a hall share the others.
   ///
   /// ```
   /// use rillford::gateway::{BoxEntry, BoxList};
@@ -165,57 +166,57 @@
   /// assert_eq!(boxes.notified_by("box-30").len(), 2);
   /// ```
   pub fn forwarded_by(&self, name: &str) -> Vec<SocketAddr> {
-    let place = self.place_in_hall(name).filter(|_| self.is_reader(name));
-    let Some((place, own)) = place.zip(self.boxes.get(name)) else {
+    let position = self.position_in_hall(name).filter(|_| self.is_reader(name));
+    let Some((position, own)) = position.zip(self.boxes.get(name)) else {
       return Vec::new();
     };
-    let of_hall = self.boxes.values().filter(|entry| entry.hall == own.hall);
-    of_hall
-      .skip(READERS)
+    let in_hall = self.boxes.values().filter(|entry| entry.hall == own.hall);
+    in_hall
+      .skip(READERS_PER_HALL)
       .enumerate()
-      .filter(|(at, _)| at % READERS == place)
+      .filter(|(index, _)| index % READERS_PER_HALL == position)
       .map(|(_, entry)| entry.address)
       .collect()
   }
 
-  fn counting(&self) -> impl Iterator<Item = (&Name, &BoxEntry)> {
+  fn coordinators(&self) -> impl Iterator<Item = (&Name, &BoxEntry)> {
     self
       .boxes
       .iter()
       .filter(|(name, entry)| self.is_coordinator(name, &entry.hall))
   }
 
-  /// How many boxes of its hall come before a box; nothing when it has no entry.
-  fn place_in_hall(&self, name: &str) -> Option<usize> {
+  /// The position of a box among those of its hall; `None` when it has no entry.
+  fn position_in_hall(&self, name: &str) -> Option<usize> {
     let hall = &self.boxes.get(name)?.hall;
     Some(self.before(name, hall).count())
   }
 
-  /// The boxes of a hall whose names come before a name.
+  /// The boxes of a hall whose names sort before a name.
   fn before(&self, name: &str, hall: &str) -> impl Iterator<Item = &BoxEntry> {
-    let of_hall = self
+    let in_hall = self
       .boxes
       .iter()
       .filter(move |(_, entry)| &*entry.hall == hall);
-    of_hall
+    in_hall
       .take_while(move |(other, _)| &***other < name)
       .map(|(_, entry)| entry)
   }
 
-  /// The boxes that a box of a hall follows, the preferred one first; none for a box that reads the store itself. Its own
-  /// entry may be missing: it lapses while the store is out of reach.
+  /// The boxes that a box of a hall follows, in order of preference; none for a box that reads the store itself. Its own
+  /// entry may be missing: it expires while the store is unreachable.
   pub fn readers_for(&self, name: &str, hall: &str) -> Vec<SocketAddr> {
     if !self.is_large() {
       return Vec::new();
     }
-    let place = self.before(name, hall).count();
+    let position = self.before(name, hall).count();
     let mut addresses: Vec<SocketAddr> = self
       .before(name, hall)
-      .take(ASKED)
+      .take(FALLBACK_READERS_PER_HALL)
       .map(|entry| entry.address)
       .collect();
-    // Followers share the two readers.
-    if addresses.len() >= READERS && place % READERS == 1 {
+    // Followers are spread over the two readers.
+    if addresses.len() >= READERS_PER_HALL && position % READERS_PER_HALL == 1 {
       addresses.swap(0, 1);
     }
     addresses
--- a/src/gateway/decisions/cached_prompts.rs
+++ b/src/gateway/decisions/cached_prompts.rs
@@ -1,59 +1,59 @@
-//! Which engines keep which parts of prompts in their memory, as they listed them. Free of I/O.
+//! Which engines have which prompt blocks cached, as they listed them. Free of I/O.
 
 use {
   crate::{gateway::edge::PromptPart, ids::Name},
   std::collections::HashMap,
 };
 
-/// After this time a listing says nothing: what is not used gives way to new prompts.
-const LISTING_MS: u64 = 2_000;
+/// Validity of a listing: unused blocks are evicted in favour of new prompts.
+const LISTING_VALIDITY_MS: u64 = 2_000;
 
-/// What the engines of one service keep.
+/// The prompt caches of one service's engines.
 ///
 /// ```
 /// use rillford::gateway::{CachedPrompts, PromptPart};
 /// let part = |id: &str, tokens| PromptPart { id: id.into(), tokens };
-/// let mut kept = CachedPrompts::default();
-/// kept.begin(1_000);
-/// kept.add(&"e-1".into(), vec![part("5c", 200), part("9a", 900)]);
-/// kept.add(&"e-2".into(), vec![part("9a", 3_000)]);
-/// // The second engine lacks the prompt's beginning: it would read all of it.
-/// assert_eq!(kept.engines(&[part("5c", 200), part("9a", 3_000)]), [("e-1".into(), 1_100)]);
-/// assert!(kept.is_fresh(2_000) && !kept.is_fresh(3_000));
+/// let mut cached = CachedPrompts::default();
+/// cached.begin(1_000);
+/// cached.add(&"e-1".into(), vec![part("5c", 200), part("9a", 900)]);
+/// cached.add(&"e-2".into(), vec![part("9a", 3_000)]);
+/// // The second engine lacks the first block of the prompt: it would have to prefill all of it.
+/// assert_eq!(cached.engines(&[part("5c", 200), part("9a", 3_000)]), [("e-1".into(), 1_100)]);
+/// assert!(cached.is_fresh(2_000) && !cached.is_fresh(3_000));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct CachedPrompts {
   listed_ms: Option<u64>,
-  /// Tokens by part, for each engine.
+  /// Tokens by prompt block, for each engine.
   by_engine: HashMap<Name, HashMap<Name, u64>>,
 }
 
 impl CachedPrompts {
-  /// Whether the listing still says something.
+  /// Whether the listing is still valid.
   pub fn is_fresh(&self, now_ms: u64) -> bool {
     self
       .listed_ms
-      .is_some_and(|listed_ms| now_ms < listed_ms + LISTING_MS)
+      .is_some_and(|listed_ms| now_ms < listed_ms + LISTING_VALIDITY_MS)
   }
 
-  /// A new listing begins.
+  /// Starts a new listing.
   pub fn begin(&mut self, now_ms: u64) {
     self.by_engine.clear();
     self.listed_ms = Some(now_ms);
   }
 
-  /// One engine's part of the listing.
+  /// Adds one engine's blocks to the listing.
   pub fn add(&mut self, engine: &Name, parts: Vec<PromptPart>) {
     let parts = parts.into_iter().map(|part| (part.id, part.tokens));
     self.by_engine.insert(engine.clone(), parts.collect());
   }
 
-  /// The engines that keep the beginning of a prompt, with the tokens kept there, the most first.
+  /// The engines with a cached prefix of a prompt and its length in tokens, the longest first.
   pub fn engines(&self, prompt: &[PromptPart]) -> Vec<(Name, u64)> {
     let mut found: Vec<(Name, u64)> = self
       .by_engine
       .iter()
-      .map(|(engine, kept)| (engine.clone(), kept_tokens(kept, prompt)))
+      .map(|(engine, cached)| (engine.clone(), cached_prefix_tokens(cached, prompt)))
       .filter(|(_, tokens)| *tokens > 0)
       .collect();
     found.sort_by(|one, other| other.1.cmp(&one.1).then_with(|| one.0.cmp(&other.0)));
@@ -61,13 +61,13 @@
   }
 }
 
-/// Tokens from the prompt's beginning up to the first that is missing.
-fn kept_tokens(kept: &HashMap<Name, u64>, prompt: &[PromptPart]) -> u64 {
+/// Length in tokens of the longest cached prefix.
+fn cached_prefix_tokens(cached: &HashMap<Name, u64>, prompt: &[PromptPart]) -> u64 {
   let mut tokens = 0;
   for part in prompt {
-    let here = kept.get(&part.id).copied().unwrap_or(0).min(part.tokens);
-    tokens += here;
-    if here < part.tokens {
+    let cached_tokens = cached.get(&part.id).copied().unwrap_or(0).min(part.tokens);
+    tokens += cached_tokens;
+    if cached_tokens < part.tokens {
       break;
     }
   }
--- a/src/gateway/decisions/coordinator_limit.rs
+++ b/src/gateway/decisions/coordinator_limit.rs
@@ -1,27 +1,26 @@
-//! What boxes make of the limit that an endpoint names: which part of it one box gives out for all, and which part a few give out
-//! by themselves while they don't reach that one. Free of I/O.
+//! The shares of an endpoint's limit that its coordinator and isolated boxes grant. Free of I/O.
 //!
-//! In any time T all boxes together send no more than `KEPT_SHARE` x (1 + `ISOLATED_SHARE`) x limit x T, and the two bursts besides,
-//! whichever messages between them are late or lost: the box that counts is one, and those that go on alone are the
-//! same few for all.
+//! In any time T all boxes together send no more than `GRANTED_SHARE` x (1 + `ISOLATED_SHARE`) x limit x T, and the two
+//! bursts besides, whichever messages between them are late or lost: there is one coordinator, and the boxes that grant
+//! permits in isolation from it are the same few for all.
 
 use crate::gateway::edge::UseLimit;
 
-/// Part of a limit that is given out. The rest is for permits that are used later than they were given.
-const KEPT_SHARE: f64 = 0.94;
-/// The least that is given out, in requests a second: an endpoint that gets nothing says nothing, and one that named 0 by mistake
-/// would never be asked again.
-const LEAST_PER_S: f64 = 0.2;
-/// Permits that may be there at once: one for the request at hand, one kept for an urgent one, one for what comes unevenly.
+/// Share of a limit that is granted. The rest is for permits that are used later than they were granted.
+const GRANTED_SHARE: f64 = 0.94;
+/// Lowest granted rate in requests per second: an endpoint without requests sends no responses, so one that advertised 0 by
+/// mistake would never be asked again.
+const MIN_PER_S: f64 = 0.2;
+/// Burst of permits: one for the current request, one reserved for an urgent one, one for uneven arrivals.
 const BURST: f64 = 3.0;
-/// The same for high limits: one, and what comes in so long.
-const BURST_S: f64 = 0.1;
-/// Part of a limit that boxes give out together that don't reach the one that counts.
+/// Burst at high limits, in addition to one permit: what accrues in this time.
+const BURST_INTERVAL_S: f64 = 0.1;
+/// Share of a limit that isolated boxes grant together.
 const ISOLATED_SHARE: f64 = 0.5;
-/// Boxes that do: the next ones in the endpoint's order after the one that counts.
+/// Number of isolated boxes that grant permits: the next ones in the endpoint's order after the coordinator.
 pub const ISOLATED_BOXES: usize = 2;
 
-/// What the box gives out that counts an endpoint's requests for all.
+/// The limit that an endpoint's coordinator enforces for all boxes.
 ///
 /// ```
 /// use rillford::gateway::coordinator_limit;
@@ -29,16 +28,16 @@
 /// assert_eq!(coordinator_limit(0.0).rate_per_s, coordinator_limit(0.2).rate_per_s);
 /// ```
 pub fn coordinator_limit(per_s: f64) -> UseLimit {
-  let kept_per_s = per_s.max(LEAST_PER_S);
-  // Who names less is given more than that already: nothing comes on top.
-  let least_burst = if per_s < LEAST_PER_S { 1.0 } else { BURST };
+  let effective_per_s = per_s.max(MIN_PER_S);
+  // A lower limit is exceeded already: no burst on top.
+  let min_burst = if per_s < MIN_PER_S { 1.0 } else { BURST };
   UseLimit {
-    burst: least_burst.max(1.0 + kept_per_s * BURST_S),
-    rate_per_s: kept_per_s * KEPT_SHARE,
+    burst: min_burst.max(1.0 + effective_per_s * BURST_INTERVAL_S),
+    rate_per_s: effective_per_s * GRANTED_SHARE,
   }
 }
 
-/// What one of the boxes gives out that don't reach that one.
+/// The limit that each isolated box enforces.
 ///
 /// ```
 /// use rillford::gateway::{coordinator_limit, isolated_limit};
--- a/src/gateway/decisions/coordinator_order.rs
+++ b/src/gateway/decisions/coordinator_order.rs
@@ -1,4 +1,4 @@
-//! Which box counts the requests of an endpoint for all boxes. Free of I/O.
+//! Which box coordinates the permits of an endpoint for all boxes. Free of I/O.
 
 use {
   super::box_list::{BoxEntry, BoxList},
@@ -7,9 +7,9 @@
   std::{cmp::Reverse, net::SocketAddr},
 };
 
-/// The boxes in an endpoint's order, the one that counts first. Boxes of the endpoint's hall come before all others: who is cut off from
-/// them is as a rule cut off from the endpoint. Among these each endpoint has an order of its own, which spreads the work; a box
-/// that comes or goes changes it for few endpoints.
+/// The candidates for an endpoint's coordinator, by rendezvous hashing, the coordinator first. Boxes of the endpoint's hall
+/// come before all others: a box that is cut off from them is usually cut off from the endpoint. The order differs between
+/// endpoints, which spreads the work; a box that joins or leaves changes it for few endpoints.
 ///
 /// ```
 /// use rillford::gateway::{BoxEntry, BoxList, coordinator_order};
@@ -25,15 +25,15 @@
   boxes: &BoxList,
   endpoint: &str,
   hall: &str,
-  most: usize,
+  max: usize,
 ) -> Vec<(Name, SocketAddr)> {
   let (own, others): (Vec<_>, Vec<_>) =
     boxes.entries().partition(|(_, entry)| &*entry.hall == hall);
   let mut order = by_weight(own, endpoint);
-  if order.len() < most {
+  if order.len() < max {
     order.extend(by_weight(others, endpoint));
   }
-  order.truncate(most);
+  order.truncate(max);
   order
 }
 
@@ -49,7 +49,7 @@
     .collect()
 }
 
-/// A number that is the same at all boxes, and without a pattern over boxes and endpoints.
+/// A hash that is the same on all boxes, and has no pattern over boxes and endpoints.
 fn weight(name: &str, endpoint: &str) -> [u8; 8] {
   let mut hasher = Sha256::new();
   hasher.update(name.len().to_le_bytes());
--- a/src/gateway/decisions/endpoint_counts.rs
+++ b/src/gateway/decisions/endpoint_counts.rs
@@ -1,26 +1,26 @@
-//! How many endpoints take work.
+//! Numbers of endpoints by availability.
 
 use std::fmt::{self, Display, Formatter};
 
-/// How many endpoints are known, and how many of them take no work.
+/// How many endpoints are known, and how many of them take no new work, or a limited amount.
 ///
 /// ```
 /// use rillford::gateway::EndpointCounts;
-/// let counts = EndpointCounts { drained: 0, known: 3, leaving: 1, limited: 0, pausing: 2 };
-/// assert_eq!(counts.to_string(), "3 endpoints known, 1 leaving, 2 pausing, 0 limited, 0 in drained halls");
+/// let counts = EndpointCounts { drained: 0, known: 3, leaving: 1, limited: 0, backing_off: 2 };
+/// assert_eq!(counts.to_string(), "3 endpoints known, 1 leaving, 2 backing off, 0 limited, 0 in drained halls");
 /// ```
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct EndpointCounts {
-  /// Those of halls that operators drain.
+  /// Those in drained halls.
   pub drained: usize,
-  /// All of them.
+  /// All.
   pub known: usize,
-  /// Those that leave, by the store's word or their own.
+  /// Those that leave, as listed in the store or as signalled by themselves.
   pub leaving: usize,
-  /// Those that take so many requests a second of all boxes.
+  /// Those with a limit on requests per second over all boxes.
   pub limited: usize,
-  /// Those that want no work for now.
-  pub pausing: usize,
+  /// Those that asked for a backoff.
+  pub backing_off: usize,
 }
 
 impl Display for EndpointCounts {
@@ -30,11 +30,11 @@
       known,
       leaving,
       limited,
-      pausing,
+      backing_off,
     } = self;
     write!(
       formatter,
-      "{known} endpoints known, {leaving} leaving, {pausing} pausing, {limited} limited, {drained} in drained halls"
+      "{known} endpoints known, {leaving} leaving, {backing_off} backing off, {limited} limited, {drained} in drained halls"
     )
   }
 }
--- a/src/gateway/decisions/endpoint_incarnation.rs
+++ b/src/gateway/decisions/endpoint_incarnation.rs
@@ -1,11 +1,11 @@
-//! Lives of endpoints that start again under their id. Free of I/O.
+//! Incarnations of endpoints that restart under their id. Free of I/O.
 
 use {
   serde::{Deserialize, Serialize},
   sha2::{Digest, Sha256},
 };
 
-/// One life of an endpoint: it may start again under the id that it had.
+/// One incarnation of an endpoint, from start to exit: it may restart under the same id.
 ///
 /// ```
 /// use rillford::gateway::EndpointIncarnation;
@@ -17,7 +17,7 @@
 pub struct EndpointIncarnation(u64);
 
 impl EndpointIncarnation {
-  /// The life of an endpoint that started at a time; without one, all its lives are the same.
+  /// The incarnation of an endpoint that started at a time; without a time, all its incarnations are the same.
   pub fn of(id: &str, started_ms: Option<u64>) -> Self {
     let mut hasher = Sha256::new();
     hasher.update(started_ms.unwrap_or(0).to_le_bytes());
@@ -28,12 +28,12 @@
     Self(u64::from_be_bytes(bytes))
   }
 
-  /// It as part of a key in the store.
+  /// The text that stands for it in a store key.
   pub fn key(self) -> String {
     format!("{:016x}", self.0)
   }
 
-  /// Reads what [`key`](Self::key) wrote; nothing when the text is no life.
+  /// Parses the text of [`key`](Self::key); `None` when it is malformed.
   pub fn parse(text: &str) -> Option<Self> {
     if text.len() != 2 * size_of::<u64>() {
       return None;
--- a/src/gateway/decisions/endpoint_registry.rs
+++ b/src/gateway/decisions/endpoint_registry.rs
@@ -177,8 +177,8 @@
     }
   }
 
-  /// Time until the first answering endpoint of a service accepts work again; `None` while one does, or when none is backing off
-  /// or at its limit.
+  /// Time until the first answering endpoint of a service accepts work again; `None` while one does, or when none is backing
+  /// off or at its limit.
   pub fn available_in_ms(&self, service: &str, now_ms: u64) -> Option<u64> {
     let answering = self
       .entries()
@@ -405,7 +405,7 @@
       counts.known += 1;
       counts.leaving += usize::from(self.is_leaving(entry, now_ms));
       counts.limited += usize::from(self.limits.per_s(entry, now_ms).is_some());
-      counts.pausing += usize::from(is_backing_off);
+      counts.backing_off += usize::from(is_backing_off);
     }
     counts
   }
--- a/src/gateway/decisions/fingerprint.rs
+++ b/src/gateway/decisions/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Which requests are the same, whatever their ids. Free of I/O.
+//! Fingerprints of requests, independent of their ids. Free of I/O.
 
 use {
   serde::{Deserialize, Serialize},
@@ -6,19 +6,19 @@
   std::fmt::{self, Debug, Display, Formatter, Write},
 };
 
-/// Bytes of a fingerprint: two different requests share one by chance after some 10^19.
+/// Length in bytes; a collision by chance is expected after some 10^19 requests.
 const BYTES: usize = 16;
-/// Bytes that a log line shows: enough to find the lines of one request, too few to guess what it holds.
-const SHOWN_BYTES: usize = 4;
+/// Bytes that are logged: enough to correlate lines, too few to guess the body.
+const LOGGED_BYTES: usize = 4;
 
-/// What makes two requests the same: who asks for what, with which body.
+/// The attributes that identify a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestIdentity<'a> {
-  /// The organisation that asks, if callers belong to one.
+  /// The organisation of the caller, if any.
   pub organisation: Option<&'a str>,
   /// The method.
   pub method: &'a str,
-  /// The host asked for.
+  /// The requested host.
   pub host: &'a str,
   /// Path and query.
   pub path: &'a str,
@@ -26,8 +26,8 @@
   pub body: &'a [u8],
 }
 
-/// A hash that repeats of one request share: at any box, on any connection, under any id. Nobody can tell the body, and no key
-/// goes into it.
+/// A hash that all retries of a request share, at any box, on any connection and under any id. The body can't be recovered
+/// from it, and no API key goes into it.
 ///
 /// ```
 /// use rillford::gateway::{Fingerprint, RequestIdentity};
@@ -37,9 +37,9 @@
 /// assert_eq!(Fingerprint::of(one), Fingerprint::of(one));
 /// let another = RequestIdentity { organisation: Some("captions"), ..one };
 /// assert_ne!(Fingerprint::of(one), Fingerprint::of(another));
-/// let print = Fingerprint::of(one);
-/// assert_eq!(Fingerprint::parse(&print.key()), Some(print));
-/// assert!(print.key().starts_with(&print.to_string()));
+/// let fingerprint = Fingerprint::of(one);
+/// assert_eq!(Fingerprint::parse(&fingerprint.key()), Some(fingerprint));
+/// assert!(fingerprint.key().starts_with(&fingerprint.to_string()));
 /// ```
 #[derive(Clone, Copy, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Fingerprint([u8; BYTES]);
@@ -56,48 +56,48 @@
       identity.body,
     ];
     for part in parts {
-      // Lengths keep neighbours apart: no part can end in the next one's beginning.
+      // Length prefixes keep adjacent parts from being confused.
       hasher.update(part.len().to_le_bytes());
       hasher.update(part);
     }
-    Self::cut(hasher)
+    Self::truncate(hasher)
   }
 
-  /// The fingerprint of reading the request's prompt apart. An engine that ends while it reads says nothing of those that write, and an
-  /// answer that comes back whole nothing of those that read.
+  /// The fingerprint of the request's prefill stage. A crash during prefill says nothing of decode engines, and a complete
+  /// response nothing of prefill engines.
   ///
   /// ```
   /// use rillford::gateway::{Fingerprint, RequestIdentity};
   /// let fingerprint = Fingerprint::of(RequestIdentity {
   ///   body: b"prompt", host: "lectures.example", method: "POST", organisation: None, path: "/a/1",
   /// });
-  /// assert_ne!(fingerprint.of_reading(), fingerprint);
-  /// assert_eq!(fingerprint.of_reading(), fingerprint.of_reading());
+  /// assert_ne!(fingerprint.of_prefill(), fingerprint);
+  /// assert_eq!(fingerprint.of_prefill(), fingerprint.of_prefill());
   /// ```
-  pub fn of_reading(&self) -> Self {
-    Self::cut(Sha256::new().chain_update(self.0).chain_update("reading"))
+  pub fn of_prefill(&self) -> Self {
+    Self::truncate(Sha256::new().chain_update(self.0).chain_update("reading"))
   }
 
-  fn cut(hasher: Sha256) -> Self {
+  fn truncate(hasher: Sha256) -> Self {
     let hash = hasher.finalize();
     let mut bytes = [0; BYTES];
     bytes.copy_from_slice(&hash[..BYTES]);
     Self(bytes)
   }
 
-  /// All of it in hex, as part of a key in the store.
+  /// The hex text that stands for it in a store key.
   pub fn key(&self) -> String {
     hex(&self.0)
   }
 
-  /// Reads what [`key`](Self::key) wrote; nothing when the text is no fingerprint.
+  /// Parses the text of [`key`](Self::key); `None` when it is malformed.
   pub fn parse(text: &str) -> Option<Self> {
     let mut bytes = [0; BYTES];
     if text.len() != 2 * BYTES || !text.is_ascii() {
       return None;
     }
-    for (at, byte) in bytes.iter_mut().enumerate() {
-      *byte = u8::from_str_radix(&text[2 * at..2 * at + 2], 16).ok()?;
+    for (index, byte) in bytes.iter_mut().enumerate() {
+      *byte = u8::from_str_radix(&text[2 * index..2 * index + 2], 16).ok()?;
     }
     Some(Self(bytes))
   }
@@ -105,7 +105,7 @@
 
 impl Display for Fingerprint {
   fn fmt(&self, f: &mut Formatter) -> fmt::Result {
-    f.write_str(&hex(&self.0[..SHOWN_BYTES]))
+    f.write_str(&hex(&self.0[..LOGGED_BYTES]))
   }
 }
 
@@ -117,7 +117,7 @@
 
 fn hex(bytes: &[u8]) -> String {
   bytes.iter().fold(String::new(), |mut text, byte| {
-    // Writing to a string does not fail.
+    // Writing to a string never fails.
     let _ = write!(text, "{byte:02x}");
     text
   })
--- a/src/gateway/decisions/limit_strategy.rs
+++ b/src/gateway/decisions/limit_strategy.rs
@@ -1,24 +1,24 @@
-//! How organisations' limits are kept over all boxes.
+//! How organisations' limits are enforced over all boxes.
 
 use serde::Deserialize;
 
-/// The ways that can be chosen under `[limits]` in the settings.
+/// The values of `way` under `[limits]` in the settings.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq)]
 pub enum LimitStrategy {
-  /// Each box keeps an even part of each limit, without a message.
+  /// Each box enforces an even share of each limit, without messages.
   #[serde(rename = "even_parts")]
   EvenSplit,
-  /// Boxes tell those that count what they have admitted, and admit by what was left when they last heard.
+  /// Boxes report admitted units to the coordinators, and admit by the remaining units in the last response.
   #[serde(rename = "told_sums")]
   ReportedTotals,
-  /// The same, but that a box asks before it admits a request of an organisation that is short.
+  /// Like `ReportedTotals`, but a box asks a coordinator before it admits a request of an organisation near its limit.
   #[default]
   #[serde(rename = "asked_when_short")]
   AskNearLimit,
 }
 
 impl LimitStrategy {
-  /// Whether boxes tell each other of use.
+  /// Whether boxes report usage to coordinators.
   pub fn uses_coordinators(self) -> bool {
     match self {
       Self::EvenSplit => false,
--- a/src/gateway/decisions/local_usage.rs
+++ b/src/gateway/decisions/local_usage.rs
@@ -1,9 +1,9 @@
-//! What a box that does not count knows of the limits, and what it has not told yet. Free of I/O.
+//! Limits as a box that is no coordinator knows them, and the usage that it has not reported yet. Free of I/O.
 //!
-//! Load pattern: a box has a fraction of a request a second of each organisation, so that a share of the limit for each box
-//! would refuse callers who are inside it. While a limit is far off, a box admits and tells it afterwards, for many
-//! requests at once; when it is near, it asks first. A box that reaches nobody who counts goes on at the rate that it had,
-//! or at an even share of the limit where that is more: all boxes that are alone together use little more than before.
+//! Load pattern: a box gets a fraction of a request per second of each organisation, so that a fixed share of the limit per
+//! box would reject callers within their limit. Far from a limit, a box admits requests and reports them afterwards in
+//! batches; near it, it asks first. A box that reaches no coordinator continues at its recent rate, or at an even share of
+//! the limit if that is more: all isolated boxes together use little more than before.
 
 use {
   super::{
@@ -14,61 +14,61 @@
   std::collections::{BTreeMap, HashMap},
 };
 
-/// A box that has not heard from one that counts for this long is alone: several answers were due.
+/// A box without contact to a coordinator for this long is isolated: several responses were due.
 const CONTACT_TIMEOUT_MS: u64 = 1_000;
-/// For this long an organisation that is beyond its limit is refused without asking again.
+/// Time for which an organisation over its limit is rejected without asking again.
 const REJECTION_CACHE_MS: u64 = 100;
-/// A box that is alone goes on at the rate that it had times this: half of what the users' bound allows beyond a limit.
+/// Factor on the recent rate of an isolated box: half of the overage that is allowed.
 const ISOLATED_FACTOR: f64 = 1.05;
-/// Part of a burst that a box admits before it has told: a fiftieth, or one request, for each of some hundred boxes.
+/// Share of a burst that a box admits without a report: for some hundred boxes, a fiftieth or one request each.
 const UNREPORTED_SHARE: f64 = 0.02;
 
-/// A request of an organisation that has a limit.
+/// A request of an organisation with a limit.
 #[derive(Clone, Copy, Debug)]
 pub struct UsageRequest<'a> {
   /// The organisation.
   pub organisation: &'a Name,
   /// Its limit over all boxes.
   pub limit: UseLimit,
-  /// What the request counts.
+  /// The units of the request.
   pub units: u64,
-  /// How many boxes there are.
+  /// The number of boxes.
   pub boxes: usize,
-  /// When it came.
+  /// The time of its arrival.
   pub now_ms: u64,
 }
 
-/// What a box makes of a request by itself.
+/// What a box decides on a request from its local state.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LocalVerdict {
-  /// It knows enough.
+  /// The verdict is known.
   Settled(UsageVerdict),
-  /// A box that counts has to be asked.
+  /// A coordinator has to be asked.
   Ask,
 }
 
-/// What was heard of an organisation that is near_limit.
+/// The state of an organisation near its limit.
 #[derive(Clone, Copy, Debug)]
 struct NearLimit {
-  left: f64,
-  /// Until then nothing more is admitted.
+  remaining: f64,
+  /// Requests are rejected until then.
   rejected_until_ms: u64,
 }
 
-/// The limits as a box that does not count sees them.
+/// A box's own usage, and the limits as reported by coordinators.
 ///
 /// ```
 /// use rillford::gateway::{LimitStrategy, LocalVerdict, LocalUsage, UseLimit, UsageRequest, UsageVerdict};
 /// let lectures = "lectures".into();
 /// let limit = UseLimit { burst: 100.0, rate_per_s: 10.0 };
-/// let mut ledger = LocalUsage::default();
-/// ledger.record_near_limit(vec![], 0);
+/// let mut usage = LocalUsage::default();
+/// usage.record_near_limit(vec![], 0);
 /// let request = UsageRequest { boxes: 10, limit, now_ms: 0, organisation: &lectures, units: 80 };
-/// let verdict = ledger.admit(request, LimitStrategy::AskNearLimit);
+/// let verdict = usage.admit(request, LimitStrategy::AskNearLimit);
 /// assert_eq!(verdict, LocalVerdict::Settled(UsageVerdict::WithinLimit));
-/// assert_eq!(ledger.take_unreported(), vec![("lectures".into(), 80)]);
-/// ledger.record_near_limit(vec![("lectures".into(), 20.0)], 100);
-/// let verdict = ledger.admit(UsageRequest { now_ms: 100, ..request }, LimitStrategy::AskNearLimit);
+/// assert_eq!(usage.take_unreported(), vec![("lectures".into(), 80)]);
+/// usage.record_near_limit(vec![("lectures".into(), 20.0)], 100);
+/// let verdict = usage.admit(UsageRequest { now_ms: 100, ..request }, LimitStrategy::AskNearLimit);
 /// assert_eq!(verdict, LocalVerdict::Ask);
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -76,28 +76,28 @@
   unreported: BTreeMap<Name, i64>,
   near_limit: HashMap<Name, NearLimit>,
   last_contact_ms: Option<u64>,
-  /// Whether the boxes that count did not answer at the last try.
+  /// Whether no coordinator responded at the last attempt.
   is_unreachable: bool,
   recent: HashMap<Name, RecentUsage>,
-  /// Buckets of a box that is alone, or of the way that needs no others.
-  local: HashMap<Name, LocalShare>,
+  /// Buckets of an isolated box, or of [`LimitStrategy::EvenSplit`].
+  shares: HashMap<Name, LocalShare>,
 }
 
 /// A box's local share of a limit.
 #[derive(Clone, Copy, Debug)]
 struct LocalShare {
-  /// The limit that it is a share of.
-  of: UseLimit,
+  /// The whole limit.
+  whole: UseLimit,
   share: UseLimit,
   bucket: TokenBucket,
 }
 
 impl LocalUsage {
-  /// Decides on a request of an organisation, and notes it when it is within the limit.
-  pub fn admit(&mut self, request: UsageRequest, way: LimitStrategy) -> LocalVerdict {
-    match way {
+  /// Decides on a request of an organisation, and records it when it is admitted.
+  pub fn admit(&mut self, request: UsageRequest, strategy: LimitStrategy) -> LocalVerdict {
+    match strategy {
       LimitStrategy::EvenSplit => LocalVerdict::Settled(self.admit_by_even_split(request)),
-      // A box that has just started is not alone yet.
+      // A box that has just started is not isolated yet.
       LimitStrategy::AskNearLimit if self.last_contact_ms.is_none() && !self.is_unreachable => {
         LocalVerdict::Ask
       }
@@ -109,7 +109,7 @@
     }
   }
 
-  /// Decides by what was left when it was heard.
+  /// Decides by the remaining units in the last response.
   fn admit_by_reported_totals(&mut self, request: UsageRequest) -> UsageVerdict {
     let verdict = match self.near_limit.get(request.organisation) {
       Some(near_limit) => near_limit.verdict(request.limit, request.units),
@@ -121,7 +121,7 @@
     verdict
   }
 
-  /// Decides where the limit is far off, or where a refusal was heard just now.
+  /// Decides locally far from the limit and shortly after a rejection; asks otherwise.
   fn admit_or_ask(&mut self, request: UsageRequest) -> LocalVerdict {
     match self.near_limit.get(request.organisation) {
       None if self.has_much_unreported(request) => LocalVerdict::Ask,
@@ -131,7 +131,7 @@
       }
       Some(near_limit) if request.now_ms < near_limit.rejected_until_ms => {
         LocalVerdict::Settled(UsageVerdict::OverLimit {
-          left: near_limit.left,
+          remaining: near_limit.remaining,
           wait_ms: near_limit.rejected_until_ms - request.now_ms,
         })
       }
@@ -140,11 +140,11 @@
   }
 
   fn record_request(&mut self, request: UsageRequest) {
-    self.local.remove(request.organisation);
+    self.shares.remove(request.organisation);
     self.record(request.organisation, request.units as i64, request.now_ms);
   }
 
-  /// Whether no box that counts is heard.
+  /// Whether the box has no contact to a coordinator.
   pub fn is_isolated(&self, now_ms: u64) -> bool {
     let recently_in_contact = self
       .last_contact_ms
@@ -152,12 +152,12 @@
     self.is_unreachable || !recently_in_contact
   }
 
-  /// No box that counts answers.
+  /// Records that no coordinator responds.
   pub fn record_unreachable(&mut self) {
     self.is_unreachable = true;
   }
 
-  /// Whether a request comes on top of so much that others have not heard of that it is asked for.
+  /// Whether the unreported units would exceed their share of the burst with a request.
   fn has_much_unreported(&self, request: UsageRequest) -> bool {
     let unreported = self
       .unreported
@@ -168,62 +168,68 @@
       && unreported as f64 + request.units as f64 > request.limit.burst * UNREPORTED_SHARE
   }
 
-  /// How old what it knows is; nothing when it knows nothing.
+  /// Time since the last contact to a coordinator, if there was any.
   pub fn age_ms(&self, now_ms: u64) -> Option<u64> {
     self
       .last_contact_ms
       .map(|last_contact_ms| now_ms.saturating_sub(last_contact_ms))
   }
 
-  /// Notes units that were admitted here, or given back when there are less than none.
+  /// Records units that were admitted here, or refunded when negative.
   pub fn record(&mut self, organisation: &Name, units: i64, now_ms: u64) {
     *self.unreported.entry(organisation.clone()).or_default() += units;
     if let Some(near_limit) = self.near_limit.get_mut(organisation) {
-      near_limit.left -= units as f64;
+      near_limit.remaining -= units as f64;
     }
     self.record_recent(organisation, units as f64, now_ms);
   }
 
-  /// A box that counts has admitted a request of this box.
+  /// Records that a coordinator has admitted a request of this box.
   pub fn record_admitted(&mut self, organisation: &Name, units: u64, now_ms: u64) {
     self.record_recent(organisation, units as f64, now_ms);
   }
 
-  /// A box that counts has refused a request of this box.
-  pub fn record_rejected(&mut self, organisation: &Name, left: f64, wait_ms: u64, now_ms: u64) {
-    let refused = NearLimit {
-      left,
+  /// Records that a coordinator has rejected a request of this box.
+  pub fn record_rejected(
+    &mut self,
+    organisation: &Name,
+    remaining: f64,
+    wait_ms: u64,
+    now_ms: u64,
+  ) {
+    let rejected = NearLimit {
+      remaining,
       rejected_until_ms: now_ms + wait_ms.min(REJECTION_CACHE_MS),
     };
-    self.near_limit.insert(organisation.clone(), refused);
+    self.near_limit.insert(organisation.clone(), rejected);
   }
 
-  /// A box that counts has told which organisations are near_limit.
+  /// Records a coordinator's response: the organisations near their limits, with their remaining units.
   pub fn record_near_limit(&mut self, near_limit: Vec<(Name, f64)>, now_ms: u64) {
     self.last_contact_ms = Some(now_ms);
     self.is_unreachable = false;
     let before = std::mem::take(&mut self.near_limit);
-    for (name, left) in near_limit {
+    for (name, remaining) in near_limit {
       let rejected_until_ms = before.get(&name).map_or(0, |known| known.rejected_until_ms);
       let limit = NearLimit {
-        left,
+        remaining,
         rejected_until_ms,
       };
       self.near_limit.insert(name, limit);
     }
   }
 
-  /// Whether there is something to tell, or to hear soon.
+  /// Whether a report is due soon: units are unreported, or an organisation is near its limit.
   pub fn is_busy(&self) -> bool {
     !self.unreported.is_empty() || !self.near_limit.is_empty()
   }
 
-  /// What has not been told yet; the caller gives it back by [`Self::restore_unreported`] when it can't be told.
+  /// Takes the unreported units; the caller returns them by [`Self::restore_unreported`] when the report fails.
   pub fn take_unreported(&mut self) -> Vec<(Name, i64)> {
     std::mem::take(&mut self.unreported).into_iter().collect()
   }
 
-  /// What was taken to be told was not heard.
+  /// Returns the units of a report that failed.
   pub fn restore_unreported(&mut self, unreported: Vec<(Name, i64)>) {
     for (name, units) in unreported {
       *self.unreported.entry(name).or_default() += units;
@@ -235,15 +241,15 @@
     recent.record(units, now_ms);
   }
 
-  /// Decides without any other box, when none answers: by the rate that this box had, fixed when it is first needed.
+  /// Decides without a coordinator: by this box's recent rate, fixed when it is first needed.
   pub fn admit_isolated(&mut self, request: UsageRequest) -> UsageVerdict {
     let UsageRequest { limit, now_ms, .. } = request;
     let even = limit.rate_per_s / request.boxes.max(1) as f64;
     let before = self.recent.get(request.organisation);
     let as_before = before.map_or(0.0, |before| before.per_s(now_ms) * ISOLATED_FACTOR);
     let share = share_of(request, as_before.clamp(even, limit.rate_per_s));
-    let local = match self.local.get(request.organisation) {
-      Some(local) if local.of == limit => *local,
+    let local = match self.shares.get(request.organisation) {
+      Some(local) if local.whole == limit => *local,
       _ => LocalShare::new(limit, share, now_ms),
     };
     self.charge_share(local, request)
@@ -253,7 +259,7 @@
   fn admit_by_even_split(&mut self, request: UsageRequest) -> UsageVerdict {
     let UsageRequest { limit, now_ms, .. } = request;
     let share = share_of(request, limit.rate_per_s / request.boxes.max(1) as f64);
-    let mut local = match self.local.get(request.organisation) {
+    let mut local = match self.shares.get(request.organisation) {
       Some(local) => *local,
       None => LocalShare::new(limit, share, now_ms),
     };
@@ -262,56 +268,56 @@
     self.charge_share(local, request)
   }
 
-  /// Takes a request from a share of the limit, if it is there, and keeps the share.
+  /// Charges a request to a share of the limit if it fits, and stores the share.
   fn charge_share(&mut self, mut local: LocalShare, request: UsageRequest) -> UsageVerdict {
     let UsageRequest { now_ms, units, .. } = request;
-    // Where the share is smaller than a request, one goes when the bucket is full.
+    // A request larger than the bucket is admitted when the bucket is full.
     let wanted = (units as f64).min(local.share.burst);
-    let left = local.bucket.level(local.share, now_ms);
-    let verdict = if left < wanted {
+    let remaining = local.bucket.level(local.share, now_ms);
+    let verdict = if remaining < wanted {
       let wait_ms = local.bucket.wait_ms(local.share, wanted, now_ms);
-      UsageVerdict::OverLimit { left, wait_ms }
+      UsageVerdict::OverLimit { remaining, wait_ms }
     } else {
       local.bucket.charge(local.share, units as f64);
       UsageVerdict::WithinLimit
     };
-    self.local.insert(request.organisation.clone(), local);
+    self.shares.insert(request.organisation.clone(), local);
     verdict
   }
 }
 
-/// The share of a limit with a rate; it holds one request at least.
+/// The share of a limit at a rate; its burst fits at least one request.
 fn share_of(request: UsageRequest, rate_per_s: f64) -> UseLimit {
   let UseLimit {
     burst,
-    rate_per_s: whole_per_s,
+    rate_per_s: limit_per_s,
   } = request.limit;
   UseLimit {
-    burst: (burst * rate_per_s / whole_per_s).max(request.units as f64),
+    burst: (burst * rate_per_s / limit_per_s).max(request.units as f64),
     rate_per_s,
   }
 }
 
 impl LocalShare {
-  fn new(of: UseLimit, share: UseLimit, now_ms: u64) -> Self {
+  fn new(whole: UseLimit, share: UseLimit, now_ms: u64) -> Self {
     Self {
       bucket: TokenBucket::full(share, now_ms),
-      of,
+      whole,
       share,
     }
   }
 }
 
 impl NearLimit {
-  /// Whether a request is within what was left when it was heard, less what was admitted since.
+  /// The verdict on a request by the remaining units in the last response, less what was admitted since.
   fn verdict(&self, limit: UseLimit, units: u64) -> UsageVerdict {
     let wanted = (units as f64).min(limit.burst);
-    if self.left >= wanted {
+    if self.remaining >= wanted {
       return UsageVerdict::WithinLimit;
     }
-    let missing_s = (wanted - self.left) / limit.rate_per_s;
+    let missing_s = (wanted - self.remaining) / limit.rate_per_s;
     UsageVerdict::OverLimit {
-      left: self.left,
+      remaining: self.remaining,
       wait_ms: (missing_s * 1_000.0) as u64,
     }
   }
--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -1,7 +1,8 @@
-//! What a box decides, free of I/O: the choice among endpoints, seats and who goes first, the forecast behind a refusal,
-//! repeats, requests that are held because endpoints ended with them, roles, and which boxes read the store.
+//! The decisions of a box, free of I/O: selection of endpoints, batch slots and their queue, the forecast behind early
+//! rejections, retries, limits and permits, quarantine of requests that crash endpoints, roles, and which boxes read the
+//! store.
 //!
-//! Imports `edge` alone: a decision gets the time, what was seen and a random number, and answers with what to do.
+//! Imports only `edge`: a decision gets the time, observations and a random number, and returns what to do.
 
 mod advertised_limits;
 mod allowed_halls;
--- a/src/gateway/decisions/peer_usage.rs
+++ b/src/gateway/decisions/peer_usage.rs
@@ -1,38 +1,38 @@
-//! What another counting box has told of its counts. Free of I/O.
+//! Usage that another coordinator has reported. Free of I/O.
 
 use {super::recent_usage::RecentUsage, crate::ids::Name, std::collections::HashMap};
 
-/// A counting box that has not been heard for this long counts as cut off: several messages were due.
+/// A coordinator that was silent for this long counts as unreachable: several messages were due.
 const SILENCE_TIMEOUT_MS: u64 = 600;
 
-/// Another counting box.
+/// Another coordinator.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
   pub(super) incarnation: u64,
   pub(super) last_contact_ms: u64,
   /// Boxes that report to it.
   pub(super) reporters: usize,
-  /// Whether it still counts; one that does not is not waited for.
+  /// Whether it is still a coordinator; silence of any other box is ignored.
   pub(super) is_coordinator: bool,
-  /// Whether its first totals are charged.
+  /// Whether its first totals are charged in full.
   is_charged_from_start: bool,
   used: HashMap<Name, PeerUsage>,
 }
 
-/// Its counts for one organisation.
+/// Its usage for one organisation.
 #[derive(Clone, Copy, Debug, Default)]
 struct PeerUsage {
   total: i64,
-  /// Units that it was taken to use since it was last heard, and up to when.
+  /// Units that it is assumed to have used since the last contact, and up to when.
   assumed: f64,
   assumed_to_ms: u64,
   recent: RecentUsage,
-  /// Its part of the rate, as of when it fell silent.
+  /// Its share of the rate at the time of the last contact.
   share_when_silent: Option<f64>,
 }
 
 impl Peer {
-  /// A box that was not heard before.
+  /// A box without any message so far.
   pub(super) fn new(incarnation: u64, is_charged_from_start: bool) -> Self {
     Self {
       is_charged_from_start,
@@ -44,7 +44,7 @@
     }
   }
 
-  /// Whether it may be cut off and go on counting.
+  /// Whether it may be cut off and continue to admit requests.
   pub(super) fn is_unreachable(&self, now_ms: u64) -> bool {
     self.is_coordinator && self.is_silent(now_ms)
   }
@@ -53,7 +53,7 @@
     now_ms > self.last_contact_ms + SILENCE_TIMEOUT_MS
   }
 
-  /// What it used of late for an organisation; a silent box is taken as it was when it was last heard.
+  /// Its recent usage for an organisation; for a silent box as of the last contact.
   pub(super) fn recent(&self, organisation: &str, now_ms: u64) -> f64 {
     let at_ms = if self.is_silent(now_ms) {
       self.last_contact_ms
@@ -64,7 +64,7 @@
     used.map_or(0.0, |used| used.recent.units(at_ms))
   }
 
-  /// Takes over a total; answers with the units to charge, beyond what was assumed.
+  /// Records a total; returns the units to charge beyond the assumed ones.
   pub(super) fn record_total(&mut self, organisation: &Name, total: i64, now_ms: u64) -> f64 {
     let is_charged = self.is_charged_from_start || self.used.contains_key(organisation);
     let used = self.used.entry(organisation.clone()).or_default();
@@ -79,8 +79,8 @@
     units - std::mem::take(&mut used.assumed)
   }
 
-  /// Takes it to have gone on since it was heard with its part of a rate, which is fixed when it falls silent; answers with
-  /// the units to charge.
+  /// Assumes that it has continued since the last contact with its share of a rate, fixed when it fell silent; returns the
+  /// units to charge.
   pub(super) fn assume(
     &mut self,
     organisation: &Name,
--- a/src/gateway/decisions/permit_account.rs
+++ b/src/gateway/decisions/permit_account.rs
@@ -1,7 +1,7 @@
-//! The permits at one endpoint that names a limit, as the one box counts them that gives them out. Free of I/O.
+//! The permits at one endpoint that advertises a limit, as its coordinator grants them. Free of I/O.
 //!
-//! Load pattern: hundreds of boxes ask for a few permits a second. Each box that finds none is told when to ask again, one after the
-//! other, so that neither all ask at once nor a permit lies idle.
+//! Load pattern: hundreds of boxes ask for a few permits a second. Each box that gets none is told when to ask again, spaced
+//! so that neither all ask at once nor permits stay unused.
 
 use {
   super::token_bucket::TokenBucket,
@@ -10,40 +10,40 @@
   std::collections::HashMap,
 };
 
-/// Boxes that found no permit are called in so many times as often as permits come: some of them have no request by then.
+/// Boxes that got no permit are invited back this much more often than permits accrue: some have no request by then.
 const INVITATIONS_PER_PERMIT: f64 = 1.2;
-/// Who wants many permits gets as many as come in this time, or none yet: else it would ask for each of them.
+/// A box that wants many permits gets at least what accrues in this time, or none yet: else it would ask for each one.
 const MIN_GRANT_S: f64 = 0.1;
-/// The longest time until a box may ask again: a permit of the lowest limit comes in it.
+/// Longest time until a box may ask again: one permit of the lowest limit accrues in it.
 const MAX_WAIT_MS: u64 = 6_000;
-/// The shortest: a permit may come back sooner than it is counted.
+/// Shortest time until a box may ask again: a permit may be returned early.
 const MIN_WAIT_MS: u64 = 10;
-/// Permits that less urgent requests leave for more urgent ones.
+/// Permits that are reserved for more urgent requests.
 const RESERVED_FOR_URGENT: f64 = 1.0;
-/// For so long after the most urgent request the others leave it a permit.
+/// The reservation holds for this long after the most urgent request.
 const URGENT_RESERVE_MS: u64 = 2_000;
 
-/// A question for permits.
+/// A request for permits.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PermitRequest {
-  /// The box that asks.
+  /// The requesting box.
   pub box_name: Name,
-  /// Permits that could be used soon; one at least.
+  /// Permits that it could use soon; at least one.
   pub permits: u32,
-  /// Permits that were given before and will not be used.
+  /// Permits that were granted before and expired unused.
   pub unused: u32,
   /// 0 goes first.
   pub priority: u8,
 }
 
-/// What becomes of a question for permits.
+/// The verdict on a request for permits.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum PermitVerdict {
-  /// So many may be used, one or more.
+  /// This many are granted, at least one.
   Granted(u32),
-  /// There is none.
-  Refused {
-    /// When to ask again.
+  /// None is available.
+  Rejected {
+    /// Time until the box may ask again.
     wait_ms: u64,
   },
 }
@@ -55,8 +55,8 @@
 /// let limit = UseLimit { burst: 3.0, rate_per_s: 2.0 };
 /// let mut account = PermitAccount::new(limit, 0);
 /// let permit_request = PermitRequest { box_name: "north-1".into(), permits: 1, priority: 4, unused: 0 };
-/// // Nothing is there at first: what was sent before the limit was heard is still under way.
-/// assert_eq!(account.request(&permit_request, 0), PermitVerdict::Refused { wait_ms: 500 });
+/// // The account starts empty: requests sent before the limit was received may still be in flight.
+/// assert_eq!(account.request(&permit_request, 0), PermitVerdict::Rejected { wait_ms: 500 });
 /// assert_eq!(account.request(&permit_request, 500), PermitVerdict::Granted(1));
 /// assert_eq!(account.request(&PermitRequest { permits: 9, ..permit_request }, 60_000), PermitVerdict::Granted(3));
 /// ```
@@ -64,17 +64,17 @@
 pub struct PermitAccount {
   limit: UseLimit,
   bucket: TokenBucket,
-  /// When the last of the boxes is called in that found no permit.
+  /// The last time slot that was assigned to a box without a permit.
   last_slot_ms: u64,
-  /// When each of them is.
+  /// The time slot of each of these boxes.
   slots_ms: HashMap<Name, u64>,
-  /// The most urgent priority that was asked for lately, and when.
+  /// The most urgent priority of a recent request, and its time.
   urgent: Option<(u8, u64)>,
   last_request_ms: u64,
 }
 
 impl PermitAccount {
-  /// An account without a permit.
+  /// An empty account.
   pub fn new(limit: UseLimit, now_ms: u64) -> Self {
     Self {
       last_request_ms: now_ms,
@@ -86,64 +86,64 @@
     }
   }
 
-  /// The endpoint names another figure: permits that come from now on come at that rate. A figure that goes up and down with each
-  /// answer brings no permit by that.
+  /// Applies a changed limit: permits accrue at its rate from now on. A limit that goes up and down with each response
+  /// grants no extra permits.
   pub fn set_limit(&mut self, limit: UseLimit, now_ms: u64) {
     self.bucket.level(self.limit, now_ms);
     self.limit = limit;
   }
 
-  /// Gives out permits, or says when to ask again.
+  /// Grants permits, or assigns the time to ask again.
   pub fn request(&mut self, permit_request: &PermitRequest, now_ms: u64) -> PermitVerdict {
     self.last_request_ms = now_ms;
     self.bucket.level(self.limit, now_ms);
     self
       .bucket
       .charge(self.limit, -f64::from(permit_request.unused));
-    // Who comes at its turn takes what is there: sent behind again, it would leave permits idle.
+    // A box in its time slot takes what is available: postponed again, it would leave permits unused.
     let min_grant = if self.claims_slot(&permit_request.box_name, now_ms) {
       1.0
     } else {
       self.min_grant(permit_request.permits)
     };
     let wanted = min_grant + self.reserved_for_urgent(permit_request.priority, now_ms);
-    let left = self.bucket.level(self.limit, now_ms);
-    if left < wanted {
+    let remaining = self.bucket.level(self.limit, now_ms);
+    if remaining < wanted {
       let slot_ms = self.slot_ms(&permit_request.box_name, min_grant, now_ms);
-      let until_left_ms = self.bucket.wait_ms(self.limit, wanted, now_ms);
-      let wait_ms = slot_ms.max(until_left_ms);
-      return PermitVerdict::Refused {
+      let until_available_ms = self.bucket.wait_ms(self.limit, wanted, now_ms);
+      let wait_ms = slot_ms.max(until_available_ms);
+      return PermitVerdict::Rejected {
         wait_ms: wait_ms.clamp(MIN_WAIT_MS, MAX_WAIT_MS),
       };
     }
-    let spare = (left - wanted) as u32;
-    let granted = permit_request.permits.min(min_grant as u32 + spare);
+    let surplus = (remaining - wanted) as u32;
+    let granted = permit_request.permits.min(min_grant as u32 + surplus);
     self.bucket.charge(self.limit, f64::from(granted));
     PermitVerdict::Granted(granted)
   }
 
-  /// Permits that are left.
+  /// Remaining permits.
   pub fn remaining(&mut self, now_ms: u64) -> f64 {
     self.bucket.level(self.limit, now_ms)
   }
 
-  /// When it was last asked.
+  /// Time of the last request.
   pub fn last_request_ms(&self) -> u64 {
     self.last_request_ms
   }
 
-  /// The least that is given out to who wants so many; one or more.
+  /// The smallest grant to a box that wants this many permits; at least one.
   fn min_grant(&self, permits: u32) -> f64 {
     let min_grant = (self.limit.rate_per_s * MIN_GRANT_S).floor();
-    let most = (self.limit.burst - RESERVED_FOR_URGENT).max(1.0);
-    min_grant.min(f64::from(permits)).clamp(1.0, most)
+    let max = (self.limit.burst - RESERVED_FOR_URGENT).max(1.0);
+    min_grant.min(f64::from(permits)).clamp(1.0, max)
   }
 
-  /// What a request of a priority leaves to more urgent ones.
+  /// Permits that a request of a priority has to leave for more urgent ones.
   fn reserved_for_urgent(&mut self, priority: u8, now_ms: u64) -> f64 {
     let urgent = self
       .urgent
-      .filter(|(_, last_request_ms)| now_ms < last_request_ms + URGENT_RESERVE_MS);
+      .filter(|(_, urgent_ms)| now_ms < urgent_ms + URGENT_RESERVE_MS);
     match urgent {
       Some((most_urgent, _))
         if most_urgent < priority && self.limit.burst > RESERVED_FOR_URGENT =>
@@ -157,7 +157,7 @@
     }
   }
 
-  /// Whether it is a box's turn, or was and it has not asked since.
+  /// Whether the time slot of a box has come and is unused; uses it.
   fn claims_slot(&mut self, box_name: &Name, now_ms: u64) -> bool {
     let had_slot = self
       .slots_ms
@@ -169,7 +169,7 @@
     had_slot
   }
 
-  /// The turn of a box that found no permit: how long it is until then. Of several requests of one box each has the same.
+  /// Time until the slot of a box that got no permit; concurrent requests of a box share its slot.
   fn slot_ms(&mut self, box_name: &Name, permits: f64, now_ms: u64) -> u64 {
     self
       .slots_ms
--- a/src/gateway/decisions/permit_table.rs
+++ b/src/gateway/decisions/permit_table.rs
@@ -1,4 +1,4 @@
-//! The permits that a box gives out: an account for each endpoint that names a limit. Free of I/O.
+//! The permits that a coordinator grants: an account for each endpoint that advertises a limit. Free of I/O.
 
 use {
   super::{
@@ -9,41 +9,41 @@
   std::collections::HashMap,
 };
 
-/// An account that nobody asked for so long is closed: its bucket would be full, and begins without a permit again.
+/// An idle account is closed after this time: its bucket would be full, and starts empty again.
 const MAX_IDLE_MS: u64 = 60_000;
 
-/// Accounts by endpoint's life.
+/// Accounts by incarnation of an endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct PermitTable {
   accounts: HashMap<EndpointIncarnation, PermitAccount>,
 }
 
 impl PermitTable {
-  /// Gives out permits at a life of an endpoint within a limit, or says when to ask again.
+  /// Grants permits at an incarnation of an endpoint within a limit, or assigns the time to ask again.
   pub fn request(
     &mut self,
-    life: EndpointIncarnation,
+    incarnation: EndpointIncarnation,
     limit: UseLimit,
     permit_request: &PermitRequest,
     now_ms: u64,
   ) -> PermitVerdict {
     let account = self
       .accounts
-      .entry(life)
+      .entry(incarnation)
       .or_insert_with(|| PermitAccount::new(limit, now_ms));
     account.set_limit(limit, now_ms);
     account.request(permit_request, now_ms)
   }
 
-  /// Permits that are left at a life of an endpoint; nothing where none were asked for lately.
-  pub fn remaining(&mut self, life: EndpointIncarnation, now_ms: u64) -> Option<f64> {
+  /// Remaining permits at an incarnation of an endpoint; `None` without recent requests.
+  pub fn remaining(&mut self, incarnation: EndpointIncarnation, now_ms: u64) -> Option<f64> {
     self
       .accounts
-      .get_mut(&life)
+      .get_mut(&incarnation)
       .map(|account| account.remaining(now_ms))
   }
 
-  /// Closes the accounts that nobody asks any more.
+  /// Closes idle accounts.
   pub fn expire(&mut self, now_ms: u64) {
     self
       .accounts
--- a/src/gateway/decisions/quarantine_key.rs
+++ b/src/gateway/decisions/quarantine_key.rs
@@ -1,20 +1,20 @@
-//! One thing that is known of a request that ends endpoints, as boxes share it. Free of I/O.
+//! The marks of requests that crash endpoints, as boxes share them in the store. Free of I/O.
 
 use {
   super::{endpoint_incarnation::EndpointIncarnation, fingerprint::Fingerprint},
   crate::ids::Name,
 };
 
-/// What is known.
+/// A mark of a request.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum QuarantineMark {
-  /// A life of an endpoint ended while it had the request.
+  /// An incarnation of an endpoint crashed while it was running the request.
   Crashed(EndpointIncarnation),
-  /// A box took the trial with this number, from 1.
+  /// A box claimed the probe with this number, from 1.
   Probe(u32),
 }
 
-/// What is known of which request.
+/// A mark with its request.
 ///
 /// ```
 /// use rillford::gateway::{Fingerprint, QuarantineKey, QuarantineMark, RequestIdentity};
@@ -29,25 +29,25 @@
 pub struct QuarantineKey {
   /// The request.
   pub fingerprint: Fingerprint,
-  /// What is known of it.
+  /// Its mark.
   pub mark: QuarantineMark,
 }
 
 impl QuarantineKey {
-  /// The last part of its key in the store: the fingerprint, a slash, and the mark.
+  /// The last segment of the store key: the fingerprint, a slash, and the mark.
   pub fn text(&self) -> Name {
     let mark = match self.mark {
-      QuarantineMark::Crashed(life) => format!("ended-{}", life.key()),
+      QuarantineMark::Crashed(incarnation) => format!("ended-{}", incarnation.key()),
       QuarantineMark::Probe(number) => format!("trial-{number}"),
     };
     format!("{}/{mark}", self.fingerprint.key()).into()
   }
 
-  /// Reads what [`text`](Self::text) wrote; nothing when somebody else wrote it.
+  /// Parses the text of [`text`](Self::text); `None` when it is malformed.
   pub fn parse(text: &str) -> Option<Self> {
     let (fingerprint, mark) = text.split_once('/')?;
     let mark = match mark.split_once('-')? {
-      ("ended", life) => QuarantineMark::Crashed(EndpointIncarnation::parse(life)?),
+      ("ended", incarnation) => QuarantineMark::Crashed(EndpointIncarnation::parse(incarnation)?),
       ("trial", number) => QuarantineMark::Probe(number.parse().ok()?),
       _ => return None,
     };
--- a/src/gateway/decisions/quarantine_registry.rs
+++ b/src/gateway/decisions/quarantine_registry.rs
@@ -1,15 +1,15 @@
-//! Which requests have ended endpoints, and whether they may still be sent. Free of I/O.
+//! The requests that crash endpoints, and whether they may still be sent. Free of I/O.
 //!
-//! Load pattern: one body ends each engine that runs it, within a tenth of a second, and its caller comes again under another id,
-//! at any box; an engine is back after seconds. Dozens of innocent requests run beside it, and share its engine's end. So no
-//! single end says who was at fault. A request is held once it was there at the end of three lives of endpoints and has not come to
-//! an end of its own since: an innocent one has to meet three ends in a row for that. Held means one run at a time, over
-//! all boxes: a trial. One that comes back whole clears the request, so that an innocent one is held for as long as one run
-//! takes. One that ends a further endpoint leads to the next trial, much later; after the last, nothing is sent until nobody has asked
-//! for it for [`RETENTION_MS`].
+//! Load pattern: one body crashes each engine that runs it within a tenth of a second, and its caller retries under another
+//! id, at any box; an engine restarts within seconds. Dozens of innocent requests run beside it and are hit by the same
+//! crash, so no single crash identifies the culprit. A request is quarantined once it was running in three crashed
+//! incarnations without a success since. A quarantined request may run only as a probe, one at a time over all boxes. A
+//! probe that succeeds clears the request, so that an innocent one is delayed by one run. A probe that crashes another
+//! endpoint leads to the next probe, much later; after the last probe the request is rejected until it has not been seen for
+//! [`RETENTION_MS`].
 //!
-//! Limits: three ends are what the users allow before it is a fault. They allow three more after that; two trials leave one for a
-//! run that began before its box had heard of the third end.
+//! Limits: three crashes are accepted, and three more after those; two probes leave one for a run that began before its box
+//! had received the third crash.
 
 use {
   super::{
@@ -20,38 +20,38 @@
   std::collections::{BTreeMap, HashMap},
 };
 
-/// Lives of endpoints that end with a request before it is held.
+/// Crashed incarnations from which on a request is quarantined.
 const MAX_CRASHES: usize = 3;
-/// Pauses before the probes. The first comes at once: it frees the innocent, whose endpoints went for another reason. The second
-/// comes after the endpoints that the request ended are back and have served others for some seconds.
+/// Delays of the probes. The first runs at once: it clears innocent requests. The second runs after the crashed endpoints
+/// have restarted and served others for some seconds.
 const PROBE_DELAYS_MS: [u64; 2] = [0, 15_000];
-/// How long something is kept that nobody asks for.
+/// Retention of marks without a request.
 const RETENTION_MS: u64 = 600_000;
-/// A mark this old is written anew when its request is asked for.
+/// Age from which a mark is written again when its request comes in.
 const REFRESH_MS: u64 = RETENTION_MS / 2;
-/// Callers of a request that is being tried come back after this: most answers are whole within it.
+/// Retry-after delay while a probe is in flight: most responses are complete within it.
 const PROBE_WAIT_MS: u64 = 1_000;
-/// Requests that are kept: 1 MB. An engine with 128 seats that ends adds as many at the most.
+/// Maximum number of tracked requests, about 1 MB. A crash of an engine with 128 slots adds at most that many.
 const MAX_REQUESTS: usize = 4_096;
 
 /// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QuarantineVerdict {
-  /// As any other.
+  /// Like any other request.
   Allowed,
-  /// Once, by the box that takes the trial with this number.
+  /// Once, by the box that claims the probe with this number.
   Probe {
     /// From 1.
     number: u32,
   },
   /// Not now.
   Quarantined {
-    /// When it may be asked for again.
+    /// The retry-after delay.
     retry_after_ms: u64,
   },
 }
 
-/// What is known of one request, each with the time since when it stands.
+/// The marks of one request, each with the time since when it stands.
 #[derive(Clone, Debug, Default)]
 struct Case {
   crashed: BTreeMap<EndpointIncarnation, u64>,
@@ -73,20 +73,24 @@
       return QuarantineVerdict::Allowed;
     }
     let latest = self.probes.last_key_value();
-    let (taken, since_ms) = latest.map_or((0, 0), |(number, at_ms)| (*number, *at_ms));
-    let Some(pause_ms) = PROBE_DELAYS_MS.get(taken as usize) else {
+    let (probes, since_ms) = latest.map_or((0, 0), |(number, at_ms)| (*number, *at_ms));
+    let Some(delay_ms) = PROBE_DELAYS_MS.get(probes as usize) else {
       return QuarantineVerdict::Quarantined {
         retry_after_ms: RETENTION_MS,
       };
     };
-    let left_ms = (since_ms + pause_ms).saturating_sub(now_ms);
-    if left_ms == 0 {
-      return QuarantineVerdict::Probe { number: taken + 1 };
+    let remaining_ms = (since_ms + delay_ms).saturating_sub(now_ms);
+    if remaining_ms == 0 {
+      return QuarantineVerdict::Probe { number: probes + 1 };
     }
-    // While the trial may still be running, its end is worth waiting for.
+    // While the probe may still be running, its outcome is worth waiting for.
     let is_in_flight = now_ms < since_ms + PROBE_WAIT_MS;
     QuarantineVerdict::Quarantined {
-      retry_after_ms: if is_in_flight { PROBE_WAIT_MS } else { left_ms },
+      retry_after_ms: if is_in_flight {
+        PROBE_WAIT_MS
+      } else {
+        remaining_ms
+      },
     }
   }
 
@@ -100,24 +104,25 @@
   }
 }
 
-/// The requests that have ended endpoints, by what this box and others saw.
+/// The requests that were running in crashed endpoints, as this box and others observed.
 ///
 /// ```
 /// use rillford::gateway::{
-///   EndpointIncarnation, Fingerprint, QuarantineRegistry, QuarantineKey, QuarantineMark, QuarantineVerdict, RequestIdentity,
+///   EndpointIncarnation, Fingerprint, QuarantineKey, QuarantineMark, QuarantineRegistry, QuarantineVerdict,
+///   RequestIdentity,
 /// };
 /// let fingerprint = Fingerprint::of(RequestIdentity {
 ///   body: b"prompt", host: "lectures.example", method: "POST", organisation: None, path: "/a/1",
 /// });
-/// let mut book = QuarantineRegistry::default();
+/// let mut registry = QuarantineRegistry::default();
 /// for born_ms in [1, 2, 3] {
-///   assert_eq!(book.verdict(fingerprint, 0), QuarantineVerdict::Allowed);
+///   assert_eq!(registry.verdict(fingerprint, 0), QuarantineVerdict::Allowed);
 ///   let mark = QuarantineMark::Crashed(EndpointIncarnation::of("e-1", Some(born_ms)));
-///   book.record(QuarantineKey { fingerprint, mark }, 0);
+///   registry.record(QuarantineKey { fingerprint, mark }, 0);
 /// }
-/// assert_eq!(book.verdict(fingerprint, 0), QuarantineVerdict::Probe { number: 1 });
-/// book.clear(fingerprint);
-/// assert_eq!(book.verdict(fingerprint, 0), QuarantineVerdict::Allowed);
+/// assert_eq!(registry.verdict(fingerprint, 0), QuarantineVerdict::Probe { number: 1 });
+/// registry.clear(fingerprint);
+/// assert_eq!(registry.verdict(fingerprint, 0), QuarantineVerdict::Allowed);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct QuarantineRegistry {
@@ -125,26 +130,26 @@
 }
 
 impl QuarantineRegistry {
-  /// Takes over something that this box saw or heard of, and since when it stands; whether it is new to it.
+  /// Records a mark that this box made or received, and since when it stands; whether it is new.
   pub fn record(&mut self, key: QuarantineKey, since_ms: u64) -> bool {
     if !self.cases.contains_key(&key.fingerprint) && self.cases.len() >= MAX_REQUESTS {
       self.evict_least_crashed();
     }
     let case = self.cases.entry(key.fingerprint).or_default();
     let before = match key.mark {
-      QuarantineMark::Crashed(life) => case.crashed.insert(life, since_ms),
+      QuarantineMark::Crashed(incarnation) => case.crashed.insert(incarnation, since_ms),
       QuarantineMark::Probe(number) => case.probes.insert(number, since_ms),
     };
     before.is_none()
   }
 
-  /// Forgets something that no longer holds.
+  /// Removes a mark.
   pub fn remove(&mut self, key: QuarantineKey) {
     let Some(case) = self.cases.get_mut(&key.fingerprint) else {
       return;
     };
     match key.mark {
-      QuarantineMark::Crashed(life) => case.crashed.remove(&life),
+      QuarantineMark::Crashed(incarnation) => case.crashed.remove(&incarnation),
       QuarantineMark::Probe(number) => case.probes.remove(&number),
     };
     if case.crashed.is_empty() && case.probes.is_empty() {
@@ -152,13 +157,13 @@
     }
   }
 
-  /// Forgets a request that came back whole; what was known of it.
+  /// Clears a request that succeeded; returns its marks.
   pub fn clear(&mut self, fingerprint: Fingerprint) -> Vec<QuarantineKey> {
     let case = self.cases.remove(&fingerprint);
     case.map_or_else(Vec::new, |case| case.keys(fingerprint))
   }
 
-  /// Forgets what nobody has asked for in a long time; what was known of it.
+  /// Evicts requests that were not seen for the retention period; returns their marks.
   pub fn expire(&mut self, now_ms: u64) -> Vec<QuarantineKey> {
     let is_old = |case: &Case| now_ms >= case.newest_ms() + RETENTION_MS;
     let old: Vec<Fingerprint> = self
@@ -181,27 +186,32 @@
     }
   }
 
-  /// Since when a life of an endpoint is known to have ended with a request.
+  /// Since when an incarnation of an endpoint is known to have crashed with a request.
   pub fn crashed_since_ms(
     &self,
     fingerprint: Fingerprint,
-    life: EndpointIncarnation,
+    incarnation: EndpointIncarnation,
   ) -> Option<u64> {
-    self.cases.get(&fingerprint)?.crashed.get(&life).copied()
+    self
+      .cases
+      .get(&fingerprint)?
+      .crashed
+      .get(&incarnation)
+      .copied()
   }
 
-  /// How many lives of endpoints have ended with a request, and how many trials it had.
+  /// The numbers of incarnations that crashed with a request, and of its probes.
   pub fn counts(&self, fingerprint: Fingerprint) -> (usize, usize) {
     let case = self.cases.get(&fingerprint);
     case.map_or((0, 0), |case| (case.crashed.len(), case.probes.len()))
   }
 
-  /// Whether one more end holds a request: before it is sent on, that end has to be known.
+  /// Whether one more crash quarantines a request: before it is retried, the outcome of the last run has to be known.
   pub fn is_near_quarantine(&self, fingerprint: Fingerprint) -> bool {
     self.counts(fingerprint).0 + 1 >= MAX_CRASHES
   }
 
-  /// What has to be written anew to be kept, now that a request is asked for.
+  /// The marks that have to be written again, now that a request came in.
   pub fn marks_to_refresh(&self, fingerprint: Fingerprint, now_ms: u64) -> Vec<QuarantineKey> {
     match self.cases.get(&fingerprint) {
       Some(case) if case.is_quarantined() && now_ms >= case.newest_ms() + REFRESH_MS => {
@@ -211,7 +221,7 @@
     }
   }
 
-  /// All that is known.
+  /// All marks.
   pub fn keys(&self) -> Vec<QuarantineKey> {
     let cases = self.cases.iter();
     cases
@@ -219,12 +229,12 @@
       .collect()
   }
 
-  /// How many requests are kept.
+  /// The number of tracked requests.
   pub fn len(&self) -> usize {
     self.cases.len()
   }
 
-  /// How many requests are held.
+  /// The number of quarantined requests.
   pub fn quarantined(&self) -> usize {
     self
       .cases
@@ -233,19 +243,19 @@
       .count()
   }
 
-  /// Whether no request is kept: then no fingerprint needs to be worked out.
+  /// Whether no request is tracked: then no fingerprint needs to be computed.
   pub fn is_empty(&self) -> bool {
     self.cases.is_empty()
   }
 
-  /// Drops the request with the fewest ends, the oldest of them.
+  /// Evicts the request with the fewest crashes, the oldest of these.
   fn evict_least_crashed(&mut self) {
-    let least = self
+    let candidate = self
       .cases
       .iter()
       .min_by_key(|(_, case)| (case.crashed.len(), case.newest_ms()))
       .map(|(fingerprint, _)| *fingerprint);
-    if let Some(fingerprint) = least {
+    if let Some(fingerprint) = candidate {
       self.cases.remove(&fingerprint);
     }
   }
--- a/src/gateway/decisions/quarantine_strategy.rs
+++ b/src/gateway/decisions/quarantine_strategy.rs
@@ -1,17 +1,17 @@
-//! How far boxes share what they know of requests that end endpoints.
+//! How far boxes share the marks of requests that crash endpoints.
 
 use serde::Deserialize;
 
-/// The ways that can be chosen under `[quarantine]` in the settings.
+/// The values of `way` under `[quarantine]` in the settings.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub enum QuarantineStrategy {
-  /// Nothing is kept: each try is bounded by itself alone.
+  /// No marks: only the attempts of each request are bounded.
   Off,
-  /// Each box keeps what it has seen itself.
+  /// Each box keeps its own marks.
   OwnBox,
-  /// Boxes share what they have seen by the store: a request that comes again at other boxes ends few endpoints more, and nearly all
-  /// other callers are served.
+  /// Boxes share marks through the store: a request that is retried at other boxes crashes few more endpoints, and nearly
+  /// all other callers are served.
   #[default]
   Shared,
 }
--- a/src/gateway/decisions/recent_engines.rs
+++ b/src/gateway/decisions/recent_engines.rs
@@ -1,4 +1,4 @@
-//! Engines that were here a short while ago: a crash, a restart or a cut is no reason to change others' roles.
+//! Engines that were observed recently: a crash, a restart or a network cut is no reason to change the roles of others.
 //! Free of I/O.
 
 use {
@@ -6,14 +6,14 @@
   std::{collections::HashMap, net::SocketAddr},
 };
 
-/// How long an engine that is gone without a word still counts in its last role. The users' crashes and cuts last up to
-/// 6 s, of which its entry outlasts three heartbeats; a change of role takes 6 s.
+/// Time for which an engine that disappeared without notice still counts in its last role: crashes and network cuts last up
+/// to 6 s, and a change of role takes 6 s.
 const MISSING_GRACE_MS: u64 = 7_000;
-/// How long an engine that leaves still counts: the one that replaces it enters sooner.
+/// Time for which an engine that leaves still counts: its replacement registers sooner.
 const LEAVING_GRACE_MS: u64 = 3_000;
 
-/// The engines that stay. A crashed one's entry lapses only after its next incarnation has entered: while an address
-/// stands twice, neither entry tells what is there.
+/// The engines that are not leaving and have an address of their own. The entry of a crashed engine expires only after its
+/// next incarnation has registered: while two entries share an address, neither is reliable.
 ///
 /// ```
 /// use rillford::{decide::Role, gateway::{EndpointEntry, stable_engines}};
@@ -22,8 +22,8 @@
 ///   role: Some(Role::Decode), seats: 16, service: "llm".into(),
 /// };
 /// let engines = [engine("a", 1), engine("b", 2), engine("b-again", 2)];
-/// let staying: Vec<_> = stable_engines(&engines).map(|engine| &*engine.id).collect();
-/// assert_eq!(staying, ["a"]);
+/// let stable: Vec<_> = stable_engines(&engines).map(|engine| &*engine.id).collect();
+/// assert_eq!(stable, ["a"]);
 /// ```
 pub fn stable_engines(engines: &[EndpointEntry]) -> impl Iterator<Item = &EndpointEntry> {
   let mut entries: HashMap<SocketAddr, u32> = HashMap::new();
@@ -43,7 +43,7 @@
   counts_until_ms: u64,
 }
 
-/// The engines that were seen lately, by address: a restarted one comes back there under another id.
+/// The recently observed engines by address: a restarted one comes back there under another id.
 ///
 /// ```
 /// use rillford::{decide::Role, gateway::{EndpointEntry, RecentEngines}};
@@ -65,8 +65,8 @@
 }
 
 impl RecentEngines {
-  /// Notes the engines that are here at a time. Those that leave count as gone, and so do, for now, those of an address
-  /// that stands twice.
+  /// Records the engines that are listed at a time. Engines that leave count as missing, and so do, for the time being,
+  /// those that share an address.
   pub fn record(&mut self, engines: &[EndpointEntry], now_ms: u64) {
     self.last_recorded_ms = now_ms;
     for engine in stable_engines(engines) {
@@ -87,7 +87,7 @@
       .retain(|_, observation| now_ms < observation.counts_until_ms);
   }
 
-  /// The engines of a service that were not here at the last note, and may come back.
+  /// The engines of a service that were not in the last record and may come back.
   pub fn missing(&self, service: &str) -> Vec<EndpointEntry> {
     self
       .by_address
--- a/src/gateway/decisions/recent_usage.rs
+++ b/src/gateway/decisions/recent_usage.rs
@@ -1,12 +1,12 @@
-//! Units that were used lately. Free of I/O.
+//! An exponentially decaying sum of units. Free of I/O.
 
-/// Time after which a use counts for a third: longer than the pauses between the requests of a small organisation, shorter than
-/// the time in which its callers move to another hall.
+/// Time constant of the decay: longer than the gaps between the requests of a small organisation, shorter than the time in
+/// which its callers move to another hall.
 const DECAY_MS: f64 = 4_000.0;
-/// Age of the sum that [`RecentUsage::before_outage`] tells, at least: a cut is noticed that late.
+/// Minimum age of the sum that [`RecentUsage::before_outage`] returns: an outage is detected this late.
 const DETECTION_DELAY_MS: u64 = 600;
 
-/// A sum of units that fades as they get older.
+/// A sum of units that decays with their age.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RecentUsage {
   units: f64,
@@ -16,7 +16,7 @@
 }
 
 impl RecentUsage {
-  /// Units were used, or given back.
+  /// Adds units, or subtracts refunded ones.
   pub(super) fn record(&mut self, units: f64, now_ms: u64) {
     let sum = self.units(now_ms);
     if now_ms >= self.before[1].1 + DETECTION_DELAY_MS {
@@ -26,7 +26,7 @@
     self.at_ms = now_ms;
   }
 
-  /// The sum as it was before a cut that is noticed now.
+  /// The sum before an outage that is detected now.
   pub(super) fn before_outage(&self, now_ms: u64) -> f64 {
     let outage_ms = now_ms.saturating_sub(DETECTION_DELAY_MS);
     if self.at_ms <= outage_ms {
@@ -40,13 +40,13 @@
     known.map_or(0.0, |(units, _)| *units)
   }
 
-  /// The sum now.
+  /// The current sum.
   pub(super) fn units(&self, now_ms: u64) -> f64 {
     let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
     self.units * (-age_ms / DECAY_MS).exp()
   }
 
-  /// The mean rate of late, in units a second.
+  /// The mean recent rate in units per second.
   pub(super) fn per_s(&self, now_ms: u64) -> f64 {
     self.units(now_ms) * 1_000.0 / DECAY_MS
   }
--- a/src/gateway/decisions/retry_after.rs
+++ b/src/gateway/decisions/retry_after.rs
@@ -1,18 +1,18 @@
-//! When a caller whose request has not run is told to come back, and why then.
+//! Retry-after delays of rejected requests.
 
-/// All endpoints refused: their queues are short, and some place is free soon.
+/// All endpoints rejected the request: their queues are short, and a slot is free soon.
 pub(crate) const RETRY_AFTER_FULL_MS: u64 = 400;
-/// No endpoint is known: the list is a second old at most when the store is there.
+/// No endpoint is known: the list is at most a second old while the store is reachable.
 pub(crate) const RETRY_AFTER_NO_ENDPOINT_MS: u64 = 1_000;
 /// No configuration is in force on this box yet.
 pub(crate) const RETRY_AFTER_NO_CONFIGURATION_MS: u64 = 500;
-/// This box is about to stop; the others serve.
+/// This box is about to stop; other boxes serve.
 pub(crate) const RETRY_AFTER_LEAVING_MS: u64 = 50;
-/// Callers that are refused while all endpoints pause come back over this time from the first pause's end on: those of some tens of
-/// boxes would else come at one moment.
+/// Window over which callers return after the first backoff ends, when all endpoints back off: else the callers of dozens of
+/// boxes would return at once.
 const RETURN_SPREAD_MS: f64 = 500.0;
 
-/// When a caller is told to come back whose request finds all endpoints pausing; `draw` from 0 to 1 spreads callers.
+/// The delay of a request that finds all endpoints backing off; `draw` from 0 to 1 spreads callers.
 ///
 /// ```
 /// use rillford::gateway::retry_after_backoff_ms;
--- a/src/gateway/decisions/role_plan.rs
+++ b/src/gateway/decisions/role_plan.rs
@@ -1,22 +1,21 @@
-//! Which engines of a service have a role that too many have. Free of I/O.
+//! Which engines of a service are to change their role. Free of I/O.
 
 use {
   crate::{decide::Role, gateway::edge::EndpointEntry, ids::Name},
   std::collections::BTreeMap,
 };
 
-/// Engines that are to change their role.
+/// A planned change of roles.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RolePlan {
-  /// The role that they are to take.
+  /// The new role.
   pub role: Role,
-  /// The engines, first those of the hall that has most of them.
+  /// The engines that change, those of the hall with the most candidates first.
   pub engines: Vec<EndpointEntry>,
 }
 
-/// The engines of one service that are to change their role so that about `prefill_share` of them read
-/// prompts. Engines that are `missing` for a short while count in their roles. Each role keeps one engine. The same
-/// engines give the same answer on every box.
+/// Plans role changes of one service's engines so that about `prefill_share` of them are prefill engines. Engines that are
+/// `missing` for a short while count in their roles. Each role keeps at least one engine. The plan is the same on every box.
 ///
 /// ```
 /// use rillford::{decide::Role, gateway::{EndpointEntry, plan_roles}};
@@ -44,20 +43,20 @@
     return None;
   }
   let wanted = ((prefill_share * total as f64).ceil() as usize).clamp(1, total - 1);
-  let reading = count(Role::Prefill);
-  let (from, to) = if reading > wanted {
+  let prefill = count(Role::Prefill);
+  let (from, to) = if prefill > wanted {
     (Role::Prefill, Role::Decode)
   } else {
     (Role::Decode, Role::Prefill)
   };
-  // The last one here keeps its role.
+  // The last listed engine of a role keeps it.
   let spare = with_role(engines, from).count().saturating_sub(1);
-  let turning = reading.abs_diff(wanted).min(spare);
-  if turning == 0 {
+  let changing = prefill.abs_diff(wanted).min(spare);
+  if changing == 0 {
     return None;
   }
   Some(RolePlan {
-    engines: from_fullest_halls(with_role(engines, from), turning)?,
+    engines: from_fullest_halls(with_role(engines, from), changing)?,
     role: to,
   })
 }
@@ -72,7 +71,7 @@
     .filter(move |engine| engine.role == Some(role))
 }
 
-/// So many engines, each from the hall that has most of them left; nothing when there are not so many.
+/// Takes `count` engines, each from the hall with the most remaining ones; `None` when there are too few.
 fn from_fullest_halls<'a>(
   engines: impl Iterator<Item = &'a EndpointEntry>,
   count: usize,
--- a/src/gateway/decisions/slot_queue.rs
+++ b/src/gateway/decisions/slot_queue.rs
@@ -1,36 +1,36 @@
-//! The order in which a box's requests look for a seat. Free of I/O.
+//! The queue of a box's requests that wait for a batch slot. Free of I/O.
 
 use std::collections::BTreeSet;
 
-/// How a request stands in the queue; the first of these goes first.
+/// The urgency of a request, the most urgent first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum SlotUrgency {
-  /// Its caller has a part of the answer.
+  /// The caller has received part of the response.
   Resumed,
-  /// Its caller has nothing yet.
+  /// The caller has received nothing.
   New,
 }
 
-/// A request's place in the queue.
+/// A request's position in the queue.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct QueuePosition {
   urgency: SlotUrgency,
   /// 0 goes first.
   priority: u8,
-  /// Places are numbered as they are taken.
+  /// Positions are numbered in the order of arrival.
   number: u64,
 }
 
-/// The requests of a box that look for a seat.
+/// The requests of a box that wait for a slot.
 ///
 /// ```
 /// use rillford::gateway::{SlotQueue, SlotUrgency};
 /// let mut queue = SlotQueue::default();
 /// let older = queue.join(SlotUrgency::New, 1);
 /// let newer = queue.join(SlotUrgency::New, 1);
-/// let going_on = queue.join(SlotUrgency::Resumed, 2);
-/// assert!(queue.is_first(going_on));
-/// queue.leave(going_on);
+/// let resumed = queue.join(SlotUrgency::Resumed, 2);
+/// assert!(queue.is_first(resumed));
+/// queue.leave(resumed);
 /// assert!(queue.is_first(older) && !queue.is_first(newer));
 /// assert_eq!(queue.len(), 2);
 /// let more_urgent = queue.join(SlotUrgency::New, 0);
@@ -38,40 +38,40 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SlotQueue {
-  places: BTreeSet<QueuePosition>,
+  positions: BTreeSet<QueuePosition>,
   joined: u64,
 }
 
 impl SlotQueue {
-  /// A request joins.
+  /// Adds a request.
   pub fn join(&mut self, urgency: SlotUrgency, priority: u8) -> QueuePosition {
     self.joined += 1;
-    let place = QueuePosition {
+    let position = QueuePosition {
       number: self.joined,
       priority,
       urgency,
     };
-    self.places.insert(place);
-    place
+    self.positions.insert(position);
+    position
   }
 
-  /// A request has its seat, or no longer wants one.
-  pub fn leave(&mut self, place: QueuePosition) {
-    self.places.remove(&place);
+  /// Removes a request that has its slot, or no longer needs one.
+  pub fn leave(&mut self, position: QueuePosition) {
+    self.positions.remove(&position);
   }
 
-  /// How many requests look for a seat.
+  /// The number of waiting requests.
   pub fn len(&self) -> usize {
-    self.places.len()
+    self.positions.len()
   }
 
-  /// Whether no request looks for a seat.
+  /// Whether no request is waiting.
   pub fn is_empty(&self) -> bool {
-    self.places.is_empty()
+    self.positions.is_empty()
   }
 
   /// Whether no other request goes first.
-  pub fn is_first(&self, place: QueuePosition) -> bool {
-    self.places.first() == Some(&place)
+  pub fn is_first(&self, position: QueuePosition) -> bool {
+    self.positions.first() == Some(&position)
   }
 }
--- a/src/gateway/decisions/store_retry_delay.rs
+++ b/src/gateway/decisions/store_retry_delay.rs
@@ -1,17 +1,17 @@
-//! How long a box waits before it asks the store again after a call that failed.
+//! The delay before a box retries a store call that failed.
 
-/// Mean pause of a box among few.
-const PAUSE_MS: f64 = 250.0;
-/// With more boxes than this, each pauses longer: all their calls together are priced.
-const BOXES: f64 = 16.0;
-/// Bounds on the random factor that keeps boxes from asking at once.
-const SPREAD: (f64, f64) = (0.5, 1.5);
-/// Part of the time of contact that a pause may take at the most: a box counts as connected that long after the
-/// store is back, and has to have listed and heard all by then.
-const CONTACT_SHARE: f64 = 0.5;
+/// Mean delay in a small deployment.
+const MEAN_DELAY_MS: f64 = 250.0;
+/// Number of boxes beyond which the delay grows: each store call is billed.
+const SMALL_DEPLOYMENT_BOXES: f64 = 16.0;
+/// Bounds of the random factor that keeps boxes from retrying at once.
+const JITTER: (f64, f64) = (0.5, 1.5);
+/// Longest delay as a share of the contact time: a box counts as connected that long after the store has recovered, and has
+/// to have listed everything by then.
+const MAX_CONTACT_SHARE: f64 = 0.5;
 
-/// The pause of one of so many boxes; `draw` from 0 to 1 spreads them. `contact_ms` is the time without trouble
-/// after which a box counts as connected (the users' setting).
+/// The delay of one of `boxes` boxes; `draw` from 0 to 1 spreads them. `contact_ms` is the time without failures after which
+/// a box counts as connected.
 ///
 /// ```
 /// use rillford::gateway::store_retry_delay_ms;
@@ -20,9 +20,9 @@
 /// assert_eq!(store_retry_delay_ms(390, 3_000, 1.0), 1_500);
 /// ```
 pub fn store_retry_delay_ms(boxes: usize, contact_ms: u64, draw: f64) -> u64 {
-  let (least, most) = SPREAD;
-  let longest_mean_ms = contact_ms as f64 * CONTACT_SHARE / most;
-  let wanted_mean_ms = PAUSE_MS * (boxes as f64 / BOXES).max(1.0);
-  let mean_ms = wanted_mean_ms.min(longest_mean_ms);
-  (mean_ms * (least + draw * (most - least))) as u64
+  let (min, max) = JITTER;
+  let max_mean_ms = contact_ms as f64 * MAX_CONTACT_SHARE / max;
+  let wanted_mean_ms = MEAN_DELAY_MS * (boxes as f64 / SMALL_DEPLOYMENT_BOXES).max(1.0);
+  let mean_ms = wanted_mean_ms.min(max_mean_ms);
+  (mean_ms * (min + draw * (max - min))) as u64
 }
--- a/src/gateway/decisions/token_bucket.rs
+++ b/src/gateway/decisions/token_bucket.rs
@@ -1,12 +1,12 @@
-//! A bucket of units that is refilled at a rate. Free of I/O.
+//! A token bucket that may be in debt. Free of I/O.
 
 use crate::gateway::edge::UseLimit;
 
-/// The deepest debt, as a time at the limit's rate. More is not paid back: a count that is wrong, or told by a box that lies,
-/// refuses an organisation for this long at the most.
+/// Largest debt, as time at the limit's rate: a wrong count, or one reported by a faulty box, blocks an organisation for at
+/// most this long.
 const MAX_DEBT_S: f64 = 1.0;
 
-/// What is left of a limit. It may be in debt: units that others report late have been used all the same.
+/// The remaining units of a limit; in debt when others report late what they have already used.
 ///
 /// ```
 /// use rillford::gateway::{TokenBucket, UseLimit};
@@ -27,7 +27,7 @@
 }
 
 impl TokenBucket {
-  /// A bucket that nothing was taken from.
+  /// A full bucket.
   pub fn full(limit: UseLimit, now_ms: u64) -> Self {
     Self {
       at_ms: now_ms,
@@ -35,7 +35,7 @@
     }
   }
 
-  /// A bucket without anything in it.
+  /// An empty bucket.
   pub fn empty(now_ms: u64) -> Self {
     Self {
       at_ms: now_ms,
@@ -43,7 +43,7 @@
     }
   }
 
-  /// Units that are left now.
+  /// The current level.
   pub fn level(&mut self, limit: UseLimit, now_ms: u64) -> f64 {
     let passed_ms = now_ms.saturating_sub(self.at_ms);
     self.at_ms = self.at_ms.max(now_ms);
@@ -52,19 +52,19 @@
     self.level
   }
 
-  /// Takes units, or gives them back when there are less than none.
+  /// Takes units, or returns them when negative.
   pub fn charge(&mut self, limit: UseLimit, units: f64) {
     let deepest = -limit.rate_per_s * MAX_DEBT_S;
     self.level = (self.level - units).max(deepest).min(limit.burst);
   }
 
-  /// Time until so many units are there, if nothing is taken.
+  /// Time until the bucket holds this many units, if nothing is taken.
   pub fn wait_ms(&mut self, limit: UseLimit, units: f64, now_ms: u64) -> u64 {
     let missing = units.min(limit.burst) - self.level(limit, now_ms);
     (missing.max(0.0) / limit.rate_per_s * 1_000.0).ceil() as u64
   }
 
-  /// The limit has changed: what the bucket holds more, or less, is there at once.
+  /// Applies a changed limit: additional or reduced capacity is effective at once.
   pub fn change(&mut self, from: UseLimit, to: UseLimit, now_ms: u64) {
     let level = self.level(from, now_ms);
     self.level = (level + (to.burst - from.burst).max(0.0)).min(to.burst);
--- a/src/gateway/decisions/unavailable.rs
+++ b/src/gateway/decisions/unavailable.rs
@@ -1,39 +1,41 @@
-//! Why an endpoint is sent nothing now.
+//! Why an endpoint gets no requests.
 
-/// Why an endpoint is sent nothing now, and by whose word.
+/// Why an endpoint gets no requests, and since when.
 ///
 /// ```
 /// use rillford::gateway::Unavailable;
-/// let pausing = Unavailable::BackingOff { requested_ago_ms: 200, remaining_ms: 2_800 };
-/// assert_eq!(pausing.to_string(), "it wants no work for 2800 ms more, as it said 200 ms ago");
+/// let backing_off = Unavailable::BackingOff { requested_ago_ms: 200, remaining_ms: 2_800 };
+/// assert_eq!(backing_off.to_string(), "endpoint backs off for another 2800 ms, as requested 200 ms ago");
 /// ```
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Unavailable {
-  /// The store lists it no more.
-  #[error("its entry has gone")]
+  /// The incarnation is no longer listed in the store.
+  #[error("endpoint is no longer listed")]
   Unlisted,
-  /// Operators drain its hall.
-  #[error("its hall is drained")]
+  /// Its hall is drained.
+  #[error("data hall is drained")]
   HallDrained,
-  /// It leaves, by the store's list.
-  #[error("it leaves, as the store lists it")]
+  /// It leaves, as listed in the store.
+  #[error("endpoint is listed as leaving")]
   ListedAsLeaving,
-  /// It leaves, by its own word.
-  #[error("it leaves, as it said {signalled_ago_ms} ms ago")]
+  /// It leaves, as signalled by itself.
+  #[error("endpoint signalled {signalled_ago_ms} ms ago that it leaves")]
   Leaving {
-    /// How long ago it last said so.
+    /// Time since it last signalled that.
     signalled_ago_ms: u64,
   },
-  /// It wants no work for now.
-  #[error("it wants no work for {remaining_ms} ms more, as it said {requested_ago_ms} ms ago")]
+  /// It asked for a backoff.
+  #[error(
+    "endpoint backs off for another {remaining_ms} ms, as requested {requested_ago_ms} ms ago"
+  )]
   BackingOff {
-    /// How long ago it said so.
+    /// Time since it asked.
     requested_ago_ms: u64,
     /// How long that holds.
     remaining_ms: u64,
   },
-  /// It takes so many requests a second of all boxes together, and these are there.
-  #[error("there is no permit within its limit for {remaining_ms} ms more")]
+  /// No permit is available within its limit over all boxes.
+  #[error("no permit within the endpoint's limit for another {remaining_ms} ms")]
   NoPermit {
     /// How long that holds.
     remaining_ms: u64,
--- a/src/gateway/decisions/usage_table.rs
+++ b/src/gateway/decisions/usage_table.rs
@@ -1,10 +1,11 @@
-//! What organisations have used of their limits, counted over all boxes by the few that count. Free of I/O.
+//! Organisations' usage of their limits, accounted over all boxes by a few coordinators. Free of I/O.
 //!
-//! Load pattern: an organisation sends several times its usual within milliseconds and over every box, while halls are
-//! cut off from each other. Each counting box charges what it and its reporters admit at once, and what the other counting
-//! boxes admit as soon as they say so. Use in any window stays within rate x window + burst + the debt at its end, and the
-//! debt is at most what is admitted elsewhere while a message is on its way. A counting box that is silent is taken to go on
-//! using its former part of the rate: both sides of a cut do so, which leaves each its own part and keeps the sum.
+//! Load pattern: an organisation sends several times its usual rate within milliseconds at every box, while halls are cut
+//! off from each other. Each coordinator charges at once what it and its reporters admit, and what the other coordinators
+//! admit as soon as they report it. Usage in any window stays within rate x window + burst + the debt at its end, and the
+//! debt is at most what is admitted elsewhere while a message is in flight. A coordinator that is silent is assumed to use
+//! its former share of the rate: both sides of a network cut do so, which leaves each its own share and keeps the sum within
+//! the limit.
 
 use {
   super::{
@@ -16,37 +17,37 @@
   std::collections::HashMap,
 };
 
-/// Weight that a counting box has without any use, as a time at the limit's rate: a cut that comes before the first use
-/// leaves each box a part.
+/// Minimum weight of a coordinator, as time at the limit's rate: a network cut before the first usage leaves each
+/// coordinator a share.
 const MIN_WEIGHT_S: f64 = 0.02;
-/// Part of the burst below which an organisation is short: its requests are counted before they are admitted.
+/// Share of the burst below which an organisation is near its limit: its requests are charged before they are admitted.
 const NEAR_LIMIT_SHARE: f64 = 0.5;
 
-/// Part of the burst by which a total has changed when the others are told at once: with 18 boxes that count they know all but
-/// a sixth of a burst, as a rule.
+/// Share of the burst by which a total has to change to be reported at once: small enough that 18 coordinators together know
+/// all but a sixth of a burst.
 const REPORTED_CHANGE_SHARE: f64 = 0.01;
 
-/// Which totals are told.
+/// Which totals are reported.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReportScope {
-  /// All, so that what was lost on the way is made up for.
+  /// All, to make up for lost messages.
   All,
-  /// Those that have changed.
+  /// Only those that have changed.
   Changed,
 }
 
-/// What a counting box tells the others.
+/// A coordinator's report to the others.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UsageTotals {
-  /// The box.
+  /// The coordinator.
   pub box_name: Name,
-  /// Tells its starts apart.
+  /// Distinguishes its restarts.
   pub incarnation: u64,
-  /// How long ago it started.
+  /// Time since it started.
   pub uptime_ms: u64,
   /// Boxes that report to it.
   pub reporters: usize,
-  /// Units that it has counted since then, by organisation; some may be left out.
+  /// Units that it has charged since it started, by organisation; some may be left out.
   pub totals: Vec<(Name, i64)>,
 }
 
@@ -55,43 +56,43 @@
 struct Account {
   limit: UseLimit,
   bucket: TokenBucket,
-  /// Units that this box has counted since it started.
+  /// Units that this box has charged since it started.
   total: i64,
-  /// The total as it was last told.
+  /// The total in the last report.
   reported: i64,
   recent: RecentUsage,
-  /// Up to when a part was kept back for boxes that are alone.
+  /// Time up to which the share of isolated boxes was withheld.
   withheld_until_ms: u64,
 }
 
-/// The accounts of a counting box.
+/// The accounts of a coordinator.
 ///
 /// ```
 /// use rillford::gateway::{UsageTable, UseLimit, UsageVerdict};
-/// let mut book = UsageTable::default();
+/// let mut table = UsageTable::default();
 /// let limit = UseLimit { burst: 100.0, rate_per_s: 10.0 };
 /// let lectures = "lectures".into();
-/// book.set_limits([("lectures".into(), limit)], 0);
-/// assert_eq!(book.admit(&lectures, 80, 0), UsageVerdict::WithinLimit);
-/// let refused = book.admit(&lectures, 40, 0);
-/// assert_eq!(refused, UsageVerdict::OverLimit { left: 20.0, wait_ms: 2_000 });
-/// assert_eq!(book.admit(&lectures, 40, 2_000), UsageVerdict::WithinLimit);
-/// // Who has no limit is always within it.
-/// assert_eq!(book.admit(&"captions".into(), 1_000_000, 0), UsageVerdict::WithinLimit);
+/// table.set_limits([("lectures".into(), limit)], 0);
+/// assert_eq!(table.admit(&lectures, 80, 0), UsageVerdict::WithinLimit);
+/// let rejected = table.admit(&lectures, 40, 0);
+/// assert_eq!(rejected, UsageVerdict::OverLimit { remaining: 20.0, wait_ms: 2_000 });
+/// assert_eq!(table.admit(&lectures, 40, 2_000), UsageVerdict::WithinLimit);
+/// // Organisations without a limit are always within it.
+/// assert_eq!(table.admit(&"captions".into(), 1_000_000, 0), UsageVerdict::WithinLimit);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct UsageTable {
   accounts: HashMap<Name, Account>,
-  /// Totals of organisations that have no limit any more.
+  /// Totals of organisations that no longer have a limit.
   former_totals: HashMap<Name, i64>,
   peers: HashMap<Name, Peer>,
   reporters: ReporterList,
-  /// Part of all boxes that reports to nobody who counts.
+  /// Share of boxes that report to no coordinator.
   isolated_share: f64,
 }
 
 impl UsageTable {
-  /// Puts limits in force. Of organisations that have none any more the totals are kept, since others go by their growth.
+  /// Applies limits. Totals of organisations that no longer have one are kept, since other coordinators charge their growth.
   pub fn set_limits(&mut self, limits: impl IntoIterator<Item = (Name, UseLimit)>, now_ms: u64) {
     let mut accounts = HashMap::new();
     for (name, limit) in limits {
@@ -101,87 +102,89 @@
       };
       accounts.insert(name, account);
     }
-    let gone = std::mem::replace(&mut self.accounts, accounts);
-    let totals = gone
+    let removed = std::mem::replace(&mut self.accounts, accounts);
+    let totals = removed
       .into_iter()
       .map(|(name, account)| (name, account.total));
     self.former_totals.extend(totals);
   }
 
-  /// Whether no organisation is limited.
+  /// Whether no organisation has a limit.
   pub fn is_empty(&self) -> bool {
     self.accounts.is_empty()
   }
 
-  /// An organisation's limit; nothing when it has none.
+  /// An organisation's limit, if any.
   pub fn limit(&self, organisation: &str) -> Option<UseLimit> {
     self.accounts.get(organisation).map(|account| account.limit)
   }
 
-  /// Counts a request if it is within its organisation's limit.
+  /// Charges a request if it is within its organisation's limit.
   pub fn admit(&mut self, organisation: &Name, units: u64, now_ms: u64) -> UsageVerdict {
     self.charge_unreachable(organisation, now_ms);
     let Some(account) = self.accounts.get_mut(organisation) else {
       return UsageVerdict::WithinLimit;
     };
-    let left = account.bucket.level(account.limit, now_ms);
+    let remaining = account.bucket.level(account.limit, now_ms);
     // A request larger than the bucket is admitted when the bucket is full.
     let wanted = (units as f64).min(account.limit.burst);
-    if left < wanted {
+    if remaining < wanted {
       let wait_ms = account.bucket.wait_ms(account.limit, wanted, now_ms);
-      return UsageVerdict::OverLimit { left, wait_ms };
+      return UsageVerdict::OverLimit { remaining, wait_ms };
     }
-    account.count(units as i64, now_ms);
+    account.charge(units as i64, now_ms);
     UsageVerdict::WithinLimit
   }
 
-  /// Counts what a follower has admitted, or given back.
-  pub fn count(&mut self, organisation: &str, units: i64, now_ms: u64) {
+  /// Charges units that a reporter has admitted, or refunds them when negative.
+  pub fn charge(&mut self, organisation: &str, units: i64, now_ms: u64) {
     if let Some(account) = self.accounts.get_mut(organisation) {
       account.bucket.level(account.limit, now_ms);
-      account.count(units, now_ms);
+      account.charge(units, now_ms);
     }
   }
 
-  /// The organisations that are short, each with the units that are left.
+  /// The organisations near their limits, with their remaining units.
   pub fn near_limit(&mut self, now_ms: u64) -> Vec<(Name, f64)> {
     let balances = self.balances(now_ms);
     let short = balances
       .into_iter()
-      .filter(|(_, left, limit)| *left < limit.burst * NEAR_LIMIT_SHARE);
-    short.map(|(name, left, _)| (name, left)).collect()
+      .filter(|(_, remaining, limit)| *remaining < limit.burst * NEAR_LIMIT_SHARE);
+    short
+      .map(|(name, remaining, _)| (name, remaining))
+      .collect()
   }
 
-  /// Units that are left of an organisation's limit; nothing when it has none.
+  /// Remaining units of an organisation and its limit, if it has one.
   pub fn remaining(&mut self, organisation: &str, now_ms: u64) -> Option<(f64, UseLimit)> {
     let account = self.accounts.get_mut(organisation)?;
-    let left = account.bucket.level(account.limit, now_ms);
-    Some((left, account.limit))
+    let remaining = account.bucket.level(account.limit, now_ms);
+    Some((remaining, account.limit))
   }
 
-  /// All organisations that are limited, each with the units that are left.
+  /// All organisations with a limit, each with its remaining units and limit.
   pub fn balances(&mut self, now_ms: u64) -> Vec<(Name, f64, UseLimit)> {
     let names: Vec<Name> = self.accounts.keys().cloned().collect();
     let mut balances = Vec::new();
     for name in names {
       self.charge_unreachable(&name, now_ms);
-      if let Some((left, limit)) = self.remaining(&name, now_ms) {
-        balances.push((name, left, limit));
+      if let Some((remaining, limit)) = self.remaining(&name, now_ms) {
+        balances.push((name, remaining, limit));
       }
     }
     balances
   }
 
-  /// What this box has counted since it started, by organisation: all of it, or what has changed enough to matter to others.
-  pub fn totals_to_report(&mut self, span: ReportScope) -> Vec<(Name, i64)> {
+  /// The totals to report: all, or those that have changed enough to matter to other coordinators.
+  pub fn totals_to_report(&mut self, scope: ReportScope) -> Vec<(Name, i64)> {
     let mut totals = Vec::new();
     for (name, account) in &mut self.accounts {
       let unreported = (account.total - account.reported).abs() as f64;
-      let is_due = match span {
+      let is_reported = match scope {
         ReportScope::All => account.total != 0,
         ReportScope::Changed => unreported > account.limit.burst * REPORTED_CHANGE_SHARE,
       };
-      if is_due {
+      if is_reported {
         account.reported = account.total;
         totals.push((name.clone(), account.total));
       }
@@ -189,14 +192,14 @@
     totals
   }
 
-  /// Charges what another counting box has counted since it was last heard.
+  /// Charges what another coordinator has charged since its last report.
   pub fn merge_totals(&mut self, from: &UsageTotals, own_uptime_ms: u64, now_ms: u64) {
     let is_new = match self.peers.get(&from.box_name) {
       Some(peer) => peer.incarnation != from.incarnation,
       None => true,
     };
     if is_new {
-      // What an older box counted before this one started is not charged: it is not known when that was.
+      // What an older box charged before this one started is ignored: the time of that usage is unknown.
       let counts_from_start = from.uptime_ms <= own_uptime_ms;
       let peer = Peer::new(from.incarnation, counts_from_start);
       self.peers.insert(from.box_name.clone(), peer);
@@ -215,33 +218,33 @@
     }
   }
 
-  /// A box has reported.
+  /// Records a report of a box.
   pub fn record_reporter(&mut self, name: &Name, now_ms: u64) {
     self.reporters.record(name, now_ms);
   }
 
-  /// How many boxes report to this one.
+  /// The number of boxes that report to this one.
   pub fn reporter_count(&mut self, now_ms: u64) -> usize {
     self.reporters.count(now_ms)
   }
 
-  /// Works out how many of all boxes report to nobody who counts: those go on by themselves, and a part of each limit is kept
-  /// back for them.
+  /// Computes the share of boxes that report to no coordinator: they admit requests in isolation, and their share of each
+  /// limit is withheld.
   pub fn set_box_count(&mut self, boxes: usize, now_ms: u64) {
-    let counting = self.peers.values().filter(|peer| peer.is_coordinator);
-    let of_peers: usize = counting.map(|peer| peer.reporters + 1).sum();
-    let heard = of_peers + self.reporters.count(now_ms) + 1;
-    self.isolated_share = boxes.saturating_sub(heard) as f64 / boxes.max(1) as f64;
+    let coordinators = self.peers.values().filter(|peer| peer.is_coordinator);
+    let of_peers: usize = coordinators.map(|peer| peer.reporters + 1).sum();
+    let in_contact = of_peers + self.reporters.count(now_ms) + 1;
+    self.isolated_share = boxes.saturating_sub(in_contact) as f64 / boxes.max(1) as f64;
   }
 
-  /// Says which boxes count now. What the others told is kept for when they are back: their totals go on.
+  /// Sets the coordinators. Totals of former coordinators are kept: they continue when the boxes become coordinators again.
   pub fn set_coordinators(&mut self, is_coordinator: impl Fn(&str) -> bool) {
     for (name, peer) in &mut self.peers {
       peer.is_coordinator = is_coordinator(name);
     }
   }
 
-  /// Takes boxes that are not heard to go on using their parts of the rate.
+  /// Charges the assumed usage of unreachable coordinators: their shares of the rate.
   fn charge_unreachable(&mut self, organisation: &Name, now_ms: u64) {
     let Some(account) = self.accounts.get_mut(organisation) else {
       return;
@@ -250,15 +253,15 @@
     if !self.peers.values().any(|peer| peer.is_unreachable(now_ms)) {
       return;
     }
-    let least = account.limit.rate_per_s * MIN_WEIGHT_S;
-    let weight = |peer: &Peer| peer.recent(organisation, now_ms) + least;
-    let own = account.recent.before_outage(now_ms) + least;
-    let counting = self.peers.values().filter(|peer| peer.is_coordinator);
-    let all = own + counting.map(weight).sum::<f64>();
+    let min_weight = account.limit.rate_per_s * MIN_WEIGHT_S;
+    let weight = |peer: &Peer| peer.recent(organisation, now_ms) + min_weight;
+    let own = account.recent.before_outage(now_ms) + min_weight;
+    let coordinators = self.peers.values().filter(|peer| peer.is_coordinator);
+    let total = own + coordinators.map(weight).sum::<f64>();
     account.bucket.level(account.limit, now_ms);
     for peer in self.peers.values_mut() {
       if peer.is_unreachable(now_ms) {
-        let share = weight(peer) / all;
+        let share = weight(peer) / total;
         let units = peer.assume(organisation, share, account.limit.rate_per_s, now_ms);
         account.bucket.charge(account.limit, units);
       }
@@ -287,7 +290,7 @@
     self
   }
 
-  /// Keeps back what boxes that are alone may use.
+  /// Charges the share of isolated boxes.
   fn withhold(&mut self, share: f64, now_ms: u64) {
     let passed_s = now_ms.saturating_sub(self.withheld_until_ms) as f64 / 1_000.0;
     self.withheld_until_ms = now_ms;
@@ -298,7 +301,7 @@
     }
   }
 
-  fn count(&mut self, units: i64, now_ms: u64) {
+  fn charge(&mut self, units: i64, now_ms: u64) {
     self.bucket.charge(self.limit, units as f64);
     self.total += units;
     self.recent.record(units as f64, now_ms);
--- a/src/gateway/decisions/usage_verdict.rs
+++ b/src/gateway/decisions/usage_verdict.rs
@@ -1,17 +1,17 @@
-//! What is said of a request at its organisation's limit.
+//! The verdict on a request at its organisation's limit.
 
 use serde::{Deserialize, Serialize};
 
 /// Whether a request is within the limit.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub enum UsageVerdict {
-  /// It is, and was counted.
+  /// It is, and was charged.
   WithinLimit,
-  /// It is not, and nothing was counted.
+  /// It is not, and nothing was charged.
   OverLimit {
-    /// Units that were left; below 0 when more was used than the limit allows.
-    left: f64,
-    /// Time until there is room for it, if nobody else asks.
+    /// Remaining units; negative when usage exceeds the limit.
+    remaining: f64,
+    /// Time until the request fits, if nobody else uses units.
     wait_ms: u64,
   },
 }
--- a/src/gateway/limits/admission.rs
+++ b/src/gateway/limits/admission.rs
@@ -59,7 +59,7 @@
       CountedBy::Nobody => {}
       CountedBy::Book => {
         let mut book = self.gateway.use_book.borrow_mut();
-        book.count(&self.organisation, units, now_ms);
+        book.charge(&self.organisation, units, now_ms);
       }
       CountedBy::Ledger => {
         let mut ledger = self.gateway.use_ledger.borrow_mut();
@@ -96,7 +96,10 @@
   };
   match verdict {
     UsageVerdict::WithinLimit => Ok(charge(counted_by)),
-    UsageVerdict::OverLimit { left, wait_ms } => {
+    UsageVerdict::OverLimit {
+      remaining: left,
+      wait_ms,
+    } => {
       gateway.counters.beyond_limit.inc();
       log_beyond(gateway, facts, name, units, left);
       // Those who are refused together don't come back together.
@@ -150,7 +153,10 @@
         ledger.record_near_limit(answer.short, now_ms);
         match answer.verdict {
           Some(UsageVerdict::WithinLimit) => ledger.record_admitted(name, units, now_ms),
-          Some(UsageVerdict::OverLimit { left, wait_ms }) => {
+          Some(UsageVerdict::OverLimit {
+            remaining: left,
+            wait_ms,
+          }) => {
             ledger.record_rejected(name, left, wait_ms, now_ms);
           }
           None => {}
--- a/src/gateway/limits/messages.rs
+++ b/src/gateway/limits/messages.rs
@@ -80,7 +80,7 @@
   let mut book = gateway.use_book.borrow_mut();
   book.record_reporter(&report.box_name, now_ms);
   for (organisation, units) in &report.used {
-    book.count(organisation, *units, now_ms);
+    book.charge(organisation, *units, now_ms);
   }
   let verdict = report
     .asks
--- a/src/gateway/parts/request.rs
+++ b/src/gateway/parts/request.rs
@@ -107,7 +107,7 @@
 
   /// What reading its prompt apart shares with that of its repeats.
   pub(crate) fn reading_fingerprint(&self) -> Fingerprint {
-    self.fingerprint().of_reading()
+    self.fingerprint().of_prefill()
   }
 
   /// Its id, for logs.
--- a/src/gateway/permits/messages.rs
+++ b/src/gateway/permits/messages.rs
@@ -135,7 +135,7 @@
   );
   match verdict {
     PermitVerdict::Granted(permits) => gateway.counters.permits_granted.add(permits.into()),
-    PermitVerdict::Refused { .. } => gateway.counters.permits_refused.inc(),
+    PermitVerdict::Rejected { .. } => gateway.counters.permits_refused.inc(),
   }
   verdict
 }
--- a/src/gateway/permits/taking.rs
+++ b/src/gateway/permits/taking.rs
@@ -86,7 +86,7 @@
       gateway.counters.permits_taken.inc();
       return Ok(Permit::Taken);
     }
-    LocalPermitVerdict::Refused { wait_ms } => return Err(no_permit(gateway, wait_ms)),
+    LocalPermitVerdict::Rejected { wait_ms } => return Err(no_permit(gateway, wait_ms)),
     LocalPermitVerdict::Ask { permits, unused } => PermitRequest {
       box_name: gateway.settings.identity.name.clone(),
       permits,
@@ -111,7 +111,7 @@
       gateway.counters.permits_taken.inc();
       Ok(Permit::Taken)
     }
-    PermitVerdict::Refused { wait_ms } => Err(no_permit(gateway, wait_ms)),
+    PermitVerdict::Rejected { wait_ms } => Err(no_permit(gateway, wait_ms)),
   }
 }
 
@@ -228,7 +228,7 @@
   let own_name = &gateway.settings.identity.name;
   let goes_on = order.iter().skip(1).any(|(name, _)| name == own_name) || order.is_empty();
   let Some(per_s) = heard.per_s.filter(|_| goes_on) else {
-    return PermitVerdict::Refused {
+    return PermitVerdict::Rejected {
       wait_ms: NOT_ALONE_WAIT_MS,
     };
   };
@@ -273,7 +273,7 @@
         "E544 permit: {request} (priority {priority}) at {id}, {permits} permits, {limit}"
       );
     }
-    PermitVerdict::Refused { wait_ms } => {
+    PermitVerdict::Rejected { wait_ms } => {
       log::info!(
         "E543 no permit: {request} (priority {priority}) at {id} for {wait_ms} ms, {limit}"
       );
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -366,11 +366,11 @@
       known,
       leaving,
       limited,
-      pausing,
+      backing_off,
     } = self.book.borrow().count(None, self.now_ms());
     let unknown = self.unknown_names.borrow().count();
     let mut text = format!(
-      "rillford_endpoints {known}\nrillford_endpoints_leaving {leaving}\nrillford_endpoints_pausing {pausing}\n\
+      "rillford_endpoints {known}\nrillford_endpoints_leaving {leaving}\nrillford_endpoints_pausing {backing_off}\n\
        rillford_endpoints_limited {limited}\nrillford_endpoints_drained {drained}\n\
        rillford_unknown_answer_names {unknown}\nrillford_boxes {}\n",
       self.boxes.borrow().len()
--- a/tests/gateway/cold_endpoints.rs
+++ b/tests/gateway/cold_endpoints.rs
@@ -288,7 +288,7 @@
     let local = here.limits.permits().acquire(&entry.id, now_ms);
     let granted = match local {
       LocalPermitVerdict::Granted => true,
-      LocalPermitVerdict::Refused { .. } => false,
+      LocalPermitVerdict::Rejected { .. } => false,
       LocalPermitVerdict::Ask { permits, unused } => {
         questions += 1;
         let wish = PermitRequest {
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -154,7 +154,7 @@
   let mut told = 0;
   for at_ms in [0, 500, 1_000] {
     told += 40;
-    book.count("a", 40, at_ms);
+    book.charge("a", 40, at_ms);
     book.merge_totals(&totals("north-0", 1, at_ms, told), at_ms, at_ms);
   }
   let at_cut = left(&mut book, 1_000);
@@ -190,7 +190,7 @@
 #[test]
 fn organisation_that_loses_its_limit_and_gets_it_back_goes_on_from_its_total() {
   let mut counting = book(0);
-  counting.count("a", 80, 0);
+  counting.charge("a", 80, 0);
   counting.set_limits([], 0);
   counting.set_limits([("a".into(), limit())], 0);
   assert_eq!(
--- a/tests/gateway/notice_book.rs
+++ b/tests/gateway/notice_book.rs
@@ -125,7 +125,7 @@
     known: 1,
     leaving: 1,
     limited: 0,
-    pausing: 0,
+    backing_off: 0,
   };
   assert_eq!(book.count(Some("portal"), 2_600), counts);
 }
--- a/tests/gateway/places.rs
+++ b/tests/gateway/places.rs
@@ -123,7 +123,7 @@
   let mut account = PermitAccount::new(limit, 0);
   assert!(matches!(
     account.request(&wish("a", 1), 0),
-    PermitVerdict::Refused { .. }
+    PermitVerdict::Rejected { .. }
   ));
   let mut granted = 0;
   for _ in 0..20 {
@@ -140,13 +140,13 @@
   let mut waits = Vec::new();
   for number in 0..4 {
     match account.request(&wish(&format!("box-{number}"), 1), 0) {
-      PermitVerdict::Refused { wait_ms } => waits.push(wait_ms),
+      PermitVerdict::Rejected { wait_ms } => waits.push(wait_ms),
       PermitVerdict::Granted(_) => panic!("a place from nowhere"),
     }
   }
   assert!(waits.is_sorted_by(|one, other| one < other), "{waits:?}");
   let again = account.request(&wish("box-0", 1), 0);
-  assert_eq!(again, PermitVerdict::Refused { wait_ms: waits[0] });
+  assert_eq!(again, PermitVerdict::Rejected { wait_ms: waits[0] });
 }
 
 #[test]
@@ -162,7 +162,7 @@
   );
   assert!(matches!(
     account.request(&wish("a", 5), 60_002),
-    PermitVerdict::Refused { .. }
+    PermitVerdict::Rejected { .. }
   ));
   assert_eq!(
     account.request(&wish("b", 0), 60_003),
@@ -195,7 +195,7 @@
   }
   assert!(matches!(
     account.request(&wish("a", 1), 10_000),
-    PermitVerdict::Refused { .. }
+    PermitVerdict::Rejected { .. }
   ));
 }
 
@@ -313,7 +313,7 @@
   };
   book.record_limit(&one, NamedLimit::PerS(2.0), 1_000, 1_000);
   assert_eq!(chosen(&book, 1_000), Some("a".into()));
-  let refused = PermitVerdict::Refused { wait_ms: 400 };
+  let refused = PermitVerdict::Rejected { wait_ms: 400 };
   book
     .limits_mut()
     .permits()
@@ -321,7 +321,7 @@
   assert_eq!(chosen(&book, 1_100), Some("b".into()));
   assert_eq!(book.available_in_ms("portal", 1_100), None);
   book.record_limit(&other, NamedLimit::PerS(2.0), 1_000, 1_000);
-  let refused = PermitVerdict::Refused { wait_ms: 900 };
+  let refused = PermitVerdict::Rejected { wait_ms: 900 };
   book
     .limits_mut()
     .permits()
