--- a/emulator/src/limits/replay.rs
+++ b/emulator/src/limits/replay.rs
@@ -13,8 +13,8 @@
   rand_chacha::ChaCha8Rng,
   rillford::{
     gateway::{
-      BoxList, LimitSettings, LimitWay, LocalVerdict, ToldSpan, UseLimit, UseRequest, UseTotals,
-      UseVerdict,
+      BoxList, LimitSettings, LimitStrategy, LocalVerdict, ReportScope, UsageRequest, UsageTotals,
+      UsageVerdict, UseLimit,
     },
     ids::Name,
   },
@@ -29,7 +29,7 @@
 const SETTINGS: LimitSettings = LimitSettings {
   overage: 0.1,
   slack_units: 190_000.0,
-  way: LimitWay::AskedWhenShort,
+  way: LimitStrategy::AskNearLimit,
 };
 /// Bytes of an entry with a name and a number in a message.
 const ENTRY_BYTES: usize = 14;
@@ -37,7 +37,7 @@
 struct LimitReplay {
   pattern: LimitPattern,
   fleet: LimitFleet,
-  way: LimitWay,
+  way: LimitStrategy,
   random: ChaCha8Rng,
   queue: Queue<Event>,
   list: BoxList,
@@ -53,7 +53,7 @@
 pub fn replay_limits(
   pattern: LimitPattern,
   fleet: LimitFleet,
-  way: LimitWay,
+  way: LimitStrategy,
   seed: u64,
 ) -> LimitFigures {
   let mut replay = LimitReplay {
@@ -114,10 +114,10 @@
       Event::HearsTotals { at, totals } => {
         let heard = &mut self.boxes[at];
         let uptime_ms = now_ms - heard.started_ms;
-        heard.book.hear(&totals, uptime_ms, now_ms);
+        heard.book.merge_totals(&totals, uptime_ms, now_ms);
       }
       Event::HearsReport { at, from, used } => self.hear_report(at, from, &used, now_ms),
-      Event::HearsShort { at, short } => self.boxes[at].ledger.heard(short, now_ms),
+      Event::HearsShort { at, short } => self.boxes[at].ledger.record_near_limit(short, now_ms),
       Event::BoxesStart => {
         for started in &mut self.boxes {
           *started = LimitBox {
@@ -201,9 +201,9 @@
     let Some(limit) = self.boxes[at].book.limit(&name) else {
       return true;
     };
-    if self.way.is_told() && self.is_counting(at) {
+    if self.way.uses_coordinators() && self.is_counting(at) {
       let verdict = self.boxes[at].book.admit(&name, REQUEST_UNITS, now_ms);
-      return verdict == UseVerdict::Within;
+      return verdict == UsageVerdict::WithinLimit;
     }
     let request = self.request(&name, limit, now_ms);
     let local = self.boxes[at].ledger.admit(request, self.way);
@@ -211,11 +211,11 @@
       LocalVerdict::Settled(verdict) => verdict,
       LocalVerdict::Ask => self.ask(at, &name, limit, now_ms),
     };
-    verdict == UseVerdict::Within
+    verdict == UsageVerdict::WithinLimit
   }
 
-  fn request<'a>(&self, organisation: &'a Name, limit: UseLimit, now_ms: u64) -> UseRequest<'a> {
-    UseRequest {
+  fn request<'a>(&self, organisation: &'a Name, limit: UseLimit, now_ms: u64) -> UsageRequest<'a> {
+    UsageRequest {
       boxes: self.fleet.boxes,
       limit,
       now_ms,
@@ -225,34 +225,37 @@
   }
 
   /// Asks the first box that counts and is reached; in the replay it answers at once.
-  fn ask(&mut self, at: usize, name: &Name, limit: UseLimit, now_ms: u64) -> UseVerdict {
+  fn ask(&mut self, at: usize, name: &Name, limit: UseLimit, now_ms: u64) -> UsageVerdict {
     let Some(counting) = self.first_reached(at, now_ms) else {
       let request = self.request(name, limit, now_ms);
       let ledger = &mut self.boxes[at].ledger;
-      ledger.note_unreached();
-      return ledger.admit_alone(request);
+      ledger.record_unreachable();
+      return ledger.admit_isolated(request);
     };
-    let used = self.boxes[at].ledger.take_untold();
+    let used = self.boxes[at].ledger.take_unreported();
     self.note_message(at, counting, used.len() + 1);
     let asking: Name = self.fleet.name(at).as_str().into();
     let book = &mut self.boxes[counting].book;
-    book.note_follower(&asking, now_ms);
+    book.record_reporter(&asking, now_ms);
     for (organisation, units) in &used {
-      book.count(organisation, *units, now_ms);
+      book.charge(organisation, *units, now_ms);
     }
     let verdict = book.admit(name, REQUEST_UNITS, now_ms);
-    let short = book.short(now_ms);
+    let short = book.near_limit(now_ms);
     let ledger = &mut self.boxes[at].ledger;
-    ledger.heard(short, now_ms);
+    ledger.record_near_limit(short, now_ms);
     match verdict {
-      UseVerdict::Within => ledger.note_counted(name, REQUEST_UNITS, now_ms),
-      UseVerdict::Beyond { left, wait_ms } => ledger.note_refused(name, left, wait_ms, now_ms),
+      UsageVerdict::WithinLimit => ledger.record_admitted(name, REQUEST_UNITS, now_ms),
+      UsageVerdict::OverLimit {
+        remaining: left,
+        wait_ms,
+      } => ledger.record_rejected(name, left, wait_ms, now_ms),
     }
     verdict
   }
 
   fn tell(&mut self, from: usize, now_ms: u64) {
-    if !self.way.is_told() {
+    if !self.way.uses_coordinators() {
       return;
     }
     if self.is_counting(from) {
@@ -266,10 +269,10 @@
     }
     teller.idle_turns = 0;
     let Some(at) = self.first_reached(from, now_ms) else {
-      self.boxes[from].ledger.note_unreached();
+      self.boxes[from].ledger.record_unreachable();
       return;
     };
-    let used = self.boxes[from].ledger.take_untold();
+    let used = self.boxes[from].ledger.take_unreported();
     self.note_message(from, at, used.len());
     let at_ms = now_ms + self.message_ms(from, at, now_ms);
     self.queue.put(at_ms, Event::HearsReport { at, from, used });
@@ -280,25 +283,25 @@
     let place = self.fleet.place(from);
     let teller = &mut self.boxes[from];
     let span = match teller.turns % WHOLE_TURNS {
-      0 => ToldSpan::All,
-      _ => ToldSpan::Changes,
+      0 => ReportScope::All,
+      _ => ReportScope::Changed,
     };
     teller.turns += 1;
     teller.book.set_box_count(self.fleet.boxes, now_ms);
-    let followers = teller.book.follower_count(now_ms);
-    let told = teller.book.totals_to_tell(span);
+    let reporters = teller.book.reporter_count(now_ms);
+    let told = teller.book.totals_to_report(span);
     let claimed = told.into_iter().map(|(name, units)| {
       let units = self.pattern.claims(place, units, now_ms);
       (name, units)
     });
-    let totals = UseTotals {
+    let totals = UsageTotals {
       box_name: name.clone(),
-      followers,
+      reporters,
       incarnation: teller.started_ms,
       totals: claimed.collect(),
       uptime_ms: now_ms - teller.started_ms,
     };
-    for address in self.list.other_counting(&name) {
+    for address in self.list.other_coordinators(&name) {
       let at = LimitFleet::number(address);
       if !self
         .pattern
@@ -316,18 +319,18 @@
   fn hear_report(&mut self, at: usize, from: usize, used: &[(Name, i64)], now_ms: u64) {
     let reporting: Name = self.fleet.name(from).as_str().into();
     let book = &mut self.boxes[at].book;
-    book.note_follower(&reporting, now_ms);
+    book.record_reporter(&reporting, now_ms);
     for (organisation, units) in used {
-      book.count(organisation, *units, now_ms);
+      book.charge(organisation, *units, now_ms);
     }
-    let short = book.short(now_ms);
+    let short = book.near_limit(now_ms);
     let at_ms = now_ms + self.message_ms(at, from, now_ms);
     self.queue.put(at_ms, Event::HearsShort { at: from, short });
   }
 
   fn is_counting(&self, number: usize) -> bool {
     let hall = format!("hall-{}", self.fleet.place(number).hall);
-    self.list.is_counting(&self.fleet.name(number), &hall)
+    self.list.is_coordinator(&self.fleet.name(number), &hall)
   }
 
   /// The box that counts and that a box reaches first.
@@ -339,7 +342,7 @@
       let other = self.fleet.place(LimitFleet::number(*address));
       self.pattern.are_connected(place, other, now_ms)
     };
-    let counting = self.list.counting_for(&name, &hall);
+    let counting = self.list.coordinators_for(&name, &hall);
     counting.into_iter().find(reached).map(LimitFleet::number)
   }
 
--- a/emulator/src/load/replay.rs
+++ b/emulator/src/load/replay.rs
@@ -11,7 +11,9 @@
   rand_chacha::ChaCha8Rng,
   rillford::{
     decide::Role,
-    gateway::{AllowedHalls, EndpointBook, EndpointEntry, PartEnd, ToldLoad, Wanted},
+    gateway::{
+      AllowedHalls, AttemptOutcome, EndpointCriteria, EndpointEntry, EndpointRegistry, ToldLoad,
+    },
     ids::Name,
   },
 };
@@ -50,7 +52,7 @@
   Ends {
     request: Request,
     engine: usize,
-    end: PartEnd,
+    end: AttemptOutcome,
   },
   /// A stream is whole.
   StreamEnds { at_box: usize, engine: usize },
@@ -73,7 +75,7 @@
   variant: Variant,
   random: ChaCha8Rng,
   queue: Queue<Event>,
-  books: Vec<EndpointBook>,
+  books: Vec<EndpointRegistry>,
   /// Streams at each engine.
   running: Vec<u32>,
   figures: Figures,
@@ -143,9 +145,9 @@
 }
 
 /// The book of each box, with all engines in it.
-fn new_books() -> Vec<EndpointBook> {
+fn new_books() -> Vec<EndpointRegistry> {
   let book = |_| {
-    let mut book = EndpointBook::default();
+    let mut book = EndpointRegistry::default();
     (0..ENGINES).for_each(|engine| book.put(entry(engine)));
     book
   };
@@ -164,7 +166,7 @@
       } => self.end(now_ms, request, engine, end),
       Event::StreamEnds { at_box, engine } => {
         self.running[engine] -= 1;
-        let end = PartEnd::Answered { took_ms: HEAD_MS };
+        let end = AttemptOutcome::Answered { took_ms: HEAD_MS };
         self.book_end(now_ms, at_box, engine, end);
       }
       Event::BoxesStart => self.books = new_books(),
@@ -199,10 +201,10 @@
     let hall = hall_name(request.at_box);
     let random = &mut self.random;
     let book = &mut self.books[request.at_box];
-    let wanted = Wanted {
+    let wanted = EndpointCriteria {
       allowed_halls: &AllowedHalls::Any,
       hall: &hall,
-      may_repeat: true,
+      is_retryable: true,
       role: Some(Role::Decode),
       service: "llm",
       size: PROMPT_TOKENS,
@@ -211,7 +213,7 @@
     let Some(choice) = book.choose(wanted, now_ms, || random.random()) else {
       return;
     };
-    book.sent(&choice.entry.id, PROMPT_TOKENS);
+    book.record_send(&choice.entry.id, PROMPT_TOKENS);
     let engine = usize::from(choice.entry.address.port() - FIRST_PORT);
     self.figures.sends[engine] += u32::from(request.counts);
     let (end, took_ms) = self.fate(now_ms, request.at_box, engine);
@@ -225,38 +227,40 @@
   }
 
   /// What an engine does with a send, and how long that takes.
-  fn fate(&mut self, now_ms: u64, at_box: usize, engine: usize) -> (PartEnd, u64) {
+  fn fate(&mut self, now_ms: u64, at_box: usize, engine: usize) -> (AttemptOutcome, u64) {
     let (from, to) = (hall_of(at_box), hall_of(engine));
     let state = self.pattern.engine(engine, now_ms);
     if state == EngineState::Gone || !self.pattern.are_connected(from, to, now_ms) {
-      return (PartEnd::Unreachable, CONNECT_MS);
+      return (AttemptOutcome::Unreachable, CONNECT_MS);
     }
     if self.running[engine] >= SEATS {
-      return (PartEnd::Full, REFUSAL_MS);
+      return (AttemptOutcome::Full, REFUSAL_MS);
     }
     match state {
-      EngineState::Loses(share) if self.random.random::<f64>() < share => (PartEnd::Lost, HEAD_MS),
+      EngineState::Loses(share) if self.random.random::<f64>() < share => {
+        (AttemptOutcome::Lost, HEAD_MS)
+      }
       _ => {
         self.running[engine] += 1;
-        (PartEnd::Answered { took_ms: HEAD_MS }, HEAD_MS)
+        (AttemptOutcome::Answered { took_ms: HEAD_MS }, HEAD_MS)
       }
     }
   }
 
   /// A send has ended: the stream runs, or another engine is tried.
-  fn end(&mut self, now_ms: u64, mut request: Request, engine: usize, end: PartEnd) {
+  fn end(&mut self, now_ms: u64, mut request: Request, engine: usize, end: AttemptOutcome) {
     let counted = u32::from(request.counts);
     match end {
-      PartEnd::Answered { .. } => return self.stream(now_ms, &request, engine),
-      PartEnd::Full => {
+      AttemptOutcome::Answered { .. } => return self.stream(now_ms, &request, engine),
+      AttemptOutcome::Full => {
         self.figures.refused_sends += counted;
         request.refusals += 1;
       }
-      PartEnd::Unreachable => {
+      AttemptOutcome::Unreachable => {
         self.figures.unreached_sends += counted;
         request.refusals += 1;
       }
-      PartEnd::Dropped | PartEnd::Failed | PartEnd::Lost => {
+      AttemptOutcome::Cancelled | AttemptOutcome::Failed | AttemptOutcome::Lost => {
         self.figures.lost_sends += counted;
         request.losses += 1;
       }
@@ -277,7 +281,7 @@
         seats: SEATS,
         waiting: 0,
       };
-      self.books[at_box].told_load(&engine_name(engine), load, now_ms);
+      self.books[at_box].record_load(&engine_name(engine), load, now_ms);
     }
     let stream_ms = self.exponential(STREAM_MS);
     let event = Event::StreamEnds { at_box, engine };
@@ -285,13 +289,15 @@
   }
 
   /// The box's book learns how a send ended, as far as the variant heeds it.
-  fn book_end(&mut self, now_ms: u64, at_box: usize, engine: usize, end: PartEnd) {
+  fn book_end(&mut self, now_ms: u64, at_box: usize, engine: usize, end: AttemptOutcome) {
     let noted = match end {
-      PartEnd::Lost | PartEnd::Unreachable if !self.variant.heeds_losses => PartEnd::Dropped,
-      PartEnd::Unreachable if !self.variant.notices_cut_halls => PartEnd::Lost,
+      AttemptOutcome::Lost | AttemptOutcome::Unreachable if !self.variant.heeds_losses => {
+        AttemptOutcome::Cancelled
+      }
+      AttemptOutcome::Unreachable if !self.variant.notices_cut_halls => AttemptOutcome::Lost,
       end => end,
     };
     let book = &mut self.books[at_box];
-    book.ended(&engine_name(engine), PROMPT_TOKENS, 1, noted, now_ms);
+    book.record_outcome(&engine_name(engine), PROMPT_TOKENS, 1, noted, now_ms);
   }
 }
--- a/emulator/src/notices/replay.rs
+++ b/emulator/src/notices/replay.rs
@@ -14,8 +14,9 @@
   rand_chacha::ChaCha8Rng,
   rillford::{
     gateway::{
-      AllowedHalls, EndpointBook, EndpointEntry, EndpointNotice, NamedLimit, NoticeNews, PartEnd,
-      RetryAllowance, RetryWindow, Wanted, kept_pause_ms, retry_after_pause_ms,
+      AllowedHalls, AttemptOutcome, EndpointCriteria, EndpointEntry, EndpointNotice,
+      EndpointRegistry, NamedLimit, NoticeChange, RetryAllowance, RetryWindow, jittered_backoff_ms,
+      retry_after_backoff_ms,
     },
     ids::Name,
   },
@@ -54,7 +55,7 @@
 
 /// A box.
 struct GatewayBox {
-  book: EndpointBook,
+  book: EndpointRegistry,
   window: RetryWindow,
 }
 
@@ -101,13 +102,13 @@
 
 fn new_box(fleet: NoticeFleet, way: NoticeWay) -> GatewayBox {
   let mut book = match way {
-    NoticeWay::Off => EndpointBook::ignoring_notices(),
-    _ => EndpointBook::default(),
+    NoticeWay::Off => EndpointRegistry::ignoring_notices(),
+    _ => EndpointRegistry::default(),
   };
   for number in 0..fleet.endpoints {
     book.put(entry(number));
   }
-  book.set_store_since(Some(0));
+  book.set_store_connected_since(Some(0));
   GatewayBox {
     book,
     window: RetryWindow::default(),
@@ -147,7 +148,7 @@
       } => {
         self.boxes[at]
           .book
-          .note_notice(&entry(endpoint), &notice, now_ms);
+          .record_notice(&entry(endpoint), &notice, now_ms);
       }
       Event::Ends { endpoint } => self.end(endpoint, now_ms),
       Event::Unlisted { endpoint } => {
@@ -184,8 +185,8 @@
   /// A try begins at a box.
   fn begin(&mut self, number: usize, now_ms: u64) {
     let at = self.requests[number].at;
-    self.boxes[at].window.note_request(now_ms);
-    self.boxes[at].book.forget_notices(now_ms);
+    self.boxes[at].window.record_request(now_ms);
+    self.boxes[at].book.expire_notices(now_ms);
     if !self.send(number, now_ms) {
       self.refuse(number, now_ms);
     }
@@ -201,8 +202,8 @@
     request.tried.push(id.clone());
     request.sent_ms = now_ms;
     let book = &mut self.boxes[request.at].book;
-    book.sent(&id, 1);
-    book.sent_after_pause(&id, now_ms);
+    book.record_send(&id, 1);
+    book.record_probe(&id, now_ms);
     let reaches = Event::AtEndpoint {
       endpoint,
       request: number,
@@ -213,10 +214,10 @@
 
   fn choose(&mut self, number: usize, now_ms: u64) -> Option<usize> {
     let request = &self.requests[number];
-    let wanted = Wanted {
+    let wanted = EndpointCriteria {
       allowed_halls: &AllowedHalls::Any,
       hall: "north",
-      may_repeat: false,
+      is_retryable: false,
       role: None,
       service: SERVICE,
       size: 1,
@@ -322,14 +323,14 @@
     self.hear(at, endpoint, reply.notice, now_ms);
     let book = &mut self.boxes[at].book;
     let end = match reply.kind {
-      ReplyKind::Done => PartEnd::Answered { took_ms },
-      ReplyKind::TurnedAway => PartEnd::Full,
-      ReplyKind::Refused | ReplyKind::Lost => PartEnd::Lost,
+      ReplyKind::Done => AttemptOutcome::Answered { took_ms },
+      ReplyKind::TurnedAway => AttemptOutcome::Full,
+      ReplyKind::Refused | ReplyKind::Lost => AttemptOutcome::Lost,
     };
-    book.ended(&id, 1, 1, end, now_ms);
+    book.record_outcome(&id, 1, 1, end, now_ms);
     match reply.kind {
       ReplyKind::Done => {
-        book.took_work(&id, now_ms);
+        book.record_accepted(&id, now_ms);
         self.figures.served += u32::from(now_ms <= self.requests[number].until_ms);
       }
       // It may have run: this kind of request is not sent again.
@@ -346,12 +347,12 @@
   /// A box hears what an endpoint says of itself.
   fn hear(&mut self, at: usize, endpoint: usize, mut notice: EndpointNotice, now_ms: u64) {
     if let (NoticeWay::OwnBoxSpread, Some(pause_ms)) = (self.way, &mut notice.pause_ms) {
-      *pause_ms = kept_pause_ms(*pause_ms, self.fleet.boxes, self.random.random());
+      *pause_ms = jittered_backoff_ms(*pause_ms, self.fleet.boxes, self.random.random());
     }
     let news = self.boxes[at]
       .book
-      .note_notice(&entry(endpoint), &notice, now_ms);
-    if self.way != NoticeWay::Told || news == NoticeNews::default() {
+      .record_notice(&entry(endpoint), &notice, now_ms);
+    if self.way != NoticeWay::Told || news == NoticeChange::default() {
       return;
     }
     for other in (0..self.fleet.boxes).filter(|other| *other != at) {
@@ -385,9 +386,9 @@
   fn refuse(&mut self, number: usize, now_ms: u64) {
     self.figures.refused += 1;
     let request = &self.requests[number];
-    let reopens_in_ms = self.boxes[request.at].book.reopens_in_ms(SERVICE, now_ms);
+    let available_in_ms = self.boxes[request.at].book.available_in_ms(SERVICE, now_ms);
     let draw: f64 = self.random.random();
-    let wait_ms = reopens_in_ms.map_or(FULL_MS, |ms| retry_after_pause_ms(ms, draw));
+    let wait_ms = available_in_ms.map_or(FULL_MS, |ms| retry_after_backoff_ms(ms, draw));
     let again_ms = now_ms + wait_ms;
     if !request.may_come_again || again_ms >= request.until_ms {
       return;
--- a/emulator/src/places/replay.rs
+++ b/emulator/src/places/replay.rs
@@ -14,9 +14,10 @@
   rand_chacha::ChaCha8Rng,
   rillford::{
     gateway::{
-      ALONE_BOXES, BoxList, EndpointEntry, EndpointLife, HeardLimit, LimitNews, LimitSource,
-      LocalPermit, NamedLimit, PermitRequest, PermitVerdict, ToldSpan, UseBucket, UseLimit,
-      UseTotals, UseVerdict, counted_limit, endpoint_order, lone_limit,
+      AdvertisedLimit, BoxList, EndpointEntry, EndpointIncarnation, ISOLATED_BOXES, LimitChange,
+      LimitSource, LocalPermitVerdict, NamedLimit, PermitRequest, PermitVerdict, ReportScope,
+      TokenBucket, UsageTotals, UsageVerdict, UseLimit, coordinator_limit, coordinator_order,
+      isolated_limit,
     },
     ids::Name,
   },
@@ -117,7 +118,7 @@
 }
 
 fn order_of(list: &BoxList, entry: &EndpointEntry) -> Vec<usize> {
-  let order = endpoint_order(list, &entry.id, &entry.hall, 1 + ALONE_BOXES);
+  let order = coordinator_order(list, &entry.id, &entry.hall, 1 + ISOLATED_BOXES);
   let numbers = order
     .into_iter()
     .map(|(_, address)| PlaceFleet::number(address));
@@ -199,7 +200,7 @@
       Event::Turn { at } => self.turn(at),
       Event::Totals { to, totals } => {
         let now_ms = self.now_ms;
-        self.boxes[to].sums.hear(&totals, now_ms, now_ms);
+        self.boxes[to].sums.merge_totals(&totals, now_ms, now_ms);
       }
       Event::Listed { at, has_counting } => self.boxes[at].lists_counting = has_counting,
       Event::Starts => {
@@ -244,26 +245,26 @@
       PlaceWay::EvenParts => {
         let part = UseLimit {
           burst: 1.0,
-          rate_per_s: counted_limit(per_s).rate_per_s / self.fleet.boxes as f64,
+          rate_per_s: coordinator_limit(per_s).rate_per_s / self.fleet.boxes as f64,
         };
         let bucket = self.boxes[at]
           .even
-          .get_or_insert_with(|| UseBucket::empty(now_ms));
-        let has_place = bucket.left(part, now_ms) >= 1.0;
+          .get_or_insert_with(|| TokenBucket::empty(now_ms));
+        let has_place = bucket.level(part, now_ms) >= 1.0;
         if has_place {
           bucket.charge(part, 1.0);
         }
         self.send_or_not(at, has_place);
       }
       PlaceWay::ToldSums => {
-        let limit = counted_limit(per_s);
+        let limit = coordinator_limit(per_s);
         let name: Name = self.entry.id.clone();
         let sums = &mut self.boxes[at].sums;
         if sums.limit(&name) != Some(limit) {
           sums.set_limits([(name.clone(), limit)], now_ms);
         }
         let verdict = sums.admit(&name, 1, now_ms);
-        self.send_or_not(at, verdict == UseVerdict::Within);
+        self.send_or_not(at, verdict == UsageVerdict::WithinLimit);
       }
       PlaceWay::Asked | PlaceWay::AskedAndTold => self.look_for_place(at),
     }
@@ -290,15 +291,15 @@
 
   fn look_for_place(&mut self, at: usize) {
     let now_ms = self.now_ms;
-    if self.boxes[at].limits.closed_for_ms(&self.entry, now_ms) > 0 {
+    if self.boxes[at].limits.blocked_for_ms(&self.entry, now_ms) > 0 {
       self.figures.elsewhere += 1;
       return;
     }
     let id = self.entry.id.clone();
-    match self.boxes[at].limits.permits().take(&id, now_ms) {
-      LocalPermit::Granted => self.send(at),
-      LocalPermit::Refused { .. } => self.figures.elsewhere += 1,
-      LocalPermit::Ask { permits, unused } => {
+    match self.boxes[at].limits.permits().acquire(&id, now_ms) {
+      LocalPermitVerdict::Granted => self.send(at),
+      LocalPermitVerdict::Rejected { .. } => self.figures.elsewhere += 1,
+      LocalPermitVerdict::Ask { permits, unused } => {
         let wish = PermitRequest {
           box_name: PlaceFleet::name(at).as_str().into(),
           permits,
@@ -353,9 +354,9 @@
 
   /// The newest word that a box knows.
   fn word(&self, at: usize) -> Word {
-    let heard = self.boxes[at].limits.heard(&self.entry);
+    let heard = self.boxes[at].limits.advertised(&self.entry);
     Word {
-      heard_ms: heard.map_or(0, |heard| heard.heard_ms),
+      heard_ms: heard.map_or(0, |heard| heard.received_ms),
       per_s: heard.and_then(|heard| heard.per_s).unwrap_or_default(),
     }
   }
@@ -398,29 +399,29 @@
     self.message(to, from, ANSWER_BYTES, answer);
   }
 
-  fn take_over(&mut self, at: usize, word: Word) -> LimitNews {
-    let heard = HeardLimit {
-      heard_ms: word.heard_ms,
+  fn take_over(&mut self, at: usize, word: Word) -> LimitChange {
+    let heard = AdvertisedLimit {
+      received_ms: word.heard_ms,
       per_s: Some(word.per_s),
       source: LimitSource::Box,
     };
     let (id, born_ms) = (self.entry.id.clone(), self.entry.born_ms);
-    self.boxes[at].limits.note_told(&id, born_ms, heard)
+    self.boxes[at].limits.record_reported(&id, born_ms, heard)
   }
 
-  fn life(&self) -> EndpointLife {
-    EndpointLife::of(&self.entry.id, self.entry.born_ms)
+  fn life(&self) -> EndpointIncarnation {
+    EndpointIncarnation::of(&self.entry.id, self.entry.born_ms)
   }
 
   fn give_out(&mut self, at: usize, wish: &PermitRequest) -> PermitVerdict {
-    let limit = counted_limit(self.word(at).per_s);
+    let limit = coordinator_limit(self.word(at).per_s);
     let (life, now_ms) = (self.life(), self.now_ms);
-    self.boxes[at].counted.ask(life, limit, wish, now_ms)
+    self.boxes[at].counted.request(life, limit, wish, now_ms)
   }
 
   fn decide_alone(&mut self, at: usize, wish: &PermitRequest) -> PermitVerdict {
     if !self.order(at).iter().skip(1).any(|one| *one == at) {
-      return PermitVerdict::Refused {
+      return PermitVerdict::Rejected {
         wait_ms: NOT_ALONE_WAIT_MS,
       };
     }
@@ -429,15 +430,15 @@
       unused: 0,
       ..wish.clone()
     };
-    let limit = lone_limit(self.word(at).per_s);
+    let limit = isolated_limit(self.word(at).per_s);
     let (life, now_ms) = (self.life(), self.now_ms);
-    self.boxes[at].alone.ask(life, limit, &wish, now_ms)
+    self.boxes[at].alone.request(life, limit, &wish, now_ms)
   }
 
   fn decided(&mut self, at: usize, verdict: PermitVerdict) {
     let (id, now_ms) = (self.entry.id.clone(), self.now_ms);
     let permits = self.boxes[at].limits.permits();
-    let has_place = permits.note_verdict(&id, verdict, now_ms);
+    let has_place = permits.record_verdict(&id, verdict, now_ms);
     self.send_or_not(at, has_place);
   }
 
@@ -500,16 +501,16 @@
     self.boxes[at].answered_ms.get_or_insert(now_ms);
     let said = NamedLimit::PerS(per_s);
     let limits = &mut self.boxes[at].limits;
-    let news = limits.note_answer(&self.entry, said, sent_ms, now_ms);
-    if news != LimitNews::Begins || self.way != PlaceWay::AskedAndTold {
+    let news = limits.record_response(&self.entry, said, sent_ms, now_ms);
+    if news != LimitChange::Started || self.way != PlaceWay::AskedAndTold {
       return;
     }
     let name = PlaceFleet::name(at);
     let word = self.word(at);
-    for address in self.list.other_counting(&name) {
+    for address in self.list.other_coordinators(&name) {
       self.tell(at, PlaceFleet::number(address), word, false);
     }
-    for address in self.list.told_on_by(&name) {
+    for address in self.list.forwarded_by(&name) {
       self.tell(at, PlaceFleet::number(address), word, true);
     }
   }
@@ -524,10 +525,10 @@
   }
 
   fn told(&mut self, to: usize, word: Word, is_told_on: bool) {
-    if !self.is_up(to) || self.take_over(to, word) != LimitNews::Begins || is_told_on {
+    if !self.is_up(to) || self.take_over(to, word) != LimitChange::Started || is_told_on {
       return;
     }
-    for address in self.list.told_on_by(&PlaceFleet::name(to)) {
+    for address in self.list.forwarded_by(&PlaceFleet::name(to)) {
       self.tell(to, PlaceFleet::number(address), word, true);
     }
   }
@@ -541,10 +542,10 @@
     if !self.is_up(at) || self.boxes[at].sums.is_empty() {
       return;
     }
-    let totals = self.boxes[at].sums.totals_to_tell(ToldSpan::All);
-    let totals = UseTotals {
+    let totals = self.boxes[at].sums.totals_to_report(ReportScope::All);
+    let totals = UsageTotals {
       box_name: name.as_str().into(),
-      followers: 0,
+      reporters: 0,
       incarnation: 1,
       totals,
       uptime_ms: self.now_ms,
--- /dev/null
+++ b/src/gateway/decisions/endpoint_registry.rs
@@ -0,0 +1,452 @@
+//! What this box knows of each endpoint, and the selection among them. Free of I/O.
+
+use {
+  super::{
+    advertised_limits::LimitChange,
+    choice::{AttemptOutcome, Choice, EndpointCriteria},
+    drained_halls::DrainedHalls,
+    endpoint_counts::EndpointCounts,
+    endpoint_limits::EndpointLimits,
+    endpoint_state::{EndpointState, PROBE_RANK, PeerAverages, ReportedLoad},
+    hall_reachability::HallReachability,
+    notice_tracker::{Availability, NoticeChange, NoticeTracker},
+    unavailable::Unavailable,
+  },
+  crate::{
+    decide::Role,
+    gateway::edge::{EndpointEntry, EndpointNotice, NamedLimit, ToldLoad},
+    ids::Name,
+  },
+  std::collections::{BTreeMap, HashMap},
+};
+
+/// Width of the random factor that keeps boxes with equal knowledge from making the same choice.
+const NOISE: f64 = 0.2;
+
+/// The endpoints by id.
+#[derive(Debug, Default)]
+pub struct EndpointRegistry {
+  /// Ordered, so that equal draws make equal choices.
+  endpoints: BTreeMap<Name, EndpointState>,
+  halls: HashMap<Name, HallReachability>,
+  /// The halls that operators drain.
+  drained_halls: DrainedHalls,
+  /// What they signalled; outlives entries that are removed and come back.
+  notices: NoticeTracker,
+  /// The limits that they advertise.
+  limits: EndpointLimits,
+  /// Whether notices are recorded and not honoured.
+  ignores_notices: bool,
+  /// Start of the uninterrupted contact with the store.
+  store_connected_since_ms: Option<u64>,
+}
+
+impl EndpointRegistry {
+  /// An empty registry that does not honour endpoints' notices.
+  pub fn ignoring_notices() -> Self {
+    Self {
+      ignores_notices: true,
+      ..Self::default()
+    }
+  }
+
+  /// The same registry, not enforcing the limits that endpoints advertise.
+  pub fn ignoring_limits(self) -> Self {
+    Self {
+      limits: EndpointLimits::ignoring(),
+      ..self
+    }
+  }
+
+  /// Inserts or updates an entry.
+  pub fn put(&mut self, entry: EndpointEntry) {
+    match self.endpoints.get_mut(&entry.id) {
+      Some(endpoint) => {
+        endpoint.entry = entry;
+        endpoint.lapses_at_ms = None;
+      }
+      None => {
+        self
+          .endpoints
+          .insert(entry.id.clone(), EndpointState::new(entry));
+      }
+    }
+  }
+
+  /// Removes an endpoint whose entry was deleted.
+  pub fn remove(&mut self, id: &str) {
+    self.endpoints.remove(id);
+  }
+
+  /// Keeps an endpoint until a time although its entry was missing after a store outage, unless the entry comes back.
+  pub fn mark_lapsed(&mut self, id: &str, until_ms: u64) {
+    if let Some(endpoint) = self.endpoints.get_mut(id) {
+      endpoint.lapses_at_ms.get_or_insert(until_ms);
+    }
+  }
+
+  /// Removes the endpoints whose lapsed entries did not come back in time.
+  pub fn remove_lapsed(&mut self, now_ms: u64) {
+    self.endpoints.retain(|_, endpoint| {
+      endpoint
+        .lapses_at_ms
+        .is_none_or(|until_ms| now_ms < until_ms)
+    });
+  }
+
+  /// The ids of all endpoints.
+  pub fn ids(&self) -> Vec<Name> {
+    self.endpoints.keys().cloned().collect()
+  }
+
+  /// The entry of an endpoint.
+  pub fn entry(&self, id: &str) -> Option<&EndpointEntry> {
+    self.endpoints.get(id).map(|endpoint| &endpoint.entry)
+  }
+
+  /// This box's requests in flight at an endpoint, and their size.
+  pub fn local_load(&self, id: &str) -> (u64, u64) {
+    self.endpoints.get(id).map_or((0, 0), |endpoint| {
+      (u64::from(endpoint.requests), endpoint.size)
+    })
+  }
+
+  /// All entries.
+  pub fn entries(&self) -> impl Iterator<Item = &EndpointEntry> {
+    self.endpoints.values().map(|endpoint| &endpoint.entry)
+  }
+
+  /// All entries; those of endpoints that signalled that they leave, and those in drained halls, are marked as leaving.
+  pub fn current_entries(&self, now_ms: u64) -> Vec<EndpointEntry> {
+    self
+      .entries()
+      .map(|entry| EndpointEntry {
+        leaving: self.is_leaving(entry, now_ms) || self.drained_halls.is_drained(&entry.hall),
+        ..entry.clone()
+      })
+      .collect()
+  }
+
+  /// Whether an endpoint leaves, as listed in the store or as signalled by itself.
+  pub fn is_leaving(&self, entry: &EndpointEntry, now_ms: u64) -> bool {
+    entry.leaving
+      || matches!(
+        self.availability(entry, now_ms),
+        Availability::Leaving { .. }
+      )
+  }
+
+  /// Whether the incarnation of an endpoint that was chosen before still accepts work; fails with the reason otherwise.
+  pub fn check(&self, chosen: &EndpointEntry, now_ms: u64) -> Result<(), Unavailable> {
+    let entry = self
+      .entry(&chosen.id)
+      .filter(|entry| entry.born_ms == chosen.born_ms)
+      .ok_or(Unavailable::Unlisted)?;
+    self.check_listed(entry, now_ms)
+  }
+
+  /// Like [`check`](Self::check), for an entry that is listed.
+  fn check_listed(&self, entry: &EndpointEntry, now_ms: u64) -> Result<(), Unavailable> {
+    if entry.leaving {
+      return Err(Unavailable::ListedAsLeaving);
+    }
+    if self.drained_halls.is_drained(&entry.hall) {
+      return Err(Unavailable::HallDrained);
+    }
+    match self.availability(entry, now_ms) {
+      Availability::Available | Availability::Probing { .. } => Ok(()),
+      Availability::Leaving { signalled_ms } => Err(Unavailable::Leaving {
+        signalled_ago_ms: now_ms.saturating_sub(signalled_ms),
+      }),
+      Availability::BackingOff {
+        requested_ms,
+        until_ms,
+      } => Err(Unavailable::BackingOff {
+        requested_ago_ms: now_ms.saturating_sub(requested_ms),
+        remaining_ms: until_ms - now_ms,
+      }),
+    }
+  }
+
+  /// Like [`check_listed`](Self::check_listed); also fails while no permit is available within the endpoint's limit.
+  fn check_permit(&self, entry: &EndpointEntry, now_ms: u64) -> Result<(), Unavailable> {
+    self.check_listed(entry, now_ms)?;
+    match self.limits.blocked_for_ms(entry, now_ms) {
+      0 => Ok(()),
+      remaining_ms => Err(Unavailable::NoPermit { remaining_ms }),
+    }
+  }
+
+  /// Time until the first answering endpoint of a service accepts work again; `None` while one does, or when none is backing
+  /// off or at its limit.
+  pub fn available_in_ms(&self, service: &str, now_ms: u64) -> Option<u64> {
+    let answering = self
+      .entries()
+      .filter(|entry| &*entry.service == service && entry.role != Some(Role::Prefill));
+    let mut first_ms = None;
+    for entry in answering {
+      match self.check_permit(entry, now_ms) {
+        Ok(()) => return None,
+        Err(
+          Unavailable::BackingOff { remaining_ms, .. } | Unavailable::NoPermit { remaining_ms },
+        ) => {
+          first_ms =
+            Some(first_ms.map_or(remaining_ms, |first_ms: u64| first_ms.min(remaining_ms)));
+        }
+        Err(_) => {}
+      }
+    }
+    first_ms
+  }
+
+  pub fn len(&self) -> usize {
+    self.endpoints.len()
+  }
+
+  pub fn is_empty(&self) -> bool {
+    self.endpoints.is_empty()
+  }
+
+  /// Chooses the endpoint with the lowest rank and, among equals, the earliest expected completion.
+  pub fn choose(
+    &self,
+    criteria: EndpointCriteria,
+    now_ms: u64,
+    mut draw: impl FnMut() -> f64,
+  ) -> Option<Choice> {
+    // Signals are rare, and checking each endpoint doubles the time of a choice among thousands.
+    let honours_notices = self.honours_notices();
+    let honours_signals =
+      honours_notices || self.limits.are_enforced() || !self.drained_halls.is_empty();
+    let accepts_work = |endpoint: &EndpointState| {
+      !endpoint.entry.leaving
+        && (!honours_signals || self.check_permit(&endpoint.entry, now_ms).is_ok())
+    };
+    let candidates: Vec<&EndpointState> = self
+      .endpoints
+      .values()
+      .filter(|endpoint| {
+        &*endpoint.entry.service == criteria.service
+          && accepts_work(endpoint)
+          && criteria.allowed_halls.contains(&endpoint.entry.hall)
+          && (criteria.role.is_none() || endpoint.entry.role == criteria.role)
+          && !criteria.tried.contains(&endpoint.entry.id)
+      })
+      .collect();
+    let peers = PeerAverages::of(&candidates);
+    candidates
+      .into_iter()
+      .map(|endpoint| {
+        let is_hall_unreachable = self.is_hall_unreachable(&endpoint.entry.hall, now_ms);
+        let rank = endpoint.rank(criteria, is_hall_unreachable, now_ms);
+        let is_probe_in_flight = honours_notices
+          && self
+            .availability(&endpoint.entry, now_ms)
+            .is_probe_in_flight();
+        (
+          if is_probe_in_flight {
+            rank.max(PROBE_RANK)
+          } else {
+            rank
+          },
+          endpoint.cost(criteria, peers, now_ms) * (1.0 + NOISE * draw()),
+          endpoint,
+        )
+      })
+      .min_by(|one, other| one.0.cmp(&other.0).then(one.1.total_cmp(&other.1)))
+      .map(|(_, _, endpoint)| Choice {
+        queued_ahead: endpoint.queued_ahead(criteria.size, now_ms) as u64,
+        entry: endpoint.entry.clone(),
+        expected_ms: endpoint.expected_ms(criteria.size, now_ms),
+        is_backing_off: now_ms < endpoint.backoff_until_ms,
+      })
+  }
+
+  /// Whether there are notices, and they are honoured.
+  fn honours_notices(&self) -> bool {
+    !self.ignores_notices && !self.notices.is_empty()
+  }
+
+  /// Whether a hall seems to be unreachable from this box.
+  pub fn is_hall_unreachable(&self, hall: &str, now_ms: u64) -> bool {
+    self
+      .halls
+      .get(hall)
+      .is_some_and(|hall| hall.is_unreachable(now_ms))
+  }
+
+  /// Records that work of a size was sent.
+  pub fn record_send(&mut self, id: &str, size: u64) {
+    if let Some(endpoint) = self.endpoints.get_mut(id) {
+      endpoint.requests += 1;
+      endpoint.size += size;
+    }
+  }
+
+  /// Records the outcome of work of a size; `units` scales the response time.
+  pub fn record_outcome(
+    &mut self,
+    id: &str,
+    size: u64,
+    units: u64,
+    outcome: AttemptOutcome,
+    now_ms: u64,
+  ) {
+    let Some(endpoint) = self.endpoints.get_mut(id) else {
+      return;
+    };
+    endpoint.requests = endpoint.requests.saturating_sub(1);
+    endpoint.size = endpoint.size.saturating_sub(size);
+    let hall = self.halls.entry(endpoint.entry.hall.clone()).or_default();
+    hall.record(&endpoint.entry.id, outcome, now_ms);
+    endpoint.record_outcome(units, outcome, now_ms);
+  }
+
+  /// Records a notice from a response of an endpoint's incarnation; ignored if a newer one is listed.
+  pub fn record_notice(
+    &mut self,
+    entry: &EndpointEntry,
+    notice: &EndpointNotice,
+    now_ms: u64,
+  ) -> NoticeChange {
+    if self.has_newer_incarnation(entry) {
+      return NoticeChange::default();
+    }
+    self.notices.record(entry, notice, now_ms)
+  }
+
+  /// Records the limit in a response of an endpoint's incarnation; ignored if a newer one is listed.
+  pub fn record_limit(
+    &mut self,
+    entry: &EndpointEntry,
+    limit: NamedLimit,
+    sent_ms: u64,
+    now_ms: u64,
+  ) -> LimitChange {
+    if self.has_newer_incarnation(entry) {
+      return LimitChange::Unchanged;
+    }
+    self.limits.record_response(entry, limit, sent_ms, now_ms)
+  }
+
+  /// The halls that operators drain.
+  pub fn drained_halls(&self) -> &DrainedHalls {
+    &self.drained_halls
+  }
+
+  /// Mutable access to [`drained_halls`](Self::drained_halls).
+  pub fn drained_halls_mut(&mut self) -> &mut DrainedHalls {
+    &mut self.drained_halls
+  }
+
+  /// The limits that endpoints advertise, and this box's permits there.
+  pub fn limits(&self) -> &EndpointLimits {
+    &self.limits
+  }
+
+  /// Mutable access to [`limits`](Self::limits).
+  pub fn limits_mut(&mut self) -> &mut EndpointLimits {
+    &mut self.limits
+  }
+
+  /// Whether a newer incarnation is listed under an endpoint's id.
+  fn has_newer_incarnation(&self, entry: &EndpointEntry) -> bool {
+    self
+      .entry(&entry.id)
+      .is_some_and(|now| now.born_ms != entry.born_ms)
+  }
+
+  /// Whether an incarnation of an endpoint accepts work, according to its own signals.
+  pub fn availability(&self, entry: &EndpointEntry, now_ms: u64) -> Availability {
+    if !self.honours_notices() {
+      return Availability::Available;
+    }
+    self.notices.availability(entry, now_ms)
+  }
+
+  /// Records a send after a backoff; returns when the endpoint asked for the backoff if this is the first probe.
+  pub fn record_probe(&mut self, id: &str, now_ms: u64) -> Option<u64> {
+    self.notices.record_probe(id, now_ms)
+  }
+
+  /// Records that an endpoint accepted work.
+  pub fn record_accepted(&mut self, id: &str, now_ms: u64) {
+    self.notices.record_accepted(id, now_ms);
+  }
+
+  /// Sets the start of the uninterrupted contact with the store; `None` when it is lost.
+  pub fn set_store_connected_since(&mut self, since_ms: Option<u64>) {
+    self.store_connected_since_ms = since_ms;
+  }
+
+  /// Evicts expired notices and limits; returns the endpoints that are readmitted although they signalled that they leave.
+  pub fn expire_notices(&mut self, now_ms: u64) -> Vec<Name> {
+    self.limits.expire(now_ms);
+    let endpoints = &self.endpoints;
+    self.notices.expire(
+      self.store_connected_since_ms,
+      |id| endpoints.get(id).map(|endpoint| &endpoint.entry),
+      now_ms,
+    )
+  }
+
+  /// Counts the endpoints of a service, or all, by availability.
+  pub fn count(&self, service: Option<&str>, now_ms: u64) -> EndpointCounts {
+    let mut counts = EndpointCounts::default();
+    let selected = self
+      .entries()
+      .filter(|entry| service.is_none_or(|service| &*entry.service == service));
+    for entry in selected {
+      let is_backing_off = matches!(
+        self.availability(entry, now_ms),
+        Availability::BackingOff { .. }
+      );
+      counts.drained += usize::from(self.drained_halls.is_drained(&entry.hall));
+      counts.known += 1;
+      counts.leaving += usize::from(self.is_leaving(entry, now_ms));
+      counts.limited += usize::from(self.limits.per_s(entry, now_ms).is_some());
+      counts.backing_off += usize::from(is_backing_off);
+    }
+    counts
+  }
+
+  /// Records that a later, hedged attempt at another endpoint was answered first.
+  pub fn mark_outrun(&mut self, id: &str) {
+    if let Some(endpoint) = self.endpoints.get_mut(id) {
+      endpoint.record_failure_share(true);
+    }
+  }
+
+  /// Records that a response is overdue: the endpoint, or the path to its hall, may have failed.
+  pub fn mark_overdue(&mut self, id: &str, now_ms: u64) {
+    let Some(endpoint) = self.endpoints.get_mut(id) else {
+      return;
+    };
+    endpoint.record_failure_share(true);
+    endpoint.record_loss(now_ms);
+    let hall = self.halls.entry(endpoint.entry.hall.clone()).or_default();
+    hall.unreachable.insert(endpoint.entry.id.clone());
+    hall.last_failure_ms = now_ms;
+  }
+
+  /// Records that an endpoint is faulty although it answers.
+  pub fn mark_faulty(&mut self, id: &str, now_ms: u64) {
+    if let Some(endpoint) = self.endpoints.get_mut(id) {
+      endpoint.record_loss(now_ms);
+    }
+  }
+
+  /// Records the load that an endpoint reported; this box's open request is still part of it.
+  pub fn record_load(&mut self, id: &str, load: ToldLoad, now_ms: u64) {
+    if let Some(endpoint) = self.endpoints.get_mut(id) {
+      let other_requests = load
+        .running
+        .saturating_add(load.waiting)
+        .saturating_sub(endpoint.requests);
+      endpoint.reported_load = Some(ReportedLoad {
+        at_ms: now_ms,
+        other_requests,
+      });
+    }
+  }
+}
--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -1,85 +1,86 @@
-//! What a box decides, free of I/O: the choice among endpoints, seats and who goes first, the forecast behind a refusal,
-//! repeats, requests that are held because endpoints ended with them, roles, and which boxes read the store.
+//! The decisions of a box, free of I/O: selection of endpoints, batch slots and their queue, the forecast behind early
+//! rejections, retries, limits and permits, quarantine of requests that crash endpoints, roles, and which boxes read the
+//! store.
 //!
-//! Imports `edge` alone: a decision gets the time, what was seen and a random number, and answers with what to do.
+//! Imports only `edge`: a decision gets the time, observations and a random number, and returns what to do.
 
+mod advertised_limits;
 mod allowed_halls;
+mod backoff_jitter;
 mod box_list;
+mod cached_prompts;
 mod choice;
 mod cold_endpoints;
+mod coordinator_limit;
+mod coordinator_order;
 mod drained_halls;
-mod endpoint_book;
 mod endpoint_counts;
-mod endpoint_life;
-mod endpoint_limit;
+mod endpoint_incarnation;
 mod endpoint_limits;
-mod endpoint_order;
+mod endpoint_registry;
+mod endpoint_state;
 mod fingerprint;
-mod follower_list;
-mod hall_reach;
-mod kept_prompts;
-mod known_endpoint;
-mod limit_book;
-mod limit_way;
-mod notice_book;
-mod pause_turn;
-mod peer_use;
+mod hall_reachability;
+mod limit_strategy;
+mod local_permits;
+mod local_usage;
+mod notice_tracker;
+mod peer_usage;
 mod permit_account;
-mod permit_book;
-mod permit_ledger;
-mod quarantine_book;
+mod permit_table;
 mod quarantine_key;
-mod quarantine_way;
+mod quarantine_registry;
+mod quarantine_strategy;
 mod recent_engines;
-mod recent_use;
+mod recent_usage;
+mod reporter_list;
 mod retry_after;
-mod retry_pause;
 mod retry_window;
 mod role_plan;
-mod seat_forecast;
-mod seat_queue;
+mod slot_forecast;
+mod slot_queue;
+mod store_retry_delay;
+mod token_bucket;
 mod unavailable;
-mod use_book;
-mod use_bucket;
-mod use_ledger;
-mod use_verdict;
+mod usage_table;
+mod usage_verdict;
 
 pub use self::{
+  advertised_limits::{AdvertisedLimit, AdvertisedLimits, LimitChange, LimitSource},
   allowed_halls::AllowedHalls,
+  backoff_jitter::jittered_backoff_ms,
   box_list::{BoxEntry, BoxList},
-  choice::{Choice, PartEnd, Wanted},
-  cold_endpoints::{ColdEndpoints, ColdSpan},
-  drained_halls::{DrainedHalls, HallDrainNews},
-  endpoint_book::EndpointBook,
+  cached_prompts::CachedPrompts,
+  choice::{AttemptOutcome, Choice, EndpointCriteria},
+  cold_endpoints::{ColdEndpoints, ColdPeriod},
+  coordinator_limit::{ISOLATED_BOXES, coordinator_limit, isolated_limit},
+  coordinator_order::coordinator_order,
+  drained_halls::{DrainedHalls, HallDrainChange},
   endpoint_counts::EndpointCounts,
-  endpoint_life::EndpointLife,
-  endpoint_limit::{ALONE_BOXES, counted_limit, lone_limit},
+  endpoint_incarnation::EndpointIncarnation,
   endpoint_limits::EndpointLimits,
-  endpoint_order::endpoint_order,
+  endpoint_registry::EndpointRegistry,
   fingerprint::{Fingerprint, RequestIdentity},
-  kept_prompts::KeptPrompts,
-  limit_book::{HeardLimit, LimitBook, LimitNews, LimitSource},
-  limit_way::LimitWay,
-  notice_book::{Availability, NoticeBook, NoticeNews},
-  pause_turn::kept_pause_ms,
+  limit_strategy::LimitStrategy,
+  local_permits::{LocalPermitVerdict, LocalPermits},
+  local_usage::{LocalUsage, LocalVerdict, UsageRequest},
+  notice_tracker::{Availability, NoticeChange, NoticeTracker},
   permit_account::{PermitAccount, PermitRequest, PermitVerdict},
-  permit_book::PermitBook,
-  permit_ledger::{LocalPermit, PermitLedger},
-  quarantine_book::{QuarantineBook, QuarantineVerdict},
+  permit_table::PermitTable,
   quarantine_key::{QuarantineKey, QuarantineMark},
-  quarantine_way::QuarantineWay,
-  recent_engines::{RecentEngines, staying_engines},
-  retry_after::retry_after_pause_ms,
-  retry_pause::retry_pause_ms,
+  quarantine_registry::{QuarantineRegistry, QuarantineVerdict},
+  quarantine_strategy::QuarantineStrategy,
+  recent_engines::{RecentEngines, stable_engines},
+  retry_after::retry_after_backoff_ms,
   retry_window::{RetryAllowance, RetryWindow},
-  role_plan::{Surplus, surplus},
-  seat_forecast::SeatForecast,
-  seat_queue::{SeatPlace, SeatQueue, SeatUrgency},
+  role_plan::{RolePlan, plan_roles},
+  slot_forecast::SlotForecast,
+  slot_queue::{QueuePosition, SlotQueue, SlotUrgency},
+  store_retry_delay::store_retry_delay_ms,
+  token_bucket::TokenBucket,
   unavailable::Unavailable,
-  use_book::{ToldSpan, UseBook, UseTotals},
-  use_bucket::UseBucket,
-  use_ledger::{LocalVerdict, UseLedger, UseRequest},
-  use_verdict::UseVerdict,
+  usage_table::{ReportScope, UsageTable, UsageTotals},
+  usage_verdict::UsageVerdict,
 };
 
 pub(crate) use self::{
--- a/src/gateway/limits/admission.rs
+++ b/src/gateway/limits/admission.rs
@@ -7,7 +7,7 @@
   },
   crate::{
     gateway::{
-      decisions::{LocalVerdict, UseRequest, UseVerdict},
+      decisions::{LocalVerdict, UsageRequest, UsageVerdict},
       edge::{CallerFacts, Organisation, UseLimit},
       state::Gateway,
     },
@@ -58,11 +58,11 @@
       ChargedTo::Nothing => {}
       ChargedTo::UsageTable => {
         let mut usage = self.gateway.usage_table.borrow_mut();
-        usage.count(&self.organisation, units, now_ms);
+        usage.charge(&self.organisation, units, now_ms);
       }
       ChargedTo::LocalUsage => {
         let mut local_usage = self.gateway.local_usage.borrow_mut();
-        local_usage.note(&self.organisation, units, now_ms);
+        local_usage.record(&self.organisation, units, now_ms);
       }
     }
   }
@@ -94,10 +94,10 @@
     (verdict, ChargedTo::LocalUsage)
   };
   match verdict {
-    UseVerdict::Within => Ok(charge(charged_to)),
-    UseVerdict::Beyond { left, wait_ms } => {
+    UsageVerdict::WithinLimit => Ok(charge(charged_to)),
+    UsageVerdict::OverLimit { remaining, wait_ms } => {
       gateway.counters.over_limit.inc();
-      log_over_limit(gateway, facts, name, units, left);
+      log_over_limit(gateway, facts, name, units, remaining);
       // Spreads the retries of requests rejected at the same time.
       let spread_ms = wait_ms.max(MIN_RETRY_AFTER_MS) as f64 * (1.0 + gateway.draw());
       Err(OverLimit {
@@ -113,32 +113,32 @@
   name: &Name,
   limit: UseLimit,
   units: u64,
-) -> UseVerdict {
-  let request = || UseRequest {
+) -> UsageVerdict {
+  let request = || UsageRequest {
     boxes: gateway.box_count(),
     limit,
     now_ms: gateway.now_ms(),
     organisation: name,
     units,
   };
-  let way = gateway.settings.limits.way;
-  let local = gateway.local_usage.borrow_mut().admit(request(), way);
+  let strategy = gateway.settings.limits.way;
+  let local = gateway.local_usage.borrow_mut().admit(request(), strategy);
   match local {
     LocalVerdict::Settled(verdict) => verdict,
     LocalVerdict::Ask => match ask_coordinator(gateway, name, units).await {
       Some(verdict) => verdict,
-      None => gateway.local_usage.borrow_mut().admit_alone(request()),
+      None => gateway.local_usage.borrow_mut().admit_isolated(request()),
     },
   }
 }
 
 /// Asks the coordinators for a decision; `None` when none answers in time.
-async fn ask_coordinator(gateway: &Gateway, name: &Name, units: u64) -> Option<UseVerdict> {
+async fn ask_coordinator(gateway: &Gateway, name: &Name, units: u64) -> Option<UsageVerdict> {
   for address in coordinators(gateway)
     .into_iter()
     .take(MAX_COORDINATORS_ASKED)
   {
-    let used = gateway.local_usage.borrow_mut().take_untold();
+    let used = gateway.local_usage.borrow_mut().take_unreported();
     let message = UsageReport {
       box_name: gateway.settings.identity.name.clone(),
       pending: Some((name.clone(), units)),
@@ -149,11 +149,11 @@
         gateway.last_coordinator.set(Some(address));
         let now_ms = gateway.now_ms();
         let mut local_usage = gateway.local_usage.borrow_mut();
-        local_usage.heard(response.near_limit, now_ms);
+        local_usage.record_near_limit(response.near_limit, now_ms);
         match response.verdict {
-          Some(UseVerdict::Within) => local_usage.note_counted(name, units, now_ms),
-          Some(UseVerdict::Beyond { left, wait_ms }) => {
-            local_usage.note_refused(name, left, wait_ms, now_ms);
+          Some(UsageVerdict::WithinLimit) => local_usage.record_admitted(name, units, now_ms),
+          Some(UsageVerdict::OverLimit { remaining, wait_ms }) => {
+            local_usage.record_rejected(name, remaining, wait_ms, now_ms);
           }
           None => {}
         }
@@ -161,16 +161,19 @@
       }
       Err(error) => {
         log::info!("E610 coordinator {address} did not decide on {name}: {error}");
-        gateway.local_usage.borrow_mut().untell(message.used);
+        gateway
+          .local_usage
+          .borrow_mut()
+          .restore_unreported(message.used);
       }
     }
   }
-  gateway.local_usage.borrow_mut().note_unreached();
+  gateway.local_usage.borrow_mut().record_unreachable();
   None
 }
 
 /// Logs a rejection with the data that it was based on.
-fn log_over_limit(gateway: &Gateway, facts: &CallerFacts, name: &Name, units: u64, left: f64) {
+fn log_over_limit(gateway: &Gateway, facts: &CallerFacts, name: &Name, units: u64, remaining: f64) {
   let version = gateway.route_table().map(|table| table.version());
   let limit = gateway.usage_table.borrow().limit(name);
   let age_ms = if gateway.coordinates_usage() {
@@ -179,7 +182,7 @@
     gateway.local_usage.borrow().age_ms(gateway.now_ms())
   };
   log::info!(
-    "E608 over the limit: {} of {name} needs {units} units, {left:.0} remaining of {limit:?} in configuration {version:?}, usage received {age_ms:?} ms ago",
+    "E608 over the limit: {} of {name} needs {units} units, {remaining:.0} remaining of {limit:?} in configuration {version:?}, usage received {age_ms:?} ms ago",
     facts.request_id.as_deref().unwrap_or("-")
   );
 }
--- a/src/gateway/limits/messages.rs
+++ b/src/gateway/limits/messages.rs
@@ -5,7 +5,7 @@
     CallError, HttpClient,
     gateway::{
       connections::{message_answer, read_message, send_message, status_answer},
-      decisions::{UseTotals, UseVerdict},
+      decisions::{UsageTotals, UsageVerdict},
       state::Gateway,
     },
     ids::Name,
@@ -41,7 +41,7 @@
   /// The organisations near their limits, each with its remaining units.
   pub(crate) near_limit: Vec<(Name, f64)>,
   /// The decision on the request in `pending`.
-  pub(crate) verdict: Option<UseVerdict>,
+  pub(crate) verdict: Option<UsageVerdict>,
 }
 
 /// Sends a usage report to a coordinator.
@@ -59,7 +59,7 @@
 pub(super) async fn send_totals(
   http: &HttpClient,
   address: SocketAddr,
-  totals: &UseTotals,
+  totals: &UsageTotals,
   timeout: Duration,
 ) -> Result<(), CallError> {
   send_message(http, address, TOTALS_PATH, totals, timeout)
@@ -77,15 +77,15 @@
   };
   let now_ms = gateway.now_ms();
   let mut usage = gateway.usage_table.borrow_mut();
-  usage.note_follower(&report.box_name, now_ms);
+  usage.record_reporter(&report.box_name, now_ms);
   for (organisation, units) in &report.used {
-    usage.count(organisation, *units, now_ms);
+    usage.charge(organisation, *units, now_ms);
   }
   let verdict = report
     .pending
     .map(|(organisation, units)| usage.admit(&organisation, units, now_ms));
   let response = UsageResponse {
-    near_limit: usage.short(now_ms),
+    near_limit: usage.near_limit(now_ms),
     verdict,
   };
   message_answer(&response)
@@ -96,7 +96,7 @@
   gateway: &Gateway,
   request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-  let Some(totals) = decode_message::<UseTotals>(request).await else {
+  let Some(totals) = decode_message::<UsageTotals>(request).await else {
     return status_answer(StatusCode::BAD_REQUEST);
   };
   let now_ms = gateway.now_ms();
@@ -105,7 +105,7 @@
   gateway
     .usage_table
     .borrow_mut()
-    .hear(&totals, uptime_ms, now_ms);
+    .merge_totals(&totals, uptime_ms, now_ms);
   status_answer(StatusCode::OK)
 }
 
--- a/src/gateway/limits/metrics.rs
+++ b/src/gateway/limits/metrics.rs
@@ -31,7 +31,7 @@
 
 fn nearest_to_limits(gateway: &Gateway) -> Vec<(Name, f64, UseLimit)> {
   let now_ms = gateway.now_ms();
-  let mut all = gateway.usage_table.borrow_mut().standings(now_ms);
+  let mut all = gateway.usage_table.borrow_mut().balances(now_ms);
   let remaining_share = |remaining: f64, limit: UseLimit| remaining / limit.burst.max(1.0);
   all.sort_by(|one, other| {
     remaining_share(one.1, one.2)
--- a/src/gateway/limits/mod.rs
+++ b/src/gateway/limits/mod.rs
@@ -1,6 +1,6 @@
 //! Organisations' rate limits over all boxes: usage reports between boxes, and the admission of a request.
 //!
-//! Imports the folders up to `state`. The accounting is in `decisions`: `use_book` on coordinators, `use_ledger` on all other
+//! Imports the folders up to `state`. The accounting is in `decisions`: `usage_table` on coordinators, `local_usage` on all other
 //! boxes.
 
 mod admission;
--- a/src/gateway/limits/reporting.rs
+++ b/src/gateway/limits/reporting.rs
@@ -3,7 +3,7 @@
 use {
   super::messages::{UsageReport, send_totals, send_usage},
   crate::gateway::{
-    decisions::{ToldSpan, UseTotals},
+    decisions::{ReportScope, UsageTotals},
     state::Gateway,
   },
   futures_util::future::join_all,
@@ -29,16 +29,16 @@
   let mut round = 0_u32;
   loop {
     sleep(REPORT_INTERVAL).await;
-    if gateway.usage_table.borrow().is_empty() || !gateway.settings.limits.way.is_told() {
+    if gateway.usage_table.borrow().is_empty() || !gateway.settings.limits.way.uses_coordinators() {
       continue;
     }
     if gateway.is_coordinator() {
-      let span = match round % FULL_TOTALS_ROUNDS {
-        0 => ToldSpan::All,
-        _ => ToldSpan::Changes,
+      let scope = match round % FULL_TOTALS_ROUNDS {
+        0 => ReportScope::All,
+        _ => ReportScope::Changed,
       };
       round = round.wrapping_add(1);
-      exchange_totals(&gateway, span).await;
+      exchange_totals(&gateway, scope).await;
       continue;
     }
     let is_busy = gateway.local_usage.borrow().is_busy();
@@ -51,22 +51,22 @@
 }
 
 /// Sends this box's totals to all other coordinators.
-async fn exchange_totals(gateway: &Gateway, span: ToldSpan) {
+async fn exchange_totals(gateway: &Gateway, scope: ReportScope) {
   let name = gateway.settings.identity.name.clone();
   let (addresses, names) = {
     let boxes = gateway.boxes.borrow();
-    (boxes.other_counting(&name), boxes.counting_names())
+    (boxes.other_coordinators(&name), boxes.coordinator_names())
   };
   let totals = {
     let mut usage = gateway.usage_table.borrow_mut();
-    usage.set_counting(|peer| names.iter().any(|name| &**name == peer));
+    usage.set_coordinators(|peer| names.iter().any(|name| &**name == peer));
     let now_ms = gateway.now_ms();
     usage.set_box_count(gateway.box_count(), now_ms);
-    UseTotals {
+    UsageTotals {
       box_name: name,
-      followers: usage.follower_count(now_ms),
+      reporters: usage.reporter_count(now_ms),
       incarnation: gateway.incarnation,
-      totals: usage.totals_to_tell(span),
+      totals: usage.totals_to_report(scope),
       uptime_ms: now_ms,
     }
   };
@@ -81,7 +81,7 @@
 
 /// Reports this box's usage to the first coordinator that answers.
 async fn report_usage(gateway: &Gateway) {
-  let unreported = gateway.local_usage.borrow_mut().take_untold();
+  let unreported = gateway.local_usage.borrow_mut().take_unreported();
   let report = UsageReport {
     box_name: gateway.settings.identity.name.clone(),
     pending: None,
@@ -95,7 +95,7 @@
         gateway
           .local_usage
           .borrow_mut()
-          .heard(response.near_limit, now_ms);
+          .record_near_limit(response.near_limit, now_ms);
         return;
       }
       Err(error) => log::debug!("usage not reported to {address}: {error}"),
@@ -104,15 +104,15 @@
   // A coordinator may have charged the report although its response was lost. Reported again it is charged twice, which errs
   // towards rejecting.
   let mut local_usage = gateway.local_usage.borrow_mut();
-  local_usage.untell(report.used);
-  local_usage.note_unreached();
+  local_usage.restore_unreported(report.used);
+  local_usage.record_unreachable();
 }
 
 /// The coordinators in the order in which to try them: first the one that answered last.
 pub(super) fn coordinators(gateway: &Gateway) -> Vec<SocketAddr> {
   let identity = &gateway.settings.identity;
   let boxes = gateway.boxes.borrow();
-  let mut addresses = boxes.counting_for(&identity.name, &identity.hall);
+  let mut addresses = boxes.coordinators_for(&identity.name, &identity.hall);
   if let Some(latest) = gateway.last_coordinator.get()
     && let Some(at) = addresses.iter().position(|address| *address == latest)
   {
--- a/src/gateway/membership/store_sync.rs
+++ b/src/gateway/membership/store_sync.rs
@@ -9,7 +9,7 @@
   crate::{
     CallError, HttpClient,
     gateway::{
-      decisions::retry_pause_ms,
+      decisions::store_retry_delay_ms,
       edge::{Store, StoreChanges, StoreItem},
       state::Gateway,
     },
@@ -120,8 +120,8 @@
     let pause_ms = match watch_end {
       WatchEnd::HistoryLost => (LISTING_MS_PER_BOX * boxes as f64 * draw) as u64,
       // Readers are few, and all other boxes wait for them.
-      WatchEnd::CallFailed if is_reader => retry_pause_ms(1, self.contact_ms(), draw),
-      WatchEnd::CallFailed => retry_pause_ms(boxes, self.contact_ms(), draw),
+      WatchEnd::CallFailed if is_reader => store_retry_delay_ms(1, self.contact_ms(), draw),
+      WatchEnd::CallFailed => store_retry_delay_ms(boxes, self.contact_ms(), draw),
     };
     sleep(Duration::from_millis(pause_ms)).await;
   }
@@ -247,7 +247,7 @@
       .gateway
       .endpoints
       .borrow_mut()
-      .forget_lapsed(self.gateway.now_ms());
+      .remove_lapsed(self.gateway.now_ms());
   }
 
   /// Continues from the known revision through another box, when the store can't be listed.
@@ -268,7 +268,7 @@
       .gateway
       .boxes
       .borrow()
-      .helpers_for(&identity.name, &identity.hall);
+      .fallback_readers_for(&identity.name, &identity.hall);
     let count = helpers.len().min(MAX_HELPERS);
     let mut polls: FuturesUnordered<_> = (0..count)
       .map(|offset| helpers[(self.next_helper + offset) % helpers.len()])
@@ -319,7 +319,7 @@
   fn read_directly(&mut self) {
     self.failed_readers = 0;
     let boxes = self.gateway.boxes.borrow();
-    if boxes.is_asked(&self.gateway.settings.identity.name) {
+    if boxes.is_fallback_reader(&self.gateway.settings.identity.name) {
       self.direct_until_ms = self.gateway.now_ms() + DIRECT_MS;
     }
   }
@@ -330,7 +330,7 @@
       let boxes = self.gateway.boxes.borrow();
       (
         boxes.is_large(),
-        boxes.is_asked(&self.gateway.settings.identity.name),
+        boxes.is_fallback_reader(&self.gateway.settings.identity.name),
       )
     };
     let wait = if is_large {
--- a/src/gateway/membership/store_view.rs
+++ b/src/gateway/membership/store_view.rs
@@ -4,7 +4,7 @@
   super::listing::Listing,
   crate::{
     gateway::{
-      decisions::{HallDrainNews, QuarantineKey, QuarantineWay},
+      decisions::{HallDrainChange, QuarantineKey, QuarantineStrategy},
       edge::{RouteTable, StoreError, StoreItem, StoreKey},
       quarantine::mark_age_ms,
       state::Gateway,
@@ -51,7 +51,7 @@
         .gateway
         .endpoints
         .borrow_mut()
-        .set_store_since(Some(contact_ms));
+        .set_store_connected_since(Some(contact_ms));
     }
     self.is_failing = false;
   }
@@ -61,7 +61,11 @@
     if !self.is_failing {
       log::warn!("E402 store unreachable: {step}: {error}");
     }
-    self.gateway.endpoints.borrow_mut().set_store_since(None);
+    self
+      .gateway
+      .endpoints
+      .borrow_mut()
+      .set_store_connected_since(None);
     self.is_failing = true;
   }
 
@@ -116,7 +120,7 @@
 
   /// The quarantine marks that this box knows and a listing lacks, without those that are still to be written.
   fn quarantine_missing_from(&self, listing: &Listing) -> Vec<Name> {
-    if self.gateway.settings.quarantine.way != QuarantineWay::Shared {
+    if self.gateway.settings.quarantine.way != QuarantineStrategy::Shared {
       return Vec::new();
     }
     let quarantine = &self.gateway.quarantine;
@@ -139,10 +143,10 @@
     let mut registry = self.gateway.quarantine.registry.borrow_mut();
     match value.map(mark_age_ms) {
       Some(Some(age_ms)) => {
-        registry.note(key, self.gateway.now_ms().saturating_sub(age_ms));
+        registry.record(key, self.gateway.now_ms().saturating_sub(age_ms));
       }
       Some(None) => log::warn!("E405 value of quarantine mark {text} not parsed"),
-      None => registry.forget(key),
+      None => registry.remove(key),
     }
   }
 
@@ -152,13 +156,13 @@
       .endpoints
       .borrow_mut()
       .drained_halls_mut()
-      .note(hall, is_drained, revision);
+      .record(hall, is_drained, revision);
     match change {
-      HallDrainNews::Nothing => {}
-      HallDrainNews::Begins => {
+      HallDrainChange::Unchanged => {}
+      HallDrainChange::Started => {
         log::info!("E412 hall drained: no new requests to {hall}, revision {revision}");
       }
-      HallDrainNews::Ends => {
+      HallDrainChange::Ended => {
         log::info!("E413 hall drain ended: {hall}, revision {revision}");
         self.gateway.record_hall_cold(hall);
       }
@@ -217,7 +221,7 @@
     let now_ms = self.gateway.now_ms();
     let mut endpoints = self.gateway.endpoints.borrow_mut();
     if now_ms < self.lapse_until_ms {
-      endpoints.lapse(id, self.lapse_until_ms);
+      endpoints.mark_lapsed(id, self.lapse_until_ms);
     } else {
       endpoints.remove(id);
       self.gateway.pool.close(id);
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,7 +1,7 @@
 //! A box that routes requests by host and path to endpoints that come and go.
 //!
 //! A request's way: [`front`](requests) reads it and finds its [`Route`], `requests` choose endpoints from the
-//! [`EndpointBook`] within the [`RetryWindow`], `parts` send it over `connections`, and the answer goes back unchanged.
+//! [`EndpointRegistry`] within the [`RetryWindow`], `parts` send it over `connections`, and the answer goes back unchanged.
 //! `membership` keeps routes and endpoints as the store has them. What a platform calls all this stands behind [`Dialect`]
 //! and [`Store`].
 //!
@@ -27,15 +27,17 @@
 pub use self::{
   connections::remove_connection_headers,
   decisions::{
-    ALONE_BOXES, AllowedHalls, Availability, BoxEntry, BoxList, Choice, ColdEndpoints, ColdSpan,
-    DrainedHalls, EndpointBook, EndpointCounts, EndpointLife, EndpointLimits, Fingerprint,
-    HallDrainNews, HeardLimit, KeptPrompts, LimitBook, LimitNews, LimitSource, LimitWay,
-    LocalPermit, LocalVerdict, NoticeBook, NoticeNews, PartEnd, PermitAccount, PermitBook,
-    PermitLedger, PermitRequest, PermitVerdict, QuarantineBook, QuarantineKey, QuarantineMark,
-    QuarantineVerdict, QuarantineWay, RecentEngines, RequestIdentity, RetryAllowance, RetryWindow,
-    SeatForecast, SeatPlace, SeatQueue, SeatUrgency, Surplus, ToldSpan, Unavailable, UseBook,
-    UseBucket, UseLedger, UseRequest, UseTotals, UseVerdict, Wanted, counted_limit, endpoint_order,
-    kept_pause_ms, lone_limit, retry_after_pause_ms, retry_pause_ms, staying_engines, surplus,
+    AdvertisedLimit, AdvertisedLimits, AllowedHalls, AttemptOutcome, Availability, BoxEntry,
+    BoxList, CachedPrompts, Choice, ColdEndpoints, ColdPeriod, DrainedHalls, EndpointCounts,
+    EndpointCriteria, EndpointIncarnation, EndpointLimits, EndpointRegistry, Fingerprint,
+    HallDrainChange, ISOLATED_BOXES, LimitChange, LimitSource, LimitStrategy, LocalPermitVerdict,
+    LocalPermits, LocalUsage, LocalVerdict, NoticeChange, NoticeTracker, PermitAccount,
+    PermitRequest, PermitTable, PermitVerdict, QuarantineKey, QuarantineMark, QuarantineRegistry,
+    QuarantineStrategy, QuarantineVerdict, QueuePosition, RecentEngines, ReportScope,
+    RequestIdentity, RetryAllowance, RetryWindow, RolePlan, SlotForecast, SlotQueue, SlotUrgency,
+    TokenBucket, Unavailable, UsageRequest, UsageTable, UsageTotals, UsageVerdict,
+    coordinator_limit, coordinator_order, isolated_limit, jittered_backoff_ms, plan_roles,
+    retry_after_backoff_ms, stable_engines, store_retry_delay_ms,
   },
   edge::{
     AnswerFacts, CallerFacts, CallerLimits, ColdStart, DecodeError, Dialect, EndpointCall,
--- a/src/gateway/parts/notice.rs
+++ b/src/gateway/parts/notice.rs
@@ -3,7 +3,7 @@
 use {
   super::purpose::Purpose,
   crate::gateway::{
-    decisions::{LimitNews, NoticeNews, kept_pause_ms},
+    decisions::{LimitChange, NoticeChange, jittered_backoff_ms},
     edge::{EndpointEntry, EndpointNotice, NamedLimit},
     permits::announce_limit,
     state::Gateway,
@@ -36,7 +36,10 @@
   }
   if purpose != Purpose::GiveBack && !TURNED_AWAY.contains(&answer.status) {
     let now_ms = gateway.now_ms();
-    gateway.endpoints.borrow_mut().took_work(&entry.id, now_ms);
+    gateway
+      .endpoints
+      .borrow_mut()
+      .record_accepted(&entry.id, now_ms);
   }
   note_unknown_names(gateway, entry, answer);
   let mut notice = gateway.dialect.notice(answer.status, &answer.headers);
@@ -50,7 +53,7 @@
   let boxes = gateway.box_count();
   notice.pause_ms = notice
     .pause_ms
-    .map(|wanted_ms| kept_pause_ms(wanted_ms, boxes, gateway.draw()));
+    .map(|wanted_ms| jittered_backoff_ms(wanted_ms, boxes, gateway.draw()));
   let now_ms = gateway.now_ms();
   if let Some(unreadable) = &notice.unreadable
     && gateway.unreadable_log_throttle.should_log(now_ms)
@@ -60,7 +63,7 @@
   let news = gateway
     .endpoints
     .borrow_mut()
-    .note_notice(entry, &notice, now_ms);
+    .record_notice(entry, &notice, now_ms);
   log_news(gateway, entry, answer, news, now_ms);
 }
 
@@ -89,8 +92,8 @@
   let news = gateway
     .endpoints
     .borrow_mut()
-    .note_limit(entry, said, sent_ms, now_ms);
-  if news == LimitNews::Begins {
+    .record_limit(entry, said, sent_ms, now_ms);
+  if news == LimitChange::Started {
     gateway.counters.limit_notices.inc();
     if gateway.settings.mechanisms.endpoint_limits {
       announce_limit(gateway, &entry.id, entry.born_ms);
@@ -104,25 +107,25 @@
   gateway: &Gateway,
   entry: &EndpointEntry,
   answer: &response::Parts,
-  news: LimitNews,
+  news: LimitChange,
   now_ms: u64,
 ) {
   let is_due = match news {
-    LimitNews::Nothing => false,
-    LimitNews::Changes(_) => gateway.limit_log_throttle.should_log(now_ms),
-    LimitNews::Begins | LimitNews::Ends => true,
+    LimitChange::Unchanged => false,
+    LimitChange::Changed(_) => gateway.limit_log_throttle.should_log(now_ms),
+    LimitChange::Started | LimitChange::Ended => true,
   };
   if !is_due {
     return;
   }
-  let heard = gateway.endpoints.borrow().limits().heard(entry);
+  let heard = gateway.endpoints.borrow().limits().advertised(entry);
   let per_s = heard.and_then(|heard| heard.per_s);
   let facts = gateway.dialect.answer_facts(&answer.headers);
   let request = facts.request_id.as_deref().unwrap_or("-");
   let status = answer.status.as_u16();
   let (id, born_ms) = (&entry.id, entry.born_ms);
   match (news, per_s) {
-    (LimitNews::Changes(before), Some(per_s)) => log::info!(
+    (LimitChange::Changed(before), Some(per_s)) => log::info!(
       "E540 names a limit: {id} born {born_ms:?} takes {per_s} requests a second of all boxes, {before} before, in its answer {status} to {request}"
     ),
     (_, Some(per_s)) => log::info!(
@@ -139,10 +142,10 @@
   gateway: &Gateway,
   entry: &EndpointEntry,
   answer: &response::Parts,
-  news: NoticeNews,
+  news: NoticeChange,
   now_ms: u64,
 ) {
-  if news == NoticeNews::default() {
+  if news == NoticeChange::default() {
     return;
   }
   let facts = gateway.dialect.answer_facts(&answer.headers);
@@ -153,7 +156,7 @@
     .map(|heard_ms| now_ms - heard_ms.min(now_ms));
   let id = &entry.id;
   let status = answer.status.as_u16();
-  if news.leaves {
+  if news.starts_leaving {
     gateway.counters.leaving_notices.inc();
     gateway.pool.close(id);
     log::info!(
@@ -162,7 +165,7 @@
       listed(gateway, id)
     );
   }
-  if let Some(until_ms) = news.pauses_until_ms {
+  if let Some(until_ms) = news.backoff_until_ms {
     gateway.counters.pause_notices.inc();
     log::info!(
       "E536 pauses by its own word: {id} born {:?}, in its answer {status} to {request}, for {} ms",
--- a/src/gateway/permits/acquisition.rs
+++ b/src/gateway/permits/acquisition.rs
@@ -2,15 +2,15 @@
 
 use {
   super::{
-    cold_span_message::ColdSpanMessage,
+    cold_period_message::ColdPeriodMessage,
     messages::{PermitRequestMessage, PermitResponse, grant_permits, request_permits},
     relayed_limit::RelayedLimit,
   },
   crate::{
     gateway::{
       decisions::{
-        ALONE_BOXES, EndpointLife, HeardLimit, LocalPermit, PermitRequest, PermitVerdict,
-        Unavailable, endpoint_order, lone_limit,
+        AdvertisedLimit, EndpointIncarnation, ISOLATED_BOXES, LocalPermitVerdict, PermitRequest,
+        PermitVerdict, Unavailable, coordinator_order, isolated_limit,
       },
       edge::EndpointEntry,
       state::Gateway,
@@ -80,14 +80,14 @@
     .borrow_mut()
     .limits_mut()
     .permits()
-    .take(&entry.id, now_ms);
+    .acquire(&entry.id, now_ms);
   let permit_request = match local {
-    LocalPermit::Granted => {
+    LocalPermitVerdict::Granted => {
       gateway.counters.permits_taken.inc();
       return Ok(Permit::Taken);
     }
-    LocalPermit::Refused { wait_ms } => return Err(no_permit(gateway, wait_ms)),
-    LocalPermit::Ask { permits, unused } => PermitRequest {
+    LocalPermitVerdict::Rejected { wait_ms } => return Err(no_permit(gateway, wait_ms)),
+    LocalPermitVerdict::Ask { permits, unused } => PermitRequest {
       box_name: gateway.settings.identity.name.clone(),
       permits,
       priority: caller.priority,
@@ -105,13 +105,13 @@
     .borrow_mut()
     .limits_mut()
     .permits()
-    .note_verdict(&entry.id, verdict, now_ms);
+    .record_verdict(&entry.id, verdict, now_ms);
   match verdict {
     PermitVerdict::Granted(_) => {
       gateway.counters.permits_taken.inc();
       Ok(Permit::Taken)
     }
-    PermitVerdict::Refused { wait_ms } => Err(no_permit(gateway, wait_ms)),
+    PermitVerdict::Rejected { wait_ms } => Err(no_permit(gateway, wait_ms)),
   }
 }
 
@@ -122,11 +122,11 @@
   endpoints
     .limits_mut()
     .permits()
-    .give_back(&entry.id, now_ms);
+    .return_unused(&entry.id, now_ms);
 }
 
 /// The limit in force at an endpoint: advertised, or that of a cold endpoint.
-fn effective_limit(gateway: &Gateway, entry: &EndpointEntry) -> Option<HeardLimit> {
+fn effective_limit(gateway: &Gateway, entry: &EndpointEntry) -> Option<AdvertisedLimit> {
   let now_ms = gateway.now_ms();
   gateway.endpoints.borrow().limits().in_force(entry, now_ms)
 }
@@ -135,15 +135,15 @@
 async fn decide(
   gateway: &Gateway,
   entry: &EndpointEntry,
-  limit: HeardLimit,
+  limit: AdvertisedLimit,
   permit_request: &PermitRequest,
 ) -> (PermitVerdict, DecidedBy) {
-  let incarnation = EndpointLife::of(&entry.id, entry.born_ms);
-  let order = endpoint_order(
+  let incarnation = EndpointIncarnation::of(&entry.id, entry.born_ms);
+  let order = coordinator_order(
     &gateway.boxes.borrow(),
     &entry.id,
     &entry.hall,
-    1 + ALONE_BOXES,
+    1 + ISOLATED_BOXES,
   );
   let own_name = &gateway.settings.identity.name;
   if let Some((name, address)) = order.first() {
@@ -182,15 +182,15 @@
     let endpoints = gateway.endpoints.borrow();
     let limits = endpoints.limits();
     (
-      limits.heard(entry),
-      limits.cold_span(&entry.id, entry.born_ms, now_ms),
+      limits.advertised(entry),
+      limits.cold_period(&entry.id, entry.born_ms, now_ms),
     )
   };
   let message = PermitRequestMessage {
     advertised: advertised.map(|limit| RelayedLimit::new(limit, now_ms)),
     box_name: permit_request.box_name.clone(),
     born_ms: entry.born_ms,
-    cold: cold.map(|span| ColdSpanMessage::new(span, now_ms)),
+    cold: cold.map(|period| ColdPeriodMessage::new(period, now_ms)),
     endpoint: entry.id.clone(),
     hall: entry.hall.clone(),
     permits: permit_request.permits,
@@ -205,7 +205,7 @@
         let mut endpoints = gateway.endpoints.borrow_mut();
         let limits = endpoints.limits_mut();
         let limit = advertised.on_local_clock(now_ms);
-        limits.note_told(&entry.id, entry.born_ms, limit);
+        limits.record_reported(&entry.id, entry.born_ms, limit);
       }
       Some(response)
     }
@@ -227,15 +227,15 @@
 /// can't be computed for an unknown number of isolated boxes.
 fn decide_isolated(
   gateway: &Gateway,
-  incarnation: EndpointLife,
-  limit: HeardLimit,
+  incarnation: EndpointIncarnation,
+  limit: AdvertisedLimit,
   permit_request: &PermitRequest,
   order: &[(Name, SocketAddr)],
 ) -> PermitVerdict {
   let own_name = &gateway.settings.identity.name;
   let may_grant = order.iter().skip(1).any(|(name, _)| name == own_name) || order.is_empty();
   let Some(per_s) = limit.per_s.filter(|_| may_grant) else {
-    return PermitVerdict::Refused {
+    return PermitVerdict::Rejected {
       wait_ms: COORDINATOR_RETRY_MS,
     };
   };
@@ -244,9 +244,9 @@
     unused: 0,
     ..permit_request.clone()
   };
-  gateway.isolated_permits.borrow_mut().ask(
+  gateway.isolated_permits.borrow_mut().request(
     incarnation,
-    lone_limit(per_s),
+    isolated_limit(per_s),
     &permit_request,
     gateway.now_ms(),
   )
@@ -254,7 +254,7 @@
 
 fn no_permit(gateway: &Gateway, wait_ms: u64) -> Unavailable {
   gateway.counters.without_permit.inc();
-  Unavailable::NoPermit { left_ms: wait_ms }
+  Unavailable::NoPermit { remaining_ms: wait_ms }
 }
 
 /// Logs a decision with the limit, its source and age, and the box that decided.
@@ -262,14 +262,14 @@
   gateway: &Gateway,
   entry: &EndpointEntry,
   caller: PermitCaller,
-  limit: HeardLimit,
+  limit: AdvertisedLimit,
   verdict: PermitVerdict,
   decided_by: DecidedBy,
 ) {
   let PermitCaller { request, priority } = caller;
-  let HeardLimit { per_s, source, .. } = limit;
+  let AdvertisedLimit { per_s, source, .. } = limit;
   let per_s = per_s.unwrap_or_default();
-  let age_ms = gateway.now_ms().saturating_sub(limit.heard_ms);
+  let age_ms = gateway.now_ms().saturating_sub(limit.received_ms);
   let id = &entry.id;
   let basis =
     format!("limit {per_s} per second from {source:?} {age_ms} ms ago, decided by {decided_by}");
@@ -279,7 +279,7 @@
         "E544 permit: {request} (priority {priority}) at {id}, {permits} permits, {basis}"
       );
     }
-    PermitVerdict::Refused { wait_ms } => {
+    PermitVerdict::Rejected { wait_ms } => {
       log::info!(
         "E543 no permit: {request} (priority {priority}) at {id} for {wait_ms} ms, {basis}"
       );
--- a/src/gateway/permits/announcement.rs
+++ b/src/gateway/permits/announcement.rs
@@ -6,7 +6,7 @@
   crate::{
     gateway::{
       connections::{read_message, send_message, status_answer},
-      decisions::{HeardLimit, LimitNews},
+      decisions::{AdvertisedLimit, LimitChange},
       state::Gateway,
     },
     ids::Name,
@@ -43,14 +43,17 @@
     .endpoints
     .borrow()
     .limits()
-    .heard_of(endpoint, born_ms);
+    .advertised_by(endpoint, born_ms);
   let Some(limit) = limit else {
     return;
   };
   let own_name = &gateway.settings.identity.name;
   let (coordinators, own_hall) = {
     let boxes = gateway.boxes.borrow();
-    (boxes.other_counting(own_name), boxes.told_on_by(own_name))
+    (
+      boxes.other_coordinators(own_name),
+      boxes.forwarded_by(own_name),
+    )
   };
   let message = LimitAnnouncement {
     born_ms,
@@ -107,10 +110,10 @@
   } = &message;
   let limit = message.limit.on_local_clock(now_ms);
   let change = record_relayed_limit(gateway, endpoint, *born_ms, limit);
-  if change == LimitNews::Begins && !message.is_forwarded {
+  if change == LimitChange::Started && !message.is_forwarded {
     let addresses = {
       let boxes = gateway.boxes.borrow();
-      boxes.told_on_by(&gateway.settings.identity.name)
+      boxes.forwarded_by(&gateway.settings.identity.name)
     };
     let limit = RelayedLimit::new(limit, now_ms);
     forward(gateway, addresses, LimitAnnouncement { limit, ..message });
@@ -122,15 +125,17 @@
   gateway: &Gateway,
   endpoint: &Name,
   born_ms: Option<u64>,
-  limit: HeardLimit,
-) -> LimitNews {
+  limit: AdvertisedLimit,
+) -> LimitChange {
   let mut endpoints = gateway.endpoints.borrow_mut();
-  let change = endpoints.limits_mut().note_told(endpoint, born_ms, limit);
-  if change == LimitNews::Begins {
+  let change = endpoints
+    .limits_mut()
+    .record_reported(endpoint, born_ms, limit);
+  if change == LimitChange::Started {
     log::info!(
       "E540 limit advertised: {endpoint} started {born_ms:?} takes {} requests per second from all boxes, received by another box {} ms ago",
       limit.per_s.unwrap_or_default(),
-      gateway.now_ms().saturating_sub(limit.heard_ms)
+      gateway.now_ms().saturating_sub(limit.received_ms)
     );
   }
   change
--- a/src/gateway/permits/messages.rs
+++ b/src/gateway/permits/messages.rs
@@ -2,14 +2,16 @@
 
 use {
   super::{
-    announcement::record_relayed_limit, cold_span_message::ColdSpanMessage,
+    announcement::record_relayed_limit, cold_period_message::ColdPeriodMessage,
     relayed_limit::RelayedLimit,
   },
   crate::{
     CallError, HttpClient,
     gateway::{
       connections::{message_answer, read_message, send_message, status_answer},
-      decisions::{EndpointLife, PermitRequest, PermitVerdict, counted_limit, endpoint_order},
+      decisions::{
+        EndpointIncarnation, PermitRequest, PermitVerdict, coordinator_limit, coordinator_order,
+      },
       state::Gateway,
     },
     ids::Name,
@@ -37,7 +39,7 @@
   /// The limit that the endpoint advertised; `None` when it advertised none.
   pub(super) advertised: Option<RelayedLimit>,
   /// `None` when the endpoint is warm as far as the requesting box knows.
-  pub(super) cold: Option<ColdSpanMessage>,
+  pub(super) cold: Option<ColdPeriodMessage>,
   pub(super) permits: u32,
   /// Permits of the last grant that were not used.
   pub(super) unused: u32,
@@ -82,7 +84,7 @@
 /// Whether this box grants the permits of the requested endpoint.
 fn is_coordinator_of(gateway: &Gateway, message: &PermitRequestMessage) -> bool {
   let boxes = gateway.boxes.borrow();
-  let order = endpoint_order(&boxes, &message.endpoint, &message.hall, 1);
+  let order = coordinator_order(&boxes, &message.endpoint, &message.hall, 1);
   let is_first = order
     .first()
     .is_some_and(|(name, _)| *name == gateway.settings.identity.name);
@@ -98,9 +100,9 @@
   let mut endpoints = gateway.endpoints.borrow_mut();
   if let Some(cold) = message.cold {
     let limits = endpoints.limits_mut();
-    limits.note_cold(id, born_ms, cold.on_local_clock(now_ms));
+    limits.record_cold(id, born_ms, cold.on_local_clock(now_ms));
   }
-  let advertised = endpoints.limits().heard_of(id, born_ms);
+  let advertised = endpoints.limits().advertised_by(id, born_ms);
   let per_s = endpoints.limits().lowest_per_s(id, born_ms, now_ms);
   drop(endpoints);
   let permit_request = PermitRequest {
@@ -113,7 +115,7 @@
     advertised: advertised.map(|limit| RelayedLimit::new(limit, now_ms)),
     verdict: grant_permits(
       gateway,
-      EndpointLife::of(id, born_ms),
+      EndpointIncarnation::of(id, born_ms),
       per_s,
       &permit_request,
     ),
@@ -123,22 +125,22 @@
 /// Grants permits as the coordinator; without a limit as many as requested.
 pub(super) fn grant_permits(
   gateway: &Gateway,
-  incarnation: EndpointLife,
+  incarnation: EndpointIncarnation,
   per_s: Option<f64>,
   permit_request: &PermitRequest,
 ) -> PermitVerdict {
   let Some(per_s) = per_s else {
     return PermitVerdict::Granted(permit_request.permits);
   };
-  let verdict = gateway.permit_table.borrow_mut().ask(
+  let verdict = gateway.permit_table.borrow_mut().request(
     incarnation,
-    counted_limit(per_s),
+    coordinator_limit(per_s),
     permit_request,
     gateway.now_ms(),
   );
   match verdict {
     PermitVerdict::Granted(permits) => gateway.counters.permits_granted.add(permits.into()),
-    PermitVerdict::Refused { .. } => gateway.counters.permits_rejected.inc(),
+    PermitVerdict::Rejected { .. } => gateway.counters.permits_rejected.inc(),
   }
   verdict
 }
--- a/src/gateway/permits/metrics.rs
+++ b/src/gateway/permits/metrics.rs
@@ -2,7 +2,7 @@
 
 use {
   crate::gateway::{
-    decisions::{EndpointLife, HeardLimit},
+    decisions::{AdvertisedLimit, EndpointIncarnation},
     state::Gateway,
   },
   crate::ids::Name,
@@ -17,7 +17,7 @@
   let now_ms = gateway.now_ms();
   let mut text = String::new();
   for (id, limit) in lowest_limits(gateway) {
-    let age_ms = now_ms.saturating_sub(limit.heard_ms);
+    let age_ms = now_ms.saturating_sub(limit.received_ms);
     let per_s = limit.per_s.unwrap_or_default();
     // Writing to a `String` cannot fail.
     let _ = writeln!(
@@ -35,7 +35,7 @@
   text
 }
 
-fn lowest_limits(gateway: &Gateway) -> Vec<(Name, HeardLimit)> {
+fn lowest_limits(gateway: &Gateway) -> Vec<(Name, AdvertisedLimit)> {
   let endpoints = gateway.endpoints.borrow();
   let mut limits: Vec<_> = endpoints
     .limits()
@@ -43,7 +43,7 @@
     .map(|(id, limit)| (id.clone(), limit))
     .collect();
   limits.sort_by(|one, other| {
-    let per_s = |limit: HeardLimit| limit.per_s.unwrap_or_default();
+    let per_s = |limit: AdvertisedLimit| limit.per_s.unwrap_or_default();
     per_s(one.1)
       .total_cmp(&per_s(other.1))
       .then_with(|| one.0.cmp(&other.0))
@@ -55,6 +55,9 @@
 /// The permits remaining for an endpoint; `None` where this box has granted none.
 fn remaining_permits(gateway: &Gateway, id: &str, now_ms: u64) -> Option<f64> {
   let born_ms = gateway.endpoints.borrow().entry(id)?.born_ms;
-  let incarnation = EndpointLife::of(id, born_ms);
-  gateway.permit_table.borrow_mut().left(incarnation, now_ms)
+  let incarnation = EndpointIncarnation::of(id, born_ms);
+  gateway
+    .permit_table
+    .borrow_mut()
+    .remaining(incarnation, now_ms)
 }
--- a/src/gateway/permits/mod.rs
+++ b/src/gateway/permits/mod.rs
@@ -1,11 +1,11 @@
 //! Permits for endpoints that advertise a rate limit over all boxes: a request is sent to such an endpoint only with a permit.
 //!
-//! Imports the folders up to `state`. The decisions are in `decisions`: `limit_book` for advertised limits, `permit_account` for
-//! the coordinator of an endpoint, `permit_ledger` for all other boxes, `endpoint_order` for the choice of the coordinator.
+//! Imports the folders up to `state`. The decisions are in `decisions`: `advertised_limits`, `permit_account` for the coordinator of an
+//! endpoint, `local_permits` for all other boxes, `coordinator_order` for the choice of the coordinator.
 
 mod acquisition;
 mod announcement;
-mod cold_span_message;
+mod cold_period_message;
 mod messages;
 mod metrics;
 mod relayed_limit;
--- a/src/gateway/permits/relayed_limit.rs
+++ b/src/gateway/permits/relayed_limit.rs
@@ -1,7 +1,7 @@
 //! The limit that an endpoint advertised, as boxes send it to each other.
 
 use {
-  crate::gateway::decisions::{HeardLimit, LimitSource},
+  crate::gateway::decisions::{AdvertisedLimit, LimitSource},
   serde::{Deserialize, Serialize},
 };
 
@@ -15,17 +15,17 @@
 }
 
 impl RelayedLimit {
-  pub(super) fn new(limit: HeardLimit, now_ms: u64) -> Self {
+  pub(super) fn new(limit: AdvertisedLimit, now_ms: u64) -> Self {
     Self {
-      age_ms: now_ms.saturating_sub(limit.heard_ms),
+      age_ms: now_ms.saturating_sub(limit.received_ms),
       per_s: limit.per_s,
     }
   }
 
   /// The limit on the clock of the receiving box. A rate that is negative or not finite counts as no limit.
-  pub(super) fn on_local_clock(self, now_ms: u64) -> HeardLimit {
-    HeardLimit {
-      heard_ms: now_ms.saturating_sub(self.age_ms),
+  pub(super) fn on_local_clock(self, now_ms: u64) -> AdvertisedLimit {
+    AdvertisedLimit {
+      received_ms: now_ms.saturating_sub(self.age_ms),
       per_s: self
         .per_s
         .filter(|per_s| per_s.is_finite() && *per_s >= 0.0),
--- a/src/gateway/quarantine/crash_detection.rs
+++ b/src/gateway/quarantine/crash_detection.rs
@@ -3,7 +3,9 @@
 use {
   super::screening::publish,
   crate::gateway::{
-    decisions::{EndpointLife, Fingerprint, QuarantineKey, QuarantineMark, QuarantineWay},
+    decisions::{
+      EndpointIncarnation, Fingerprint, QuarantineKey, QuarantineMark, QuarantineStrategy,
+    },
     edge::EndpointEntry,
     parts::RoutedRequest,
     state::Gateway,
@@ -66,7 +68,7 @@
 ) {
   let is_near = {
     let registry = gateway.quarantine.registry.borrow();
-    !registry.is_empty() && registry.is_near(lost.fingerprint)
+    !registry.is_empty() && registry.is_near_quarantine(lost.fingerprint)
   };
   // A task of its own: it completes even when the caller disconnects.
   let examined = spawn_local(examine(gateway.clone(), request.clone(), lost));
@@ -94,7 +96,7 @@
     return;
   }
   gateway.counters.lost_with_endpoint.inc();
-  if gateway.settings.quarantine.way != QuarantineWay::Off {
+  if gateway.settings.quarantine.way != QuarantineStrategy::Off {
     let incarnation = reached_incarnation(&gateway, &entry, fingerprint, sent_ms).await;
     record_crash(&gateway, fingerprint, incarnation);
   }
@@ -107,14 +109,14 @@
   chosen: &EndpointEntry,
   fingerprint: Fingerprint,
   sent_ms: u64,
-) -> EndpointLife {
-  let incarnation = EndpointLife::of(&chosen.id, chosen.born_ms);
-  let ended_ms = gateway
+) -> EndpointIncarnation {
+  let incarnation = EndpointIncarnation::of(&chosen.id, chosen.born_ms);
+  let crashed_ms = gateway
     .quarantine
     .registry
     .borrow()
-    .ended_since_ms(fingerprint, incarnation);
-  if ended_ms.is_none_or(|ended_ms| sent_ms <= ended_ms) {
+    .crashed_since_ms(fingerprint, incarnation);
+  if crashed_ms.is_none_or(|crashed_ms| sent_ms <= crashed_ms) {
     return incarnation;
   }
   let until_ms = gateway.now_ms() + ENTRY_TIMEOUT_MS;
@@ -125,7 +127,7 @@
       .entry(&chosen.id)
       .and_then(|current| current.born_ms);
     if born_ms.is_some() && born_ms != chosen.born_ms {
-      return EndpointLife::of(&chosen.id, born_ms);
+      return EndpointIncarnation::of(&chosen.id, born_ms);
     }
     if gateway.now_ms() >= until_ms {
       return incarnation;
@@ -135,14 +137,14 @@
 }
 
 /// Records that an incarnation of an endpoint crashed on a request.
-fn record_crash(gateway: &Gateway, fingerprint: Fingerprint, incarnation: EndpointLife) {
+fn record_crash(gateway: &Gateway, fingerprint: Fingerprint, incarnation: EndpointIncarnation) {
   let key = QuarantineKey {
     fingerprint,
-    mark: QuarantineMark::Ended(incarnation),
+    mark: QuarantineMark::Crashed(incarnation),
   };
   let now_ms = gateway.now_ms();
   let mut registry = gateway.quarantine.registry.borrow_mut();
-  if !registry.note(key, now_ms) {
+  if !registry.record(key, now_ms) {
     return;
   }
   // Most fingerprints see a single crash, which need not be published at once.
--- a/src/gateway/quarantine/messages.rs
+++ b/src/gateway/quarantine/messages.rs
@@ -60,7 +60,11 @@
     .filter_map(|text| QuarantineKey::parse(text))
     .collect();
   for key in &keys {
-    gateway.quarantine.registry.borrow_mut().note(*key, now_ms);
+    gateway
+      .quarantine
+      .registry
+      .borrow_mut()
+      .record(*key, now_ms);
   }
   gateway.quarantine.write(&keys, MarkOrigin::Peer, true);
 }
--- a/src/gateway/quarantine/mod.rs
+++ b/src/gateway/quarantine/mod.rs
@@ -1,6 +1,6 @@
 //! Quarantine of requests that crash the endpoints that run them: crash detection, marks shared with all boxes, and screening.
 //!
-//! Imports the folders up to `parts`. The decisions are in `decisions::quarantine_book`; the last check before each send is in
+//! Imports the folders up to `parts`. The decisions are in `decisions::quarantine_registry`; the last check before each send is in
 //! `parts`.
 
 mod crash_detection;
--- a/src/gateway/quarantine/screening.rs
+++ b/src/gateway/quarantine/screening.rs
@@ -2,7 +2,9 @@
 
 use {
   crate::gateway::{
-    decisions::{Fingerprint, QuarantineKey, QuarantineMark, QuarantineVerdict, QuarantineWay},
+    decisions::{
+      Fingerprint, QuarantineKey, QuarantineMark, QuarantineStrategy, QuarantineVerdict,
+    },
     parts::{RoutedRequest, Sending},
     state::{Gateway, MarkOrigin},
   },
@@ -23,7 +25,7 @@
   gateway: &Rc<Gateway>,
   request: &RoutedRequest,
 ) -> Result<(), Quarantined> {
-  let is_off = gateway.settings.quarantine.way == QuarantineWay::Off;
+  let is_off = gateway.settings.quarantine.way == QuarantineStrategy::Off;
   if is_off || gateway.quarantine.registry.borrow().is_empty() {
     return Ok(());
   }
@@ -33,13 +35,13 @@
     let registry = gateway.quarantine.registry.borrow();
     (
       registry.verdict(fingerprint, now_ms),
-      registry.due(fingerprint, now_ms),
+      registry.marks_to_refresh(fingerprint, now_ms),
     )
   };
   refresh_marks(gateway, &due, now_ms);
   let quarantined = match verdict {
-    QuarantineVerdict::Free => return Ok(()),
-    QuarantineVerdict::Trial { number } => {
+    QuarantineVerdict::Allowed => return Ok(()),
+    QuarantineVerdict::Probe { number } => {
       if claim_probe(gateway, request, number).await {
         return Ok(());
       }
@@ -47,7 +49,7 @@
         retry_after_ms: CLAIM_RETRY_MS,
       }
     }
-    QuarantineVerdict::Held { retry_after_ms } => Quarantined { retry_after_ms },
+    QuarantineVerdict::Quarantined { retry_after_ms } => Quarantined { retry_after_ms },
   };
   gateway.counters.quarantined.inc();
   log_quarantined(gateway, request, quarantined);
@@ -61,7 +63,7 @@
   }
   let mut registry = gateway.quarantine.registry.borrow_mut();
   for key in due {
-    registry.note(*key, now_ms);
+    registry.record(*key, now_ms);
   }
   drop(registry);
   publish(gateway, due, false);
@@ -71,16 +73,16 @@
 async fn claim_probe(gateway: &Gateway, request: &RoutedRequest, number: u32) -> bool {
   let key = QuarantineKey {
     fingerprint: request.fingerprint(),
-    mark: QuarantineMark::Trial(number),
+    mark: QuarantineMark::Probe(number),
   };
   let is_own = match gateway.settings.quarantine.way {
-    QuarantineWay::Off => false,
-    QuarantineWay::OwnBox => true,
-    QuarantineWay::Shared => gateway.quarantine.claim(key).await,
+    QuarantineStrategy::Off => false,
+    QuarantineStrategy::OwnBox => true,
+    QuarantineStrategy::Shared => gateway.quarantine.claim(key).await,
   };
   // Recorded either way: a probe that was not granted belongs to another box, or its holder is unknown.
   let now_ms = gateway.now_ms();
-  gateway.quarantine.registry.borrow_mut().note(key, now_ms);
+  gateway.quarantine.registry.borrow_mut().record(key, now_ms);
   if is_own {
     request.sending.set(Sending::Trial(number));
     log::info!(
@@ -110,9 +112,9 @@
   if let Sending::Trial(number) = request.sending.get() {
     let key = QuarantineKey {
       fingerprint: request.fingerprint(),
-      mark: QuarantineMark::Trial(number),
+      mark: QuarantineMark::Probe(number),
     };
-    gateway.quarantine.registry.borrow_mut().forget(key);
+    gateway.quarantine.registry.borrow_mut().remove(key);
     gateway.quarantine.remove(&[key]);
   }
 }
@@ -142,7 +144,7 @@
 
 /// Publishes marks to the other boxes, where quarantine is shared.
 pub(super) fn publish(gateway: &Gateway, keys: &[QuarantineKey], is_urgent: bool) {
-  if gateway.settings.quarantine.way == QuarantineWay::Shared {
+  if gateway.settings.quarantine.way == QuarantineStrategy::Shared {
     gateway.quarantine.write(keys, MarkOrigin::Local, is_urgent);
   }
 }
--- a/src/gateway/quarantine/sync.rs
+++ b/src/gateway/quarantine/sync.rs
@@ -5,7 +5,7 @@
   super::messages::send_marks,
   crate::{
     gateway::{
-      decisions::{QuarantineKey, retry_pause_ms},
+      decisions::{QuarantineKey, store_retry_delay_ms},
       edge::{MOST_CHANGED_KEYS, Store, StoreError},
       state::{Gateway, MarkOrigin, ProbeClaim},
     },
@@ -45,7 +45,7 @@
     }
     let boxes = sync.gateway.box_count();
     let contact_ms = sync.gateway.settings.bounds.contact_ms;
-    let pause_ms = retry_pause_ms(boxes, contact_ms, sync.gateway.draw());
+    let pause_ms = store_retry_delay_ms(boxes, contact_ms, sync.gateway.draw());
     sleep(Duration::from_millis(pause_ms)).await;
   }
 }
@@ -69,7 +69,7 @@
   loop {
     sleep(EXPIRY_INTERVAL).await;
     let now_ms = gateway.now_ms();
-    let expired = gateway.quarantine.registry.borrow_mut().forget_old(now_ms);
+    let expired = gateway.quarantine.registry.borrow_mut().expire(now_ms);
     let is_first = {
       let boxes = gateway.boxes.borrow();
       boxes.names().first() == Some(&gateway.settings.identity.name)
@@ -171,7 +171,7 @@
       .gateway
       .boxes
       .borrow()
-      .helpers_for(&identity.name, &identity.hall);
+      .fallback_readers_for(&identity.name, &identity.hall);
     for address in helpers.into_iter().take(MAX_DELEGATES) {
       match send_marks(&self.gateway.box_client, address, &own).await {
         Ok(()) => return own,
--- a/src/gateway/requests/event_source.rs
+++ b/src/gateway/requests/event_source.rs
@@ -8,7 +8,7 @@
     stream_send::SILENCE_MS,
   },
   crate::gateway::{
-    decisions::PartEnd,
+    decisions::AttemptOutcome,
     parts::{Head, PartError, RoutedRequest},
     quarantine::{LostStage, record_lost_stage, record_success},
     state::InFlight,
@@ -179,7 +179,7 @@
     );
     record_success(&gateway, &self.stream.request, RoutedRequest::fingerprint);
     let took_ms = gateway.now_ms() - self.stream.request.arrived_ms;
-    gateway.slot_forecast.borrow_mut().note_stream(took_ms);
+    gateway.slot_forecast.borrow_mut().record_stream(took_ms);
     if let Some(mut head) = self.head.take() {
       head.booking.answered();
       gateway.keep_alive(head.connection, &head.raw_headers);
@@ -197,7 +197,7 @@
       self.stream.last_event_id
     );
     if let Some(mut head) = self.head.take() {
-      head.booking.settle(PartEnd::Lost);
+      head.booking.settle(AttemptOutcome::Lost);
       let lost = LostStage {
         entry: head.entry.clone(),
         error: error.clone(),
--- a/src/gateway/requests/prompt.rs
+++ b/src/gateway/requests/prompt.rs
@@ -4,7 +4,7 @@
   crate::{
     decide::Role,
     gateway::{
-      decisions::{Choice, Wanted},
+      decisions::{Choice, EndpointCriteria},
       edge::{EndpointEntry, Part},
       parts::{KeptExport, OutgoingPart, PartError, RoutedRequest, send_part},
       quarantine::{LostStage, record_lost_stage, record_success},
@@ -55,10 +55,10 @@
   }
   let mut tried = Vec::new();
   for _ in 0..MOST_UNREACHABLE {
-    let choice = gateway.choose(Wanted {
+    let choice = gateway.choose(EndpointCriteria {
       allowed_halls: &request.allowed_halls,
       hall,
-      may_repeat: true,
+      is_retryable: true,
       role: Some(Role::Prefill),
       service: &request.service,
       size: request.facts.prompt_tokens.max(1),
@@ -70,7 +70,7 @@
     }
     let entry = choice.entry;
     let sent_ms = gateway.now_ms();
-    match read_at(gateway, request, &entry, choice.ahead).await {
+    match read_at(gateway, request, &entry, choice.queued_ahead).await {
       Ok(handle) => {
         record_success(gateway, request, RoutedRequest::reading_fingerprint);
         let ttl_ms = export_ttl_ms(gateway, request);
@@ -112,7 +112,7 @@
   if !gateway.settings.mechanisms.prompts_past_readers {
     return false;
   }
-  if gateway.draw() >= choice.share_beyond(limit_ms) {
+  if gateway.draw() >= choice.share_over(limit_ms) {
     return false;
   }
   log::info!(
--- a/src/gateway/roles/role_leader.rs
+++ b/src/gateway/roles/role_leader.rs
@@ -4,7 +4,7 @@
   crate::{
     decide::Role,
     gateway::{
-      decisions::{RecentEngines, Surplus, staying_engines, surplus, with_role},
+      decisions::{RecentEngines, RolePlan, plan_roles, stable_engines, with_role},
       edge::{EndpointEntry, EngineReport, RoleChange, Store},
       parts::{Purpose, call_engine},
       state::{Gateway, Phase},
@@ -92,15 +92,15 @@
       .pending
       .retain(|_, command| now_ms < command.since_ms + COMMAND_PENDING_MS);
     for service in self.services() {
-      if let Some(surplus) = self.surplus_of(&service, now_ms) {
-        self.reassign(surplus).await;
+      if let Some(plan) = self.plan_for(&service, now_ms) {
+        self.reassign(plan).await;
       }
     }
   }
 
   fn record_engines(&mut self) {
     let entries = self.current_entries();
-    self.recent.note(&entries, self.gateway.now_ms());
+    self.recent.record(&entries, self.gateway.now_ms());
   }
 
   fn current_entries(&self) -> Vec<EndpointEntry> {
@@ -113,7 +113,7 @@
       return;
     }
     let name = &self.gateway.settings.identity.name;
-    if !self.gateway.boxes.borrow().is_candidate(name) {
+    if !self.gateway.boxes.borrow().is_leader_candidate(name) {
       return;
     }
     let spread_ms = (self.gateway.draw() * ELECTION_SPREAD_MS) as u64;
@@ -154,32 +154,32 @@
   }
 
   /// The engines of a service that have to change their role now.
-  fn surplus_of(&mut self, service: &Name, now_ms: u64) -> Option<Surplus> {
+  fn plan_for(&mut self, service: &Name, now_ms: u64) -> Option<RolePlan> {
     let engines = self.engines(service);
     let share = self.prefill_share(service, &engines);
     let missing = self.missing(service);
-    let Some(mut surplus) = surplus(&engines, &missing, share) else {
+    let Some(mut plan) = plan_roles(&engines, &missing, share) else {
       self.shortage_since_ms.remove(service);
       return None;
     };
     let prefill = with_role(&engines, Role::Prefill).count();
-    if !self.is_due(service, &surplus, prefill, now_ms) {
+    if !self.is_due(service, &plan, prefill, now_ms) {
       return None;
     }
-    surplus
+    plan
       .engines
       .retain(|engine| !self.pending.contains_key(&engine.id));
-    if surplus.engines.is_empty() {
+    if plan.engines.is_empty() {
       return None;
     }
     log::info!(
       "E425 roles of {service}: {prefill} of {} engines prefill, {} more were present recently, target share {share}: {} become {:?}",
       engines.len(),
       missing.len(),
-      surplus.engines.len(),
-      surplus.role
+      plan.engines.len(),
+      plan.role
     );
-    Some(surplus)
+    Some(plan)
   }
 
   /// The engines of a service that were present recently and now are not.
@@ -193,7 +193,7 @@
   /// The engines of a service that are not leaving, each in its role or in the one that it was commanded to take.
   fn engines(&self, service: &Name) -> Vec<EndpointEntry> {
     let entries = self.current_entries();
-    staying_engines(&entries)
+    stable_engines(&entries)
       .filter(|entry| entry.service == *service)
       .map(|entry| {
         let command = self.pending.get(&entry.id);
@@ -207,12 +207,12 @@
 
   /// Whether surplus engines change their role now: decode engines only when at least half of the target number of prefill engines
   /// has been lacking for `SHORTAGE_TIMEOUT_MS`.
-  fn is_due(&mut self, service: &Name, surplus: &Surplus, prefill: usize, now_ms: u64) -> bool {
-    if surplus.role == Role::Decode {
+  fn is_due(&mut self, service: &Name, plan: &RolePlan, prefill: usize, now_ms: u64) -> bool {
+    if plan.role == Role::Decode {
       self.shortage_since_ms.remove(service);
       return true;
     }
-    let target = prefill + surplus.engines.len();
+    let target = prefill + plan.engines.len();
     if prefill * 2 > target {
       self.shortage_since_ms.remove(service);
       return false;
@@ -237,7 +237,7 @@
     let endpoints = self.gateway.endpoints.borrow();
     let load = |role| {
       with_role(engines, role)
-        .map(|engine| endpoints.own_load(&engine.id))
+        .map(|engine| endpoints.local_load(&engine.id))
         .fold((0, 0), |sum, load| (sum.0 + load.0, sum.1 + load.1))
     };
     let (_, queue_tokens) = load(Role::Prefill);
@@ -255,13 +255,13 @@
   }
 
   /// Commands engines into a role, each after the store has confirmed that this box is still leader.
-  async fn reassign(&mut self, surplus: Surplus) {
-    for engine in surplus.engines {
+  async fn reassign(&mut self, plan: RolePlan) {
+    for engine in plan.engines {
       let Some(report) = self.report(&engine).await else {
         continue;
       };
-      if report.order_under_way || report.role == Some(surplus.role) {
-        self.record_command(&engine, surplus.role);
+      if report.order_under_way || report.role == Some(plan.role) {
+        self.record_command(&engine, plan.role);
         continue;
       }
       let Some(fence) = self.confirmed_fence().await else {
@@ -272,7 +272,7 @@
         fence,
         holder: self.gateway.settings.identity.name.clone(),
         orders_taken: report.orders_taken,
-        role: surplus.role,
+        role: plan.role,
       };
       self.send(&engine, &change).await;
     }
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -10,9 +10,9 @@
     gateway::{
       connections::{Connection, ConnectionPool},
       decisions::{
-        BoxList, Choice, ColdSpan, EndpointBook, EndpointCounts, KeptPrompts, PartEnd, PermitBook,
-        RetryWindow, SeatForecast, SeatQueue, Unavailable, UseBook, UseLedger, Wanted,
-        retry_after_pause_ms,
+        AttemptOutcome, BoxList, CachedPrompts, Choice, ColdPeriod, EndpointCounts,
+        EndpointCriteria, EndpointRegistry, LocalUsage, PermitTable, RetryWindow, SlotForecast,
+        SlotQueue, Unavailable, UsageTable, retry_after_backoff_ms,
       },
       edge::{ColdStart, Dialect, EndpointEntry, RouteTable, StoreLease},
       settings::{GatewaySettings, RoutePolicy},
@@ -68,7 +68,7 @@
   pub(crate) dialect: Rc<dyn Dialect>,
   pub(crate) settings: GatewaySettings,
   pub(crate) policy: RoutePolicy,
-  pub(crate) endpoints: RefCell<EndpointBook>,
+  pub(crate) endpoints: RefCell<EndpointRegistry>,
   pub(crate) pool: ConnectionPool,
   pub(crate) counters: Counters,
   pub(crate) phase: watch::Sender<Phase>,
@@ -84,26 +84,26 @@
   pub(crate) store_contact_ms: Cell<Option<u64>>,
   pub(crate) quarantine: Quarantine,
   /// When engines are expected to have free batch slots.
-  pub(crate) slot_forecast: RefCell<SeatForecast>,
+  pub(crate) slot_forecast: RefCell<SlotForecast>,
   /// The requests that wait for a batch slot.
-  pub(crate) slot_queue: RefCell<SeatQueue>,
+  pub(crate) slot_queue: RefCell<SlotQueue>,
   /// Notified when a request leaves that queue.
   pub(crate) slot_queue_changed: Notify,
   /// Moving mean of the time from the reservation of a slot to the first event.
   pub(crate) mean_first_event_ms: Cell<Option<f64>>,
   /// The cached prompts that the engines of each service listed.
-  cached_prompts: RefCell<HashMap<Name, Rc<Mutex<KeptPrompts>>>>,
+  cached_prompts: RefCell<HashMap<Name, Rc<Mutex<CachedPrompts>>>>,
   pub(crate) lease: Cell<Option<HeldLease>>,
   /// Organisations' usage over all boxes, on a coordinator.
-  pub(crate) usage_table: RefCell<UseBook>,
+  pub(crate) usage_table: RefCell<UsageTable>,
   /// Organisations' usage at this box, and what coordinators report of the rest.
-  pub(crate) local_usage: RefCell<UseLedger>,
+  pub(crate) local_usage: RefCell<LocalUsage>,
   /// The coordinator of usage that answered last.
   pub(crate) last_coordinator: Cell<Option<SocketAddr>>,
   /// Permits that this box grants as the coordinator of an endpoint.
-  pub(crate) permit_table: RefCell<PermitBook>,
+  pub(crate) permit_table: RefCell<PermitTable>,
   /// Permits that it grants itself while isolated from the coordinator.
-  pub(crate) isolated_permits: RefCell<PermitBook>,
+  pub(crate) isolated_permits: RefCell<PermitTable>,
   pub(crate) unresponsive_boxes: RefCell<UnresponsiveBoxes>,
   pub(crate) box_client: HttpClient,
   /// Identifies this run of the process.
@@ -217,12 +217,12 @@
   pub(crate) fn is_coordinator(&self) -> bool {
     let identity = &self.settings.identity;
     let boxes = self.boxes.borrow();
-    boxes.is_counting(&identity.name, &identity.hall)
+    boxes.is_coordinator(&identity.name, &identity.hall)
   }
 
   /// Whether this box decides on limits as a coordinator.
   pub(crate) fn coordinates_usage(&self) -> bool {
-    self.settings.limits.way.is_told() && self.is_coordinator()
+    self.settings.limits.way.uses_coordinators() && self.is_coordinator()
   }
 
   /// Whether the last contact with the store is recent enough to trust this box's view of it.
@@ -252,11 +252,11 @@
     }
   }
 
-  pub(crate) fn choose(&self, wanted: Wanted) -> Option<Choice> {
+  pub(crate) fn choose(&self, criteria: EndpointCriteria) -> Option<Choice> {
     self
       .endpoints
       .borrow()
-      .choose(wanted, self.now_ms(), || self.draw())
+      .choose(criteria, self.now_ms(), || self.draw())
   }
 
   /// Records that an endpoint is cold for `cold_ms` from now. Has no effect when the configuration sets no cold start for its service.
@@ -264,15 +264,15 @@
     let Some(cold_start) = self.cold_start(&entry.service) else {
       return;
     };
-    let noted_ms = self.now_ms();
-    let span = ColdSpan {
-      noted_ms,
+    let recorded_ms = self.now_ms();
+    let period = ColdPeriod {
+      recorded_ms,
       per_s: cold_start.per_s,
-      until_ms: noted_ms.saturating_add(cold_ms),
+      until_ms: recorded_ms.saturating_add(cold_ms),
     };
     let mut endpoints = self.endpoints.borrow_mut();
     let limits = endpoints.limits_mut();
-    limits.note_cold(&entry.id, entry.born_ms, span);
+    limits.record_cold(&entry.id, entry.born_ms, period);
   }
 
   /// Records the endpoints of a hall as cold. When its drain ends they may have just turned cold, and their entries lag behind.
@@ -303,22 +303,22 @@
   /// The retry-after delay of a request that found no available endpoint: until the first backoff of the service's endpoints ends, or
   /// `default_ms` when no endpoint backs off.
   pub(crate) fn retry_after_ms(&self, service: &str, default_ms: u64) -> u64 {
-    let reopens_in_ms = self
+    let available_in_ms = self
       .endpoints
       .borrow()
-      .reopens_in_ms(service, self.now_ms());
-    reopens_in_ms.map_or(default_ms, |reopens_in_ms| {
-      retry_after_pause_ms(reopens_in_ms, self.draw())
+      .available_in_ms(service, self.now_ms());
+    available_in_ms.map_or(default_ms, |available_in_ms| {
+      retry_after_backoff_ms(available_in_ms, self.draw())
     })
   }
 
   /// Records the outcome of a stage at an endpoint.
-  pub(crate) fn finish_stage(&self, id: &str, size: u64, units: u64, end: PartEnd) {
+  pub(crate) fn finish_stage(&self, id: &str, size: u64, units: u64, outcome: AttemptOutcome) {
     self
       .endpoints
       .borrow_mut()
-      .ended(id, size, units, end, self.now_ms());
-    if matches!(end, PartEnd::Lost | PartEnd::Unreachable) {
+      .record_outcome(id, size, units, outcome, self.now_ms());
+    if matches!(outcome, AttemptOutcome::Lost | AttemptOutcome::Unreachable) {
       self.pool.close(id);
     }
   }
@@ -345,7 +345,7 @@
   /// Backs off from an endpoint whose response is overdue, and closes its idle connections, which may be dead too.
   pub(crate) fn mark_overdue(&self, id: &str) {
     log::info!("E514 response overdue: backing off from {id}");
-    self.endpoints.borrow_mut().overdue(id, self.now_ms());
+    self.endpoints.borrow_mut().mark_overdue(id, self.now_ms());
     self.pool.close(id);
   }
 
@@ -354,7 +354,7 @@
     log::info!(
       "E513 backing off from {id}: it granted a slot and rejects requests, or its exports are gone"
     );
-    self.endpoints.borrow_mut().blame(id, self.now_ms());
+    self.endpoints.borrow_mut().mark_faulty(id, self.now_ms());
   }
 
   /// The number of a service's endpoints by availability.
@@ -369,11 +369,11 @@
       known,
       leaving,
       limited,
-      pausing,
+      backing_off,
     } = self.endpoints.borrow().count(None, self.now_ms());
     let unknown_headers = self.unknown_headers.borrow().count();
     let mut text = format!(
-      "rillford_endpoints {known}\nrillford_endpoints_leaving {leaving}\nrillford_endpoints_pausing {pausing}\n\
+      "rillford_endpoints {known}\nrillford_endpoints_leaving {leaving}\nrillford_endpoints_pausing {backing_off}\n\
        rillford_endpoints_limited {limited}\nrillford_endpoints_drained {drained}\n\
        rillford_unknown_answer_names {unknown_headers}\nrillford_boxes {}\n",
       self.boxes.borrow().len()
@@ -394,7 +394,7 @@
   }
 
   /// The cached prompts of a service's engines; locked while they are listed.
-  pub(crate) fn cached_prompts(&self, service: &Name) -> Rc<Mutex<KeptPrompts>> {
+  pub(crate) fn cached_prompts(&self, service: &Name) -> Rc<Mutex<CachedPrompts>> {
     self
       .cached_prompts
       .borrow_mut()
@@ -411,7 +411,7 @@
       .borrow_mut()
       .entry(service.clone())
       .or_default()
-      .note_request(now_ms);
+      .record_request(now_ms);
   }
 
   /// Whether the retry budget allows a retry now.
@@ -423,7 +423,7 @@
     windows
       .entry(service.clone())
       .or_default()
-      .left(allowance, boxes, now_ms)
+      .remaining(allowance, boxes, now_ms)
       >= 1.0
   }
 
@@ -431,7 +431,7 @@
   pub(crate) fn return_retry(&self, service: &Name) {
     let now_ms = self.now_ms();
     if let Some(window) = self.retry_windows.borrow_mut().get_mut(service) {
-      window.give_back(now_ms);
+      window.refund(now_ms);
     }
   }
 
@@ -452,12 +452,12 @@
 }
 
 /// The endpoint registry, which honours notices and limits as the settings say.
-fn endpoint_registry(settings: &GatewaySettings) -> EndpointBook {
+fn endpoint_registry(settings: &GatewaySettings) -> EndpointRegistry {
   let mechanisms = &settings.mechanisms;
   let registry = if mechanisms.endpoint_notices {
-    EndpointBook::default()
+    EndpointRegistry::default()
   } else {
-    EndpointBook::ignoring_notices()
+    EndpointRegistry::ignoring_notices()
   };
   if mechanisms.endpoint_limits {
     registry
--- a/src/gateway/state/quarantine.rs
+++ b/src/gateway/state/quarantine.rs
@@ -1,7 +1,7 @@
 //! A box's quarantine state: the known marks, and the changes still to be written to the store.
 
 use {
-  crate::gateway::decisions::{QuarantineBook, QuarantineKey},
+  crate::gateway::decisions::{QuarantineKey, QuarantineRegistry},
   std::{
     cell::RefCell,
     collections::{BTreeMap, BTreeSet},
@@ -32,7 +32,7 @@
 
 /// The quarantine registry, and the queues of changes for the store.
 pub(crate) struct Quarantine {
-  pub(crate) registry: RefCell<QuarantineBook>,
+  pub(crate) registry: RefCell<QuarantineRegistry>,
   /// Marks that are not yet in the store.
   pub(crate) unwritten: RefCell<BTreeMap<QuarantineKey, MarkOrigin>>,
   /// Obsolete marks that may still be in the store.
@@ -111,7 +111,7 @@
     format!(
       "rillford_quarantine_known {}\nrillford_quarantine_held {}\n",
       registry.len(),
-      registry.held()
+      registry.quarantined()
     )
   }
 
--- a/tests/gateway/hall_drain.rs
+++ b/tests/gateway/hall_drain.rs
@@ -11,7 +11,8 @@
   rillford::{
     decide::Role,
     gateway::{
-      AllowedHalls, DrainedHalls, EndpointBook, EndpointEntry, HallDrainNews, Unavailable, Wanted,
+      AllowedHalls, DrainedHalls, EndpointCriteria, EndpointEntry, EndpointRegistry,
+      HallDrainChange, Unavailable,
     },
   },
   rstest::rstest,
@@ -253,22 +254,25 @@
 
 #[test]
 fn choice_and_check_honour_a_drain_and_the_role_leader_counts_its_engines_as_leaving() {
-  let mut endpoints = EndpointBook::default();
+  let mut endpoints = EndpointRegistry::default();
   endpoints.put(entry("a", OWN_HALL));
   endpoints.put(entry("b", OTHER_HALL));
   endpoints
     .drained_halls_mut()
-    .note(&OWN_HALL.into(), true, 7);
-  let wanted = Wanted {
+    .record(&OWN_HALL.into(), true, 7);
+  let criteria = EndpointCriteria {
     allowed_halls: &AllowedHalls::Any,
     hall: OWN_HALL,
-    may_repeat: true,
+    is_retryable: true,
     role: None,
     service: "llm",
     size: 1,
     tried: &[],
   };
-  assert_eq!(&*endpoints.choose(wanted, 0, || 0.5).unwrap().entry.id, "b");
+  assert_eq!(
+    &*endpoints.choose(criteria, 0, || 0.5).unwrap().entry.id,
+    "b"
+  );
   let drained = entry("a", OWN_HALL);
   assert_eq!(endpoints.check(&drained, 0), Err(Unavailable::HallDrained));
   assert!(!endpoints.is_leaving(&drained, 0));
@@ -282,12 +286,12 @@
 fn latest_change_of_a_hall_applies_in_any_order_of_arrival() {
   let mut halls = DrainedHalls::default();
   let hall = OWN_HALL.into();
-  assert_eq!(halls.note(&hall, true, 10), HallDrainNews::Begins);
-  assert_eq!(halls.note(&hall, true, 10), HallDrainNews::Nothing);
-  assert_eq!(halls.note(&hall, false, 20), HallDrainNews::Ends);
-  assert_eq!(halls.note(&hall, true, 10), HallDrainNews::Nothing);
+  assert_eq!(halls.record(&hall, true, 10), HallDrainChange::Started);
+  assert_eq!(halls.record(&hall, true, 10), HallDrainChange::Unchanged);
+  assert_eq!(halls.record(&hall, false, 20), HallDrainChange::Ended);
+  assert_eq!(halls.record(&hall, true, 10), HallDrainChange::Unchanged);
   assert!(!halls.is_drained(OWN_HALL));
-  assert_eq!(halls.note(&hall, true, 30), HallDrainNews::Begins);
-  assert_eq!(halls.note(&hall, false, 20), HallDrainNews::Nothing);
+  assert_eq!(halls.record(&hall, true, 30), HallDrainChange::Started);
+  assert_eq!(halls.record(&hall, false, 20), HallDrainChange::Unchanged);
   assert!(halls.is_drained(OWN_HALL) && !halls.is_drained(OTHER_HALL));
 }
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -7,8 +7,8 @@
   proptest::{prelude::*, proptest},
   rillford::{
     gateway::{
-      LimitWay, LocalVerdict, ToldSpan, UseBook, UseLedger, UseLimit, UseRequest, UseTotals,
-      UseVerdict,
+      LimitStrategy, LocalUsage, LocalVerdict, ReportScope, UsageRequest, UsageTable, UsageTotals,
+      UsageVerdict, UseLimit,
     },
     ids::Name,
   },
@@ -18,7 +18,7 @@
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=2;
 
-fn plays(pattern: LimitPattern, way: LimitWay) -> Vec<LimitFigures> {
+fn plays(pattern: LimitPattern, way: LimitStrategy) -> Vec<LimitFigures> {
   SEEDS
     .map(|seed| replay_limits(pattern, LimitFleet::USERS, way, seed))
     .collect()
@@ -43,7 +43,7 @@
 #[case::limits_cut(LimitPattern::LimitsCut)]
 #[case::callers_of_one_hall(LimitPattern::OneHall)]
 fn bound_holds_and_nobody_inside_a_limit_is_refused(#[case] pattern: LimitPattern) {
-  let plays = plays(pattern, LimitWay::AskedWhenShort);
+  let plays = plays(pattern, LimitStrategy::AskNearLimit);
   assert!(most_used(&plays) < 1.0, "{plays:?}");
   assert!(refused_inside(&plays) < 0.001, "{plays:?}");
 }
@@ -51,7 +51,7 @@
 /// Every fourth box reaches no other while an organisation is hot.
 #[test]
 fn bound_holds_while_boxes_are_alone() {
-  let plays = plays(LimitPattern::HotAndLoneBoxes, LimitWay::AskedWhenShort);
+  let plays = plays(LimitPattern::HotAndLoneBoxes, LimitStrategy::AskNearLimit);
   assert!(most_used(&plays) < 1.0, "{plays:?}");
   assert!(refused_inside(&plays) < 0.05, "{plays:?}");
 }
@@ -59,22 +59,22 @@
 /// A box that counts claims a thousand times its counts: that refuses callers, and lets nobody go beyond a limit.
 #[test]
 fn box_that_lies_lets_nobody_beyond_a_limit() {
-  let plays = plays(LimitPattern::HotAndLiar, LimitWay::AskedWhenShort);
+  let plays = plays(LimitPattern::HotAndLiar, LimitStrategy::AskNearLimit);
   assert!(most_used(&plays) < 1.0, "{plays:?}");
 }
 
 /// An even part of the limit for each box refuses half of the callers who are inside it.
 #[test]
 fn counting_together_serves_those_whom_even_parts_refuse() {
-  assert!(refused_inside(&plays(LimitPattern::Calm, LimitWay::EvenParts)) > 0.3);
+  assert!(refused_inside(&plays(LimitPattern::Calm, LimitStrategy::EvenSplit)) > 0.3);
 }
 
 /// What others admit while a message is on its way goes beyond the limit; asking first keeps that small.
 #[test]
 fn asking_when_short_goes_less_beyond_a_limit_than_telling_afterwards() {
   for pattern in [LimitPattern::Hot, LimitPattern::HotAndLag] {
-    let told = plays(pattern, LimitWay::ToldSums);
-    let asked = plays(pattern, LimitWay::AskedWhenShort);
+    let told = plays(pattern, LimitStrategy::ReportedTotals);
+    let asked = plays(pattern, LimitStrategy::AskNearLimit);
     assert!(most_used(&asked) < most_used(&told), "{pattern:?}");
   }
 }
@@ -83,7 +83,7 @@
 /// much.
 #[test]
 fn little_is_admitted_untold_while_messages_lag() {
-  let plays = plays(LimitPattern::HotAndLag, LimitWay::AskedWhenShort);
+  let plays = plays(LimitPattern::HotAndLag, LimitStrategy::AskNearLimit);
   assert!(most_used(&plays) < 1.25, "{plays:?}");
 }
 
@@ -94,46 +94,46 @@
   }
 }
 
-fn book(now_ms: u64) -> UseBook {
-  let mut book = UseBook::default();
+fn book(now_ms: u64) -> UsageTable {
+  let mut book = UsageTable::default();
   book.set_limits([("a".into(), limit())], now_ms);
   book
 }
 
-fn totals(box_name: &str, incarnation: u64, uptime_ms: u64, units: i64) -> UseTotals {
-  UseTotals {
+fn totals(box_name: &str, incarnation: u64, uptime_ms: u64, units: i64) -> UsageTotals {
+  UsageTotals {
     box_name: box_name.into(),
-    followers: 0,
+    reporters: 0,
     incarnation,
     totals: vec![("a".into(), units)],
     uptime_ms,
   }
 }
 
-fn left(book: &mut UseBook, now_ms: u64) -> f64 {
+fn left(book: &mut UsageTable, now_ms: u64) -> f64 {
   // Settles what is assumed of others.
-  book.short(now_ms);
-  book.left("a", now_ms).unwrap().0
+  book.near_limit(now_ms);
+  book.remaining("a", now_ms).unwrap().0
 }
 
 #[test]
 fn totals_of_others_are_charged_once_whatever_is_lost_or_comes_twice() {
   let mut book = book(0);
   for units in [10, 10, 30, 30] {
-    book.hear(&totals("north-0", 1, 0, units), 0, 0);
+    book.merge_totals(&totals("north-0", 1, 0, units), 0, 0);
   }
   assert_eq!(left(&mut book, 0), 70.0);
   // It has started anew.
-  book.hear(&totals("north-0", 2, 0, 20), 0, 0);
+  book.merge_totals(&totals("north-0", 2, 0, 20), 0, 0);
   assert_eq!(left(&mut book, 0), 50.0);
 }
 
 #[test]
 fn what_an_older_box_counted_before_is_not_charged() {
   let mut book = book(0);
-  book.hear(&totals("north-0", 1, 90_000, 1_000_000), 10, 0);
+  book.merge_totals(&totals("north-0", 1, 90_000, 1_000_000), 10, 0);
   assert_eq!(left(&mut book, 0), 100.0);
-  book.hear(&totals("north-0", 1, 90_100, 1_000_030), 110, 0);
+  book.merge_totals(&totals("north-0", 1, 90_100, 1_000_030), 110, 0);
   assert_eq!(left(&mut book, 0), 70.0);
 }
 
@@ -141,10 +141,10 @@
 #[test]
 fn box_that_stops_counting_and_comes_back_is_charged_what_is_new() {
   let mut book = book(0);
-  book.hear(&totals("north-0", 1, 0, 50), 0, 0);
-  book.set_counting(|_| false);
-  book.set_counting(|_| true);
-  book.hear(&totals("north-0", 1, 100, 60), 100, 0);
+  book.merge_totals(&totals("north-0", 1, 0, 50), 0, 0);
+  book.set_coordinators(|_| false);
+  book.set_coordinators(|_| true);
+  book.merge_totals(&totals("north-0", 1, 100, 60), 100, 0);
   assert_eq!(left(&mut book, 0), 40.0);
 }
 
@@ -154,15 +154,15 @@
   let mut told = 0;
   for at_ms in [0, 500, 1_000] {
     told += 40;
-    book.count("a", 40, at_ms);
-    book.hear(&totals("north-0", 1, at_ms, told), at_ms, at_ms);
+    book.charge("a", 40, at_ms);
+    book.merge_totals(&totals("north-0", 1, at_ms, told), at_ms, at_ms);
   }
   let at_cut = left(&mut book, 1_000);
   // Half of the rate is the other's.
   let after = left(&mut book, 2_000) - at_cut;
   assert!((45.0..55.0).contains(&after), "{after}");
   // It used nothing.
-  book.hear(&totals("north-0", 1, 2_000, told), 2_000, 2_000);
+  book.merge_totals(&totals("north-0", 1, 2_000, told), 2_000, 2_000);
   assert_eq!(left(&mut book, 2_000) - at_cut, 100.0);
 }
 
@@ -175,23 +175,26 @@
   };
   book.set_limits([("a".into(), lower)], 0);
   let a: Name = "a".into();
-  assert_eq!(book.admit(&a, 10, 0), UseVerdict::Within);
-  assert!(matches!(book.admit(&a, 10, 0), UseVerdict::Beyond { .. }));
+  assert_eq!(book.admit(&a, 10, 0), UsageVerdict::WithinLimit);
+  assert!(matches!(
+    book.admit(&a, 10, 0),
+    UsageVerdict::OverLimit { .. }
+  ));
   book.set_limits([("a".into(), limit())], 0);
-  assert_eq!(book.admit(&a, 90, 0), UseVerdict::Within);
+  assert_eq!(book.admit(&a, 90, 0), UsageVerdict::WithinLimit);
   book.set_limits([], 0);
-  assert_eq!(book.admit(&a, 1_000, 0), UseVerdict::Within);
+  assert_eq!(book.admit(&a, 1_000, 0), UsageVerdict::WithinLimit);
 }
 
 /// Totals that fell back to nothing would be taken for units given back.
 #[test]
 fn organisation_that_loses_its_limit_and_gets_it_back_goes_on_from_its_total() {
   let mut counting = book(0);
-  counting.count("a", 80, 0);
+  counting.charge("a", 80, 0);
   counting.set_limits([], 0);
   counting.set_limits([("a".into(), limit())], 0);
   assert_eq!(
-    counting.totals_to_tell(ToldSpan::All),
+    counting.totals_to_report(ReportScope::All),
     [(Name::from("a"), 80)]
   );
 }
@@ -201,25 +204,25 @@
 #[case::silence(false, 1_001)]
 #[case::no_answer(true, 10)]
 fn box_that_is_alone_asks_nobody(#[case] is_unreached: bool, #[case] now_ms: u64) {
-  let mut ledger = UseLedger::default();
-  ledger.heard(vec![("a".into(), 10.0)], 0);
+  let mut ledger = LocalUsage::default();
+  ledger.record_near_limit(vec![("a".into(), 10.0)], 0);
   let organisation = "a".into();
-  let mut request = UseRequest {
+  let mut request = UsageRequest {
     boxes: 10,
     limit: limit(),
     now_ms: 0,
     organisation: &organisation,
     units: 5,
   };
-  let way = LimitWay::AskedWhenShort;
+  let way = LimitStrategy::AskNearLimit;
   assert_eq!(ledger.admit(request, way), LocalVerdict::Ask);
   if is_unreached {
-    ledger.note_unreached();
+    ledger.record_unreachable();
   }
   request.now_ms = now_ms;
-  let within = LocalVerdict::Settled(UseVerdict::Within);
+  let within = LocalVerdict::Settled(UsageVerdict::WithinLimit);
   assert_eq!(ledger.admit(request, way), within);
-  ledger.heard(vec![], now_ms);
+  ledger.record_near_limit(vec![], now_ms);
   assert_eq!(ledger.admit(request, way), within);
 }
 
@@ -251,21 +254,21 @@
     for step in steps {
       match step {
         Step::Asks { at, units } => {
-          if books[at].admit(&"a".into(), units, now_ms) == UseVerdict::Within {
+          if books[at].admit(&"a".into(), units, now_ms) == UsageVerdict::WithinLimit {
             admitted += units;
             untold[at] += units;
             most_untold = most_untold.max(untold[0].min(untold[1]));
           }
         }
         Step::Tells { from } => {
-          let told = UseTotals {
+          let told = UsageTotals {
             box_name: format!("north-{from}").as_str().into(),
-            followers: 0,
+            reporters: 0,
             incarnation: 1,
-            totals: books[from].totals_to_tell(ToldSpan::All),
+            totals: books[from].totals_to_report(ReportScope::All),
             uptime_ms: now_ms,
           };
-          books[1 - from].hear(&told, now_ms, now_ms);
+          books[1 - from].merge_totals(&told, now_ms, now_ms);
           untold[from] = 0;
         }
         Step::Passes { ms } => now_ms += ms,
--- a/tests/gateway/relay.rs
+++ b/tests/gateway/relay.rs
@@ -8,7 +8,9 @@
   http_body_util::Full,
   rillford::{
     HttpClient,
-    gateway::{BoxEntry, BoxList, ChangeLog, StoreChanges, StoreItem, StoreKey, retry_pause_ms},
+    gateway::{
+      BoxEntry, BoxList, ChangeLog, StoreChanges, StoreItem, StoreKey, store_retry_delay_ms,
+    },
   },
   rstest::rstest,
 };
@@ -133,7 +135,7 @@
   #[case] contact_ms: u64,
 ) {
   for draw in [0.0, 0.5, 1.0] {
-    assert!(retry_pause_ms(boxes, contact_ms, draw) <= contact_ms / 2);
+    assert!(store_retry_delay_ms(boxes, contact_ms, draw) <= contact_ms / 2);
   }
 }
 
@@ -145,9 +147,9 @@
 fn in_a_large_deployment_only_readers_are_candidates_for_role_leader(
   #[case] halls: &[(&str, usize)],
   #[case] name: &str,
-  #[case] is_candidate: bool,
+  #[case] is_leader_candidate: bool,
 ) {
-  assert_eq!(boxes(halls).is_candidate(name), is_candidate);
+  assert_eq!(boxes(halls).is_leader_candidate(name), is_leader_candidate);
 }
 
 #[test]
@@ -170,9 +172,9 @@
 fn which_boxes_fall_back_to_the_store(
   #[case] halls: &[(&str, usize)],
   #[case] name: &str,
-  #[case] is_asked: bool,
+  #[case] is_fallback_reader: bool,
 ) {
-  assert_eq!(boxes(halls).is_asked(name), is_asked);
+  assert_eq!(boxes(halls).is_fallback_reader(name), is_fallback_reader);
 }
 
 /// The response to a follower at a revision.
