--- a/src/subcommand/admin_client.rs
+++ b/src/subcommand/admin_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the administration API of a box.
+//! A client of the administration API of a box.
 
 use {
   crate::{CallError, Error, HttpClient, ProblemBody, Result},
@@ -10,9 +10,9 @@
   std::time::Duration,
 };
 
-const LIMIT: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Which box to ask, and the key to ask with.
+/// The box to call, and the administration key.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct AdminClient {
   /// Base URL of a box's administration API
@@ -23,7 +23,7 @@
   pub(crate) key: String,
 }
 
-/// A call to be made.
+/// A call to the administration API.
 pub(super) struct AdminCall<'a> {
   pub(super) operation: &'static str,
   pub(super) method: Method,
@@ -45,7 +45,7 @@
 }
 
 impl AdminClient {
-  /// Makes a call and reads its JSON answer.
+  /// Makes a call and parses the JSON response.
   pub(super) fn call<T: DeserializeOwned>(&self, call: AdminCall) -> Result<T> {
     let operation = call.operation;
     let failed = |message: String| Error::Call {
@@ -64,8 +64,12 @@
       .request(call)
       .map_err(|error| failed(error.to_string()))?;
     runtime
-      .block_on(async { HttpClient::default().fetch_json(request, LIMIT).await })
-      .map_err(|error| failed(explain(&error)))
+      .block_on(async {
+        HttpClient::default()
+          .fetch_json(request, CALL_TIMEOUT)
+          .await
+      })
+      .map_err(|error| failed(error_message(&error)))
   }
 
   fn request(&self, call: AdminCall) -> Result<Request<Full<Bytes>>, http::Error> {
@@ -81,7 +85,7 @@
   }
 }
 
-fn explain(error: &CallError) -> String {
+fn error_message(error: &CallError) -> String {
   if let CallError::Status { status, text, .. } = error
     && let Ok(problem) = serde_json::from_str::<ProblemBody>(text)
   {
--- a/src/subcommand/check.rs
+++ b/src/subcommand/check.rs
@@ -1,4 +1,4 @@
-//! `rillford check`: all that is wrong, at once, offline.
+//! `rillford check`: validates files offline and reports all errors at once.
 
 use {
   crate::{
@@ -35,7 +35,7 @@
   organisation: Vec<PathBuf>,
 }
 
-fn read(path: &Path) -> Result<String> {
+fn read_file(path: &Path) -> Result<String> {
   fs::read_to_string(path).map_err(|source| Error::Read {
     path: path.into(),
     source,
@@ -43,7 +43,7 @@
 }
 
 fn policy_errors(path: &Path) -> Result<Vec<SettingsError>> {
-  let Err(error) = Program::compile(&read(path)?) else {
+  let Err(error) = Program::compile(&read_file(path)?) else {
     return Ok(Vec::new());
   };
   let line = match &error {
@@ -59,7 +59,7 @@
 }
 
 fn document_errors(path: &Path, key: &str) -> Result<Vec<SettingsError>> {
-  let Err(error) = parse_document(&key.into(), &read(path)?) else {
+  let Err(error) = parse_document(&key.into(), &read_file(path)?) else {
     return Ok(Vec::new());
   };
   let line = match &error {
@@ -121,7 +121,7 @@
     if !errors.is_empty() {
       return Err(Error::Settings(errors));
     }
-    println!("{files} files are right");
+    println!("{files} files are valid");
     Ok(())
   }
 }
--- a/src/subcommand/config.rs
+++ b/src/subcommand/config.rs
@@ -1,4 +1,4 @@
-//! `rillford config`: configuration documents by the administration API.
+//! `rillford config`: reads and writes configuration documents through the administration API.
 
 use {
   super::admin_client::{AdminCall, AdminClient, admin_client},
@@ -20,12 +20,12 @@
     #[bpaf(positional("DOCUMENT"))]
     document: String,
   },
-  /// Write a document if it is still at the revision that was read
+  /// Write a document if it is still at the given revision
   #[bpaf(command)]
   Put {
     #[bpaf(external)]
     admin_client: AdminClient,
-    /// Revision that was read; 0 for a new document
+    /// Expected revision; 0 for a new document
     #[bpaf(long("if-match"), argument("REVISION"))]
     if_match: u64,
     /// File with the new text
@@ -35,7 +35,7 @@
     #[bpaf(positional("DOCUMENT"))]
     document: String,
   },
-  /// Print the earlier states of a document
+  /// Print the revisions of a document
   #[bpaf(command)]
   History {
     #[bpaf(external)]
--- a/src/subcommand/drain.rs
+++ b/src/subcommand/drain.rs
@@ -1,4 +1,4 @@
-//! `rillford drain`: an endpoint gets no new work.
+//! `rillford drain`: stops sending new work to an endpoint, or resumes it.
 
 use {
   super::admin_client::{AdminCall, AdminClient, admin_client},
@@ -7,12 +7,12 @@
   http::Method,
 };
 
-/// Stop new work to an endpoint, or take it back
+/// Stop sending new work to an endpoint, or resume it
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct Drain {
   #[bpaf(external)]
   admin_client: AdminClient,
-  /// Take the endpoint back instead
+  /// Resume sending work to the endpoint instead
   #[bpaf(long)]
   undo: bool,
   /// The endpoint
@@ -22,13 +22,13 @@
 
 impl Drain {
   pub(crate) fn run(self) -> Result {
-    let word = if self.undo { "undrain" } else { "drain" };
+    let action = if self.undo { "undrain" } else { "drain" };
     let call = AdminCall {
       body: String::new(),
       if_match: None,
       method: Method::POST,
       operation: "draining",
-      path: &format!("/endpoints/{}/{word}", self.endpoint),
+      path: &format!("/endpoints/{}/{action}", self.endpoint),
     };
     self.admin_client.call::<serde_json::Value>(call)?;
     if self.undo {
--- a/src/subcommand/limits.rs
+++ b/src/subcommand/limits.rs
@@ -1,4 +1,4 @@
-//! Shows what is left of organisations' limits, the limits that endpoints name, and the halls that operators drain.
+//! `rillford limits`: shows the remaining limits of organisations, the limits that endpoints advertise, and drained halls.
 
 use {
   crate::{Error, HttpClient, Result},
@@ -9,41 +9,46 @@
 };
 
 const OPERATION: &str = "limits";
-const LIMIT: Duration = Duration::from_secs(10);
-/// What a line on an organisation begins with in a box's figures.
-const LINE_START: &str = "rillford_limit_left_units{organisation=\"";
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Start of the metric line of an organisation.
+const ORGANISATION_LINE_START: &str = "rillford_limit_left_units{organisation=\"";
 
-/// What a line on an endpoint begins with there.
+/// Start of the metric line of an endpoint that advertises a limit.
 const ENDPOINT_LINE_START: &str = "rillford_endpoint_limit_per_s{endpoint=\"";
 
-/// What a line on a drained hall begins with there.
+/// Start of the metric line of a drained hall.
 const HALL_LINE_START: &str = "rillford_hall_drained{hall=\"";
 
-/// Which box to ask.
+/// The box to query.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct ShowLimits {
-  /// Where a gateway box shows its figures; the first two boxes of a hall count organisations' use
+  /// URL of a gateway box's metrics; the first two boxes of a hall account organisations' usage
   #[bpaf(long, argument("URL"))]
   metrics: String,
 }
 
 impl ShowLimits {
-  /// Prints a line for each organisation, the one nearest to its limit first, for each endpoint that names a limit, the lowest
-  /// first, and for each hall that is drained.
+  /// Prints a line for each organisation (the one nearest to its limit first), for each endpoint that advertises a
+  /// limit (the lowest first), and for each drained hall.
   pub(crate) fn run(self) -> Result {
-    let figures = self.figures()?;
-    print_organisations(figures.lines().filter_map(LimitRow::parse).collect());
+    let metrics = self.fetch_metrics()?;
+    print_organisations(
+      metrics
+        .lines()
+        .filter_map(OrganisationLimitRow::parse)
+        .collect(),
+    );
     print_endpoints(
-      figures
+      metrics
         .lines()
         .filter_map(EndpointLimitRow::parse)
         .collect(),
     );
-    print_drained_halls(figures.lines().filter_map(drained_hall));
+    print_drained_halls(metrics.lines().filter_map(parse_drained_hall));
     Ok(())
   }
 
-  fn figures(&self) -> Result<String> {
+  fn fetch_metrics(&self) -> Result<String> {
     let failed = |message: String| Error::Call {
       message,
       operation: OPERATION,
@@ -60,15 +65,19 @@
       .body(Full::default())
       .map_err(|error| failed(error.to_string()))?;
     let bytes = runtime
-      .block_on(async { HttpClient::default().fetch_bytes(request, LIMIT).await })
+      .block_on(async {
+        HttpClient::default()
+          .fetch_bytes(request, CALL_TIMEOUT)
+          .await
+      })
       .map_err(|error| failed(error.to_string()))?;
     Ok(String::from_utf8_lossy(&bytes).into_owned())
   }
 }
 
-fn print_organisations(rows: Vec<LimitRow>) {
+fn print_organisations(rows: Vec<OrganisationLimitRow>) {
   if rows.is_empty() {
-    println!("this box counts no organisation's use");
+    println!("this box accounts no organisation's usage");
     return;
   }
   println!(
@@ -105,24 +114,24 @@
   }
 }
 
-/// The hall of a line on one that is drained.
-fn drained_hall(line: &str) -> Option<&str> {
+/// The hall in the metric line of a drained hall.
+fn parse_drained_hall(line: &str) -> Option<&str> {
   let (hall, _) = line.strip_prefix(HALL_LINE_START)?.split_once("\"} ")?;
   Some(hall)
 }
 
-/// One organisation in a box's figures.
+/// The limit of one organisation in a box's metrics.
 #[derive(Debug, Eq, PartialEq)]
-struct LimitRow<'a> {
+struct OrganisationLimitRow<'a> {
   organisation: &'a str,
   rate_per_s: &'a str,
   burst: &'a str,
   left: &'a str,
 }
 
-impl<'a> LimitRow<'a> {
+impl<'a> OrganisationLimitRow<'a> {
   fn parse(line: &'a str) -> Option<Self> {
-    let rest = line.strip_prefix(LINE_START)?;
+    let rest = line.strip_prefix(ORGANISATION_LINE_START)?;
     let (organisation, rest) = rest.split_once("\",rate_per_s=\"")?;
     let (rate_per_s, rest) = rest.split_once("\",burst=\"")?;
     let (burst, left) = rest.split_once("\"} ")?;
@@ -135,7 +144,7 @@
   }
 }
 
-/// One endpoint that names a limit in a box's figures.
+/// The advertised limit of one endpoint in a box's metrics.
 #[derive(Debug, Eq, PartialEq)]
 struct EndpointLimitRow<'a> {
   endpoint: &'a str,
--- a/src/subcommand/mod.rs
+++ b/src/subcommand/mod.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line and its subcommands.
 
 mod admin_client;
 mod check;
@@ -49,24 +49,23 @@
   /// Show a box, its endpoints and its peers
   #[bpaf(command)]
   Status(#[bpaf(external(status::show_status))] ShowStatus),
-  /// Stop new work to an endpoint, or take it back
+  /// Stop sending new work to an endpoint, or resume it
   #[bpaf(command)]
   Drain(#[bpaf(external(drain::drain))] Drain),
-  /// Show what is left of organisations' limits, as a gateway box counts it
+  /// Show the remaining limits of organisations, as a gateway box accounts them
   #[bpaf(command)]
   Limits(#[bpaf(external(limits::show_limits))] ShowLimits),
-  /// Merge the events of boxes into one time line
+  /// Merge the events of boxes into one timeline
   #[bpaf(command)]
   Timeline(#[bpaf(external(timeline::show_timeline))] ShowTimeline),
 }
 
 impl Subcommand {
-  /// Reads the command line; help and wrong usage end the process.
+  /// Parses the command line. Exits the process after printing help or a usage error.
   pub(crate) fn parse() -> Self {
     options().run()
   }
 
-  /// Runs the subcommand.
   pub(crate) fn run(self, run_gateway: RunGateway) -> Result {
     match self {
       Self::Serve { settings } => serve(Settings::load(&settings)?),
--- a/src/subcommand/policy.rs
+++ b/src/subcommand/policy.rs
@@ -1,4 +1,4 @@
-//! `rillford policy try`: what a policy says of a request at a given hour.
+//! `rillford policy try`: evaluates a policy for a request at a given hour.
 
 use {
   crate::{
@@ -15,7 +15,7 @@
 /// Work on policy programs
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) enum Policy {
-  /// Say what a policy makes of a request
+  /// Evaluate a policy for a request
   #[bpaf(command)]
   Try {
     /// The policy program
@@ -24,22 +24,22 @@
     /// Local hour, 0 to 23
     #[bpaf(long, argument("HOUR"), fallback(12))]
     hour: u64,
-    /// Organisation that asks
+    /// Organisation of the caller
     #[bpaf(long, argument("NAME"), fallback("example".into()))]
     organisation: String,
     /// `model` or `service`
     #[bpaf(long, argument("KIND"), fallback("model".into()))]
     kind: String,
-    /// Model or plain service asked for
+    /// Requested model or plain service
     #[bpaf(long, argument("NAME"), fallback("example".into()))]
     subject: String,
     /// Prompt tokens
     #[bpaf(long("prompt-tokens"), argument("N"), fallback(1000))]
     prompt_tokens: u64,
-    /// Most tokens of the answer
+    /// Maximum tokens of the response
     #[bpaf(long("max-tokens"), argument("N"), fallback(200))]
     max_tokens: u64,
-    /// Tasks to ask about
+    /// Tasks to evaluate
     #[bpaf(positional("TASK"))]
     tasks: Vec<String>,
   },
@@ -66,8 +66,8 @@
       path: policy.clone(),
       source,
     })?;
-    let wrong = |error| Error::Usage(format!("{}: {error}", policy.display()));
-    let program = Program::compile(&text).map_err(wrong)?;
+    let invalid = |error| Error::Usage(format!("{}: {error}", policy.display()));
+    let program = Program::compile(&text).map_err(invalid)?;
     let clock = Clock {
       day: 0,
       minute_of_day: hour * MINUTES_PER_HOUR,
@@ -81,7 +81,7 @@
         subject: subject.as_str().into(),
         task: task.as_str().into(),
       };
-      let rank = program.rank(&facts, clock).map_err(wrong)?;
+      let rank = program.rank(&facts, clock).map_err(invalid)?;
       println!(
         "{task}: class {}, priority {}, may wait {}, weight {}, first token within {} ms",
         rank.class, rank.priority, rank.may_wait, rank.weight, rank.first_token_ms
--- a/src/subcommand/status.rs
+++ b/src/subcommand/status.rs
@@ -1,4 +1,4 @@
-//! `rillford status`: a box, its endpoints and its peers.
+//! `rillford status`: shows a box, its endpoints and its peers.
 
 use {
   super::admin_client::{AdminCall, AdminClient, admin_client},
--- a/src/subcommand/timeline.rs
+++ b/src/subcommand/timeline.rs
@@ -1,4 +1,4 @@
-//! `rillford timeline`: events of several boxes in one order.
+//! `rillford timeline`: merges the events of several boxes in causal order.
 
 use {
   super::admin_client::{AdminCall, AdminClient},
@@ -10,7 +10,7 @@
   std::{fs, path::PathBuf},
 };
 
-/// Merge the events of boxes into one time line
+/// Merge the events of boxes into one timeline
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct ShowTimeline {
   /// Base URL of a box's administration API; give one for each box
@@ -32,14 +32,14 @@
         key: self.key.clone(),
         server: server.clone(),
       };
-      match fetch(&client) {
+      match fetch_events(&client) {
         Ok(fetched) => pages.extend(fetched),
-        // A box that is gone must not hide the others.
+        // An unreachable box must not hide the events of the others.
         Err(error) => eprintln!("warning: {error}"),
       }
     }
     if pages.is_empty() {
-      return Err(Error::Usage("no box answered".into()));
+      return Err(Error::Usage("no box responded".into()));
     }
     let events = merge(pages);
     let Some(path) = self.trace else {
@@ -53,7 +53,7 @@
   }
 }
 
-fn fetch(client: &AdminClient) -> Result<Vec<EventPage>> {
+fn fetch_events(client: &AdminClient) -> Result<Vec<EventPage>> {
   let mut pages = Vec::new();
   let mut cursor = 0;
   loop {
