--- a/src/settings/document.rs
+++ b/src/settings/document.rs
@@ -1,4 +1,4 @@
-//! Reading a settings file section by section, so that all errors are found at once.
+//! Parses a settings file section by section, so that all errors are reported at once.
 
 use {
   super::{
@@ -32,24 +32,24 @@
 ];
 
 const HASH_HEX_DIGITS: usize = 64;
-/// A quarter of a lease is its margin, which has to outlast an order on its way.
-const LEAST_LEASE_MS: u64 = 2_500;
-const LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
+/// The safety margin of a lease, a quarter of it, must be longer than the timeout of a role command.
+const MIN_LEASE_MS: u64 = 2_500;
+const LOG_LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
 
-struct Reader<'a> {
+struct SettingsParser<'a> {
   file: &'a Path,
   text: &'a str,
   errors: Vec<SettingsError>,
 }
 
-/// A section that was read, with its place for errors of meaning.
+/// A parsed section and its position, for errors found by later checks.
 struct Section<T> {
   value: T,
   span: Range<usize>,
 }
 
-impl Reader<'_> {
-  fn refuse(&mut self, span: &Range<usize>, key: impl Into<String>, message: impl Into<String>) {
+impl SettingsParser<'_> {
+  fn add_error(&mut self, span: &Range<usize>, key: impl Into<String>, message: impl Into<String>) {
     let before = self.text.get(..span.start).unwrap_or_default();
     self.errors.push(SettingsError {
       file: self.file.into(),
@@ -59,8 +59,8 @@
     });
   }
 
-  /// The place of a key within a section, or the section's own.
-  fn place_of(&self, section: &Range<usize>, key: &str) -> Range<usize> {
+  /// The span of a key within a section, or of the section if it has no such key.
+  fn key_span(&self, section: &Range<usize>, key: &str) -> Range<usize> {
     let text = self.text.get(section.start..).unwrap_or_default();
     let mut start = section.start;
     for (index, line) in text.split_inclusive('\n').enumerate() {
@@ -76,7 +76,7 @@
     section.clone()
   }
 
-  fn read<T: DeserializeOwned>(
+  fn parse_section<T: DeserializeOwned>(
     &mut self,
     name: &str,
     value: &Spanned<DeValue>,
@@ -85,9 +85,9 @@
     match T::deserialize(ValueDeserializer::from(value.clone())) {
       Ok(value) => Some(Section { value, span }),
       Err(error) => {
-        let place = error.span().unwrap_or(span);
+        let span = error.span().unwrap_or(span);
         let message = error.message().to_string();
-        self.refuse(&place, name, message);
+        self.add_error(&span, name, message);
         None
       }
     }
@@ -95,9 +95,9 @@
 
   fn required<T: DeserializeOwned>(&mut self, table: &DeTable, name: &str) -> Option<Section<T>> {
     match table.get(name) {
-      Some(value) => self.read(name, value),
+      Some(value) => self.parse_section(name, value),
       None => {
-        self.refuse(&(0..0), name, format!("section [{name}] is missing"));
+        self.add_error(&(0..0), name, format!("section [{name}] is missing"));
         None
       }
     }
@@ -105,18 +105,18 @@
 
   fn optional<T: DeserializeOwned + Default>(&mut self, table: &DeTable, name: &str) -> Option<T> {
     match table.get(name) {
-      Some(value) => self.read(name, value).map(|section| section.value),
+      Some(value) => self.parse_section(name, value).map(|section| section.value),
       None => Some(T::default()),
     }
   }
 
   fn endpoints(&mut self, table: &DeTable) -> Vec<Section<EndpointSettings>> {
     let Some(value) = table.get("endpoint") else {
-      self.refuse(&(0..0), "endpoint", "no [[endpoint]] is given");
+      self.add_error(&(0..0), "endpoint", "no [[endpoint]] is given");
       return Vec::new();
     };
     let DeValue::Array(items) = value.get_ref() else {
-      self.refuse(
+      self.add_error(
         &value.span(),
         "endpoint",
         "write [[endpoint]], with double brackets",
@@ -125,7 +125,7 @@
     };
     items
       .iter()
-      .filter_map(|item| self.read("endpoint", item))
+      .filter_map(|item| self.parse_section("endpoint", item))
       .collect()
   }
 
@@ -133,30 +133,30 @@
     let mut names = BTreeSet::new();
     for Section { value, span } in endpoints {
       if !names.insert(value.name.clone()) {
-        let place = self.place_of(span, "name");
+        let span = self.key_span(span, "name");
         let message = format!("`{}` is given twice", value.name);
-        self.refuse(&place, "endpoint.name", message);
+        self.add_error(&span, "endpoint.name", message);
       }
       if !is_url(&value.url) {
-        let place = self.place_of(span, "url");
+        let span = self.key_span(span, "url");
         let message = format!("`{}` is not of the form http://ADDRESS:PORT", value.url);
-        self.refuse(&place, "endpoint.url", message);
+        self.add_error(&span, "endpoint.url", message);
       }
       if value.seats == 0 {
-        let place = self.place_of(span, "seats");
-        self.refuse(&place, "endpoint.seats", "must be at least 1");
+        let span = self.key_span(span, "seats");
+        self.add_error(&span, "endpoint.seats", "must be at least 1");
       }
       match value.kind {
         EndpointKindValue::Engine => {
           if value.role.is_none() {
-            self.refuse(
+            self.add_error(
               span,
               "endpoint.role",
               "an engine needs `prefill` or `decode`",
             );
           }
           if value.models.is_empty() {
-            self.refuse(
+            self.add_error(
               span,
               "endpoint.models",
               "an engine needs at least one model",
@@ -165,7 +165,7 @@
         }
         EndpointKindValue::Service => {
           if value.service.is_none() {
-            self.refuse(span, "endpoint.service", "a plain service needs its name");
+            self.add_error(span, "endpoint.service", "a plain service needs its name");
           }
         }
       }
@@ -181,15 +181,17 @@
       ("box_list", &value.box_list),
     ] {
       if !is_url(url) {
-        let place = self.place_of(span, key);
+        let span = self.key_span(span, key);
         let message = format!("`{url}` is not of the form http://ADDRESS:PORT");
-        self.refuse(&place, format!("platform.{key}"), message);
+        self.add_error(&span, format!("platform.{key}"), message);
       }
     }
-    if value.lease_ms < LEAST_LEASE_MS {
-      let place = self.place_of(span, "lease_ms");
-      let message = format!("must be at least {LEAST_LEASE_MS}: the margin must outlast an order");
-      self.refuse(&place, "platform.lease_ms", message);
+    if value.lease_ms < MIN_LEASE_MS {
+      let span = self.key_span(span, "lease_ms");
+      let message = format!(
+        "must be at least {MIN_LEASE_MS}: its margin must be longer than a role command takes"
+      );
+      self.add_error(&span, "platform.lease_ms", message);
     }
   }
 
@@ -200,9 +202,9 @@
     let is_label = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
     for (key, name) in [("name", &value.name), ("hall", &value.hall)] {
       if name.is_empty() || !name.chars().all(is_label) {
-        let place = self.place_of(span, key);
+        let span = self.key_span(span, key);
         let message = format!("`{name}` must be lower-case letters, digits and dashes");
-        self.refuse(&place, format!("box.{key}"), message);
+        self.add_error(&span, format!("box.{key}"), message);
       }
     }
   }
@@ -214,9 +216,9 @@
     for key in &value.keys_sha256 {
       let is_hash = key.len() == HASH_HEX_DIGITS && key.chars().all(|c| c.is_ascii_hexdigit());
       if !is_hash {
-        let place = self.place_of(span, "keys_sha256");
+        let span = self.key_span(span, "keys_sha256");
         let message = "each must be a SHA-256 in 64 hexadecimal digits";
-        self.refuse(&place, "administration.keys_sha256", message);
+        self.add_error(&span, "administration.keys_sha256", message);
       }
     }
   }
@@ -225,11 +227,11 @@
     let Some(level) = log.and_then(|log| log.level.clone()) else {
       return;
     };
-    if !LEVELS.contains(&level.as_ref()) {
+    if !LOG_LEVELS.contains(&level.as_ref()) {
       let span = table.get("log").map_or(0..0, Spanned::span);
-      let place = self.place_of(&span, "level");
-      let message = format!("`{level}` is none of {}", LEVELS.join(", "));
-      self.refuse(&place, "log.level", message);
+      let span = self.key_span(&span, "level");
+      let message = format!("`{level}` is none of {}", LOG_LEVELS.join(", "));
+      self.add_error(&span, "log.level", message);
     }
   }
 }
@@ -241,7 +243,7 @@
 }
 
 impl Settings {
-  /// Reads and checks a settings file.
+  /// Loads and validates a settings file.
   pub fn load(file: &Path) -> Result<Self> {
     let text = std::fs::read_to_string(file).map_err(|source| Error::Read {
       path: file.into(),
@@ -250,7 +252,7 @@
     Self::parse(file, &text)
   }
 
-  /// Reads and checks the text of a settings file; all errors are found at once.
+  /// Parses and validates the text of a settings file; the error lists everything that is wrong.
   ///
   /// ```
   /// use rillford::{settings::Settings, Error};
@@ -258,7 +260,7 @@
   /// assert!(error.to_string().contains("box.toml:1: boxes: unknown section"));
   /// ```
   pub fn parse(file: &Path, text: &str) -> Result<Self> {
-    let mut reader = Reader {
+    let mut parser = SettingsParser {
       errors: Vec::new(),
       file,
       text,
@@ -267,33 +269,33 @@
       Ok(table) => table,
       Err(error) => {
         let span = error.span().unwrap_or(0..0);
-        reader.refuse(&span, "syntax", error.message());
-        return Err(Error::Settings(reader.errors));
+        parser.add_error(&span, "syntax", error.message());
+        return Err(Error::Settings(parser.errors));
       }
     };
     let table = table.get_ref();
     for key in table.keys() {
       if !SECTIONS.contains(&key.get_ref().as_ref()) {
         let message = format!("unknown section; known are {}", SECTIONS.join(", "));
-        reader.refuse(&key.span(), key.get_ref().as_ref(), message);
+        parser.add_error(&key.span(), key.get_ref().as_ref(), message);
       }
     }
-    let identity = reader.required::<BoxSettings>(table, "box");
-    let listen = reader.required::<Listen>(table, "listen");
-    let peers = reader.required::<PeerKeys>(table, "peers");
-    let platform = reader.required::<Platform>(table, "platform");
-    let administration = reader.required::<Administration>(table, "administration");
-    let limits = reader.optional::<Limits>(table, "limits");
-    let targets = reader.optional::<Targets>(table, "targets");
-    let log = reader.optional::<LogSettings>(table, "log");
-    let metrics = reader.optional::<Metrics>(table, "metrics");
-    let endpoints = reader.endpoints(table);
-    reader.check_identity(identity.as_ref());
-    reader.check_endpoints(&endpoints);
-    reader.check_platform(platform.as_ref());
-    reader.check_keys(administration.as_ref());
-    reader.check_log(table, log.as_ref());
-    let errors = reader.errors;
+    let identity = parser.required::<BoxSettings>(table, "box");
+    let listen = parser.required::<Listen>(table, "listen");
+    let peers = parser.required::<PeerKeys>(table, "peers");
+    let platform = parser.required::<Platform>(table, "platform");
+    let administration = parser.required::<Administration>(table, "administration");
+    let limits = parser.optional::<Limits>(table, "limits");
+    let targets = parser.optional::<Targets>(table, "targets");
+    let log = parser.optional::<LogSettings>(table, "log");
+    let metrics = parser.optional::<Metrics>(table, "metrics");
+    let endpoints = parser.endpoints(table);
+    parser.check_identity(identity.as_ref());
+    parser.check_endpoints(&endpoints);
+    parser.check_platform(platform.as_ref());
+    parser.check_keys(administration.as_ref());
+    parser.check_log(table, log.as_ref());
+    let errors = parser.errors;
     match (
       identity,
       listen,
@@ -323,7 +325,7 @@
         listen: listen.value,
         log,
         metrics,
-        peers: beside(file, peers.value),
+        peers: resolve_paths(file, peers.value),
         platform: platform.value,
         targets,
       }),
@@ -332,8 +334,8 @@
   }
 }
 
-/// Paths in settings are relative to the settings file.
-fn beside(file: &Path, keys: PeerKeys) -> PeerKeys {
+/// Resolves the paths relative to the folder of the settings file.
+fn resolve_paths(file: &Path, keys: PeerKeys) -> PeerKeys {
   let folder = file.parent().unwrap_or(Path::new(""));
   let join = |path: PathBuf| folder.join(path);
   PeerKeys {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings: a TOML file, checked whole, each error with file, line and key.
+//! Settings: a TOML file, validated in full; each error has a file, line and key.
 
 mod document;
 mod settings_error;
--- a/src/settings/settings_error.rs
+++ b/src/settings/settings_error.rs
@@ -1,8 +1,8 @@
-//! One thing wrong with a settings file.
+//! An error in a settings file.
 
 use std::path::PathBuf;
 
-/// One thing wrong with a settings file.
+/// An error in a settings file.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("{}:{line}: {key}: {message}", file.display())]
 pub struct SettingsError {
--- a/src/settings/types.rs
+++ b/src/settings/types.rs
@@ -9,22 +9,22 @@
   std::{net::SocketAddr, path::PathBuf},
 };
 
-/// A whole settings file.
+/// The settings of a box.
 #[derive(Clone, Debug)]
 pub struct Settings {
-  /// Who the box is.
+  /// The identity of the box.
   pub identity: BoxSettings,
-  /// Where it listens.
+  /// The addresses on which it listens.
   pub listen: Listen,
-  /// Keys for peers.
+  /// Certificate and key for links to peers.
   pub peers: PeerKeys,
   /// The platform's services.
   pub platform: Platform,
-  /// Who may administer.
+  /// Access to the administration API.
   pub administration: Administration,
-  /// Bounds at the edges.
+  /// Limits on callers and connections.
   pub limits: Limits,
-  /// Latency targets, for figures.
+  /// Latency targets, for metrics only.
   pub targets: Targets,
   /// The log.
   pub log: LogSettings,
@@ -34,7 +34,7 @@
   pub endpoints: Vec<EndpointSettings>,
 }
 
-/// Who the box is: `[box]`.
+/// The identity of the box: `[box]`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BoxSettings {
@@ -44,7 +44,7 @@
   pub hall: Name,
 }
 
-/// Where the box listens: `[listen]`.
+/// The addresses on which the box listens: `[listen]`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
@@ -56,7 +56,7 @@
   pub peers: SocketAddr,
 }
 
-/// Keys for peers: `[peers]`. Paths are relative to the settings file.
+/// Certificate and key for links to peers: `[peers]`. Paths are relative to the settings file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerKeys {
@@ -64,7 +64,7 @@
   pub certificate: PathBuf,
   /// Its private key, PEM.
   pub key: PathBuf,
-  /// The operators' authority, PEM.
+  /// The certificate authority of all boxes, PEM.
   pub authority: PathBuf,
 }
 
@@ -72,43 +72,43 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
-  /// The key-value service (etcd v3 JSON gateway).
+  /// URL of the key-value service (etcd v3 JSON gateway).
   pub key_value: Name,
-  /// The box list.
+  /// URL of the box list.
   pub box_list: Name,
-  /// Time allowed for one call.
+  /// Timeout of one call.
   #[serde(default = "default_call_ms")]
   pub call_ms: u64,
-  /// Time to live of a steward lease.
+  /// Time to live of the leader lease.
   #[serde(default = "default_lease_ms")]
   pub lease_ms: u64,
 }
 
-/// Who may administer: `[administration]`.
+/// Access to the administration API: `[administration]`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Administration {
-  /// SHA-256 of each key, in hexadecimal.
+  /// SHA-256 of each accepted key, in hexadecimal.
   pub keys_sha256: Vec<Name>,
 }
 
-/// Bounds at the edges: `[limits]`.
+/// Limits on callers and connections: `[limits]`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-  /// Largest request body.
+  /// Maximum request body size.
   pub body_bytes: usize,
   /// Time for a caller to send its headers.
   pub header_ms: u64,
   /// Time for a caller to send its body.
   pub body_ms: u64,
-  /// Connections from callers.
+  /// Maximum connections from callers.
   pub connections: usize,
-  /// Requests in progress.
+  /// Maximum requests in progress.
   pub requests: usize,
-  /// Silence of an endpoint in the middle of an answer that counts as a stall.
+  /// Silence of an endpoint in the middle of a response after which the response counts as failed.
   pub stall_ms: u64,
-  /// Time that a planned stop goes on accepting, for the balancer to notice.
+  /// Time that a stopping box still accepts requests, until the load balancer has noticed.
   pub balancer_lag_ms: u64,
 }
 
@@ -145,14 +145,14 @@
   }
 }
 
-/// The form of the log.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-  /// A line a message.
+  /// Plain text.
   #[default]
   Text,
-  /// A JSON object a line.
+  /// One JSON object per line.
   Json,
 }
 
@@ -160,7 +160,7 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSettings {
-  /// Its form.
+  /// The format of log lines.
   pub format: LogFormat,
   /// The least severe level written: error, warn, info, debug or trace.
   pub level: Option<Name>,
@@ -170,15 +170,15 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Metrics {
-  /// Where statsd packets go; nowhere if absent.
+  /// The statsd address; no metrics are sent if absent.
   pub statsd: Option<SocketAddr>,
 }
 
-/// What an endpoint is, as a word.
+/// The value of `kind` of an endpoint.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointKindValue {
-  /// A model engine.
+  /// An inference engine.
   Engine,
   /// An instance of a plain service.
   Service,
@@ -192,35 +192,35 @@
   pub name: Name,
   /// Its hall.
   pub hall: Name,
-  /// What it is.
+  /// Its kind.
   pub kind: EndpointKindValue,
-  /// Where it listens.
+  /// Its base URL.
   pub url: Name,
-  /// Requests it may hold at once.
+  /// Requests that it can run at once.
   pub seats: u32,
   /// For engines: the role it starts with.
   pub role: Option<Role>,
   /// For engines: the models it serves.
   #[serde(default)]
   pub models: Vec<Name>,
-  /// For engines: whether it refuses orders with an old fence.
+  /// For engines: whether it rejects role commands with an outdated fence.
   #[serde(default)]
   pub checks_fence: bool,
   /// For plain services: the service's name.
   pub service: Option<Name>,
-  /// Prompt tokens read a second.
+  /// Prefill throughput, in prompt tokens per second.
   #[serde(default = "default_prefill_tokens_per_s")]
   pub prefill_tokens_per_s: u64,
-  /// Size of a token in the KV cache.
+  /// KV cache size of one token.
   #[serde(default = "default_kv_bytes_per_token")]
   pub kv_bytes_per_token: u64,
-  /// Rate of its link for KV transfers.
+  /// Bandwidth of its link for KV transfers.
   #[serde(default = "default_link_bytes_per_s")]
   pub link_bytes_per_s: u64,
 }
 
 impl EndpointSettings {
-  /// What `decide` goes by; the settings have been checked.
+  /// The specification for `decide`; the settings must be valid.
   pub fn spec(&self) -> EndpointSpec {
     let kind = match self.kind {
       EndpointKindValue::Engine => EndpointKind::Engine {
