--- a/src/configuration/configuration_error.rs
+++ b/src/configuration/configuration_error.rs
@@ -1,14 +1,14 @@
-//! What can be wrong with a configuration document.
+//! Errors in configuration documents.
 
 use crate::{ids::Name, policy::PolicyError};
 
-/// What can be wrong with a configuration document.
+/// An error in a configuration document.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ConfigurationError {
   /// The key names no document.
   #[error("`{0}` is no document: known are `platform` and `organisations/NAME`")]
   Key(Name),
-  /// The text is not JSON of the right form.
+  /// The text is not valid JSON of the expected schema.
   #[error("{key}: line {line}, column {column}: {message}")]
   Form {
     /// The document.
@@ -20,7 +20,7 @@
     /// What is wrong.
     message: String,
   },
-  /// The policy program is wrong.
+  /// The policy program is invalid.
   #[error("{key}: policy: {source}")]
   Policy {
     /// The document.
@@ -28,7 +28,7 @@
     /// What is wrong.
     source: PolicyError,
   },
-  /// A value makes no sense.
+  /// A value is out of range.
   #[error("{key}: {field}: {message}")]
   Value {
     /// The document.
--- a/src/configuration/documents.rs
+++ b/src/configuration/documents.rs
@@ -1,4 +1,4 @@
-//! The documents and their checks; nothing is applied that was not checked whole.
+//! Configuration documents and their validation. A document is validated in full before it is applied.
 
 use {
   super::ConfigurationError,
@@ -12,22 +12,22 @@
 };
 
 const HASH_HEX_DIGITS: usize = 64;
-const MOST_NAME_BYTES: usize = 64;
-const MOST_OFFSET_MINUTES: i64 = 14 * 60;
+const MAX_NAME_BYTES: usize = 64;
+const MAX_OFFSET_MINUTES: i64 = 14 * 60;
 const ORGANISATIONS: &str = "organisations/";
 const PLATFORM: &str = "platform";
 
-/// Which document a key names.
+/// The document that a key identifies.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum DocumentKey {
-  /// The one for the whole platform.
+  /// The document for the whole platform.
   Platform,
-  /// One organisation's.
+  /// The document of one organisation.
   Organisation(Name),
 }
 
 impl DocumentKey {
-  /// Reads a key such as `platform` or `organisations/oslo`.
+  /// Parses a key such as `platform` or `organisations/oslo`.
   ///
   /// ```
   /// use rillford::configuration::DocumentKey;
@@ -39,9 +39,9 @@
       return Some(Self::Platform);
     }
     let name = key.strip_prefix(ORGANISATIONS)?;
-    let plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-    let usable = !name.is_empty() && name.len() <= MOST_NAME_BYTES && name.chars().all(plain);
-    usable.then(|| Self::Organisation(name.into()))
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+    let is_valid = !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(is_allowed);
+    is_valid.then(|| Self::Organisation(name.into()))
   }
 }
 
@@ -49,11 +49,11 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformDocument {
-  /// The policy program's text.
+  /// The source text of the policy program.
   pub policy: Option<Name>,
-  /// The knobs.
+  /// Tuning parameters.
   pub tuning: Tuning,
-  /// Local time less UTC, for policy.
+  /// Offset of local time from UTC, for the policy.
   pub utc_offset_minutes: i64,
 }
 
@@ -63,22 +63,22 @@
 pub struct OrganisationDocument {
   /// SHA-256 of each of its keys, in hexadecimal.
   pub keys_sha256: Vec<Name>,
-  /// Requests in progress on one box.
+  /// Maximum requests in progress on one box; unlimited if absent.
   pub in_progress: Option<usize>,
-  /// Whether its requests are refused.
+  /// Whether all its requests are rejected.
   pub closed: bool,
 }
 
-/// A document that has passed its checks.
+/// A valid document.
 #[derive(Clone, Debug)]
 pub enum ParsedDocument {
-  /// The platform's.
+  /// The platform's, with its compiled policy.
   Platform(PlatformDocument, Option<Arc<Program>>),
   /// An organisation's.
   Organisation(Name, OrganisationDocument),
 }
 
-/// Reads and checks a document in full.
+/// Parses and validates a document.
 ///
 /// ```
 /// use rillford::configuration::parse_document;
@@ -89,7 +89,7 @@
   match DocumentKey::parse(key) {
     None => Err(ConfigurationError::Key(key.clone())),
     Some(DocumentKey::Platform) => {
-      let document = read::<PlatformDocument>(key, text)?;
+      let document = parse_json::<PlatformDocument>(key, text)?;
       check_platform(key, &document)?;
       let policy = document
         .policy
@@ -99,14 +99,14 @@
       Ok(ParsedDocument::Platform(document, policy))
     }
     Some(DocumentKey::Organisation(name)) => {
-      let document = read::<OrganisationDocument>(key, text)?;
+      let document = parse_json::<OrganisationDocument>(key, text)?;
       check_organisation(key, &document)?;
       Ok(ParsedDocument::Organisation(name, document))
     }
   }
 }
 
-fn read<'a, T: Deserialize<'a>>(key: &Name, text: &'a str) -> Result<T, ConfigurationError> {
+fn parse_json<'a, T: Deserialize<'a>>(key: &Name, text: &'a str) -> Result<T, ConfigurationError> {
   serde_json::from_str(text).map_err(|error| ConfigurationError::Form {
     column: error.column(),
     key: key.clone(),
@@ -115,13 +115,13 @@
   })
 }
 
-/// Compiles a policy and tries it once, so that a program that always fails is refused.
+/// Compiles a policy and runs it once, so that a program that always fails is rejected.
 fn compile(key: &Name, policy: &str) -> Result<Arc<Program>, ConfigurationError> {
-  let refuse = |source| ConfigurationError::Policy {
+  let invalid = |source| ConfigurationError::Policy {
     key: key.clone(),
     source,
   };
-  let program = Program::compile(policy).map_err(refuse)?;
+  let program = Program::compile(policy).map_err(invalid)?;
   let facts = RequestFacts {
     kind: "model".into(),
     max_tokens: 1,
@@ -134,13 +134,13 @@
     day: 0,
     minute_of_day: 720,
   };
-  program.rank(&facts, noon).map_err(refuse)?;
-  program.shift(noon, &[]).map_err(refuse)?;
+  program.rank(&facts, noon).map_err(invalid)?;
+  program.shift(noon, &[]).map_err(invalid)?;
   Ok(program)
 }
 
 fn check_platform(key: &Name, document: &PlatformDocument) -> Result<(), ConfigurationError> {
-  let refuse = |field, message: &str| {
+  let invalid = |field, message: &str| {
     Err(ConfigurationError::Value {
       field,
       key: key.clone(),
@@ -149,25 +149,25 @@
   };
   let tuning = &document.tuning;
   if !(0.0..=1.0).contains(&tuning.seat_certainty) {
-    return refuse("tuning.seat_certainty", "must lie between 0 and 1");
+    return invalid("tuning.seat_certainty", "must lie between 0 and 1");
   }
   if !(0.0..=1.0).contains(&tuning.retry_share) {
-    return refuse("tuning.retry_share", "must lie between 0 and 1");
+    return invalid("tuning.retry_share", "must lie between 0 and 1");
   }
   if tuning.hold_ms < 1_000 {
-    return refuse("tuning.hold_ms", "must be at least 1000");
+    return invalid("tuning.hold_ms", "must be at least 1000");
   }
   if tuning.max_attempts == 0 {
-    return refuse("tuning.max_attempts", "must be at least 1");
+    return invalid("tuning.max_attempts", "must be at least 1");
   }
   if tuning.heartbeat_ms < 20 || tuning.poll_ms < 20 {
-    return refuse(
+    return invalid(
       "tuning.heartbeat_ms",
       "this and poll_ms must be at least 20",
     );
   }
-  if document.utc_offset_minutes.abs() > MOST_OFFSET_MINUTES {
-    return refuse("utc_offset_minutes", "must lie within 14 hours");
+  if document.utc_offset_minutes.abs() > MAX_OFFSET_MINUTES {
+    return invalid("utc_offset_minutes", "must lie within 14 hours");
   }
   Ok(())
 }
--- a/src/configuration/key_table.rs
+++ b/src/configuration/key_table.rs
@@ -1,4 +1,4 @@
-//! Whose bearer key is whose.
+//! Maps bearer keys to organisations.
 
 use {
   crate::ids::Name,
@@ -6,8 +6,8 @@
   std::{collections::BTreeMap, fmt::Write},
 };
 
-/// Organisations by the hash of their keys. A key itself is not kept, so that no log, dump or comparison shows it: what a
-/// look-up takes depends on hashes, which nobody can choose.
+/// Organisations by the hash of their keys. Keys themselves are not stored, so they appear in no log or dump, and the
+/// duration of a lookup depends only on hashes.
 ///
 /// ```
 /// use rillford::configuration::KeyTable;
@@ -21,7 +21,7 @@
 pub struct KeyTable(BTreeMap<Name, Name>);
 
 impl KeyTable {
-  /// Adds a key; `false`, and nothing changes, when the table has it already.
+  /// Adds a key. Returns `false` without a change when the table already contains it.
   pub fn insert(&mut self, key: &str, organisation: Name) -> bool {
     let hash = hash_key(key).into();
     if self.0.contains_key(&hash) {
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration: documents that only go forward, and what is made of them.
+//! The operators' configuration: versioned documents, their validation, and the configuration derived from them.
 
 mod configuration_error;
 mod documents;
--- a/src/configuration/store.rs
+++ b/src/configuration/store.rs
@@ -1,4 +1,4 @@
-//! The configuration in force on this box: each document only goes forward.
+//! The configuration in force on this box. The revision of a document never decreases.
 
 use {
   super::{ConfigurationError, KeyTable, ParsedDocument, parse_document},
@@ -30,7 +30,7 @@
 }
 
 impl Store {
-  /// Applies a document if it is newer than the one in force; false when it is not.
+  /// Applies a document if it is newer than the one in force; returns whether it is. Fails if the document is invalid.
   pub fn apply(&mut self, document: Document) -> Result<bool, ConfigurationError> {
     let known = self.entries.get(&document.key);
     if known.is_some_and(|known| known.document.revision >= document.revision) {
@@ -42,7 +42,7 @@
     Ok(true)
   }
 
-  /// Whether nothing was ever applied.
+  /// Whether no document was applied yet.
   pub fn is_empty(&self) -> bool {
     self.entries.is_empty()
   }
@@ -52,7 +52,7 @@
     self.entries.get(key).map(|entry| &entry.document)
   }
 
-  /// What `decide` goes by.
+  /// The configuration for `decide`.
   pub fn view(&self) -> ConfigurationView {
     let mut view = ConfigurationView::default();
     for entry in self.entries.values() {
@@ -78,7 +78,7 @@
     view
   }
 
-  /// Whose key is whose.
+  /// The bearer keys of all organisations.
   pub fn keys(&self) -> Arc<KeyTable> {
     let mut table = KeyTable::default();
     for entry in self.entries.values() {
