--- a/src/observe/logging.rs
+++ b/src/observe/logging.rs
@@ -1,4 +1,4 @@
-//! The log: `log` macros, written by `fern` as text or JSON.
+//! Log output as text or JSON.
 
 use {
   crate::{
@@ -11,7 +11,7 @@
   std::io,
 };
 
-/// Sets up the log of this process; it goes to standard error.
+/// Sets up logging to standard error.
 pub(crate) fn set_up_logging(settings: &LogSettings) -> Result {
   let level = settings
     .level
--- a/src/observe/metrics.rs
+++ b/src/observe/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics over statsd by `cadence`; docs/OPERATORS.md lists them with their units.
+//! Metrics over statsd; docs/OPERATORS.md lists them with their units.
 
 use {
   crate::{
@@ -14,11 +14,11 @@
 
 const PREFIX: &str = "rillford";
 
-/// Where metrics go.
+/// Sends metrics.
 pub(crate) struct MetricSink(StatsdClient);
 
 impl MetricSink {
-  /// Sends to a statsd address, or nowhere.
+  /// Sends to a statsd address, or discards all metrics if there is none.
   pub(crate) fn open(statsd: Option<SocketAddr>) -> Result<Self> {
     let Some(address) = statsd else {
       return Ok(Self(StatsdClient::from_sink(PREFIX, NopMetricSink)));
@@ -38,7 +38,7 @@
     Ok(Self(StatsdClient::from_sink(PREFIX, sink)))
   }
 
-  pub(crate) fn note(&self, kind: NoteKind, detail: &str) {
+  pub(crate) fn record_event(&self, kind: NoteKind, detail: &str) {
     let name = match kind {
       NoteKind::RequestAnswered => "requests.answered",
       NoteKind::RequestNotRun => "requests.not_run",
--- a/src/observe/mod.rs
+++ b/src/observe/mod.rs
@@ -1,4 +1,4 @@
-//! Seeing what the system does: time line, log, metrics.
+//! Observability: timeline, log and metrics.
 
 mod hybrid_clock;
 mod logging;
--- a/src/observe/observer.rs
+++ b/src/observe/observer.rs
@@ -1,4 +1,4 @@
-//! The observe duty: stamps events at their source, then logs, counts and keeps them on its own thread.
+//! Timestamps events at their source; a separate thread logs and counts them and adds them to the timeline.
 
 use {
   super::{HybridClock, MetricSink, StampedEvent, Timeline},
@@ -17,26 +17,26 @@
   },
 };
 
-const IDLE: Duration = Duration::from_millis(50);
+const IDLE_POLL_PERIOD: Duration = Duration::from_millis(50);
 
-/// What is told to the observe duty.
+/// An input to the observe thread.
 #[derive(Clone, Debug)]
 pub(crate) enum Observation {
   /// An event.
   Event(StampedEvent),
-  /// A whole answer's latencies.
+  /// The latencies of a complete response, and whether they meet the targets.
   Completed {
     first_token: Duration,
     between_tokens: Duration,
     good: bool,
   },
-  /// A call to the platform's service.
+  /// A call to the platform's key-value service.
   PlatformCall,
-  /// The box's own state.
+  /// The current status of the box.
   Status(Arc<Status>),
 }
 
-/// A handle by which any duty reports what it does.
+/// A handle for sending observations to the observe thread.
 #[derive(Clone)]
 pub(crate) struct Observer {
   box_name: Name,
@@ -59,6 +59,7 @@
     &self.clock
   }
 
+  /// Timestamps an event and sends it.
   pub(crate) fn record(&self, note: Note) {
     let stamped = StampedEvent {
       box_name: self.box_name.clone(),
@@ -71,7 +72,7 @@
     self.send(Observation::Event(stamped));
   }
 
-  /// Observations never hold up the work: a full ring drops them, and the drops are counted.
+  /// Sends an observation without blocking. If the ring is full, it is dropped and counted.
   pub(crate) fn send(&self, observation: Observation) {
     if self.sender.push(observation).is_err() {
       self.dropped.fetch_add(1, Ordering::Relaxed);
@@ -83,7 +84,7 @@
   }
 }
 
-/// Runs the observe duty until the process ends.
+/// Runs the observe thread until the process exits.
 pub(crate) fn observe(
   mut receiver: Receiver<Observation>,
   timeline: &Timeline,
@@ -91,14 +92,14 @@
 ) {
   loop {
     let Some(observation) = receiver.pop() else {
-      thread::park_timeout(IDLE);
+      thread::park_timeout(IDLE_POLL_PERIOD);
       continue;
     };
     match observation {
-      Observation::Event(note) => {
-        write_log(&note);
-        metrics.note(note.kind, &note.detail);
-        timeline.push(note);
+      Observation::Event(event) => {
+        write_log(&event);
+        metrics.record_event(event.kind, &event.detail);
+        timeline.push(event);
       }
       Observation::Completed {
         first_token,
@@ -111,11 +112,14 @@
   }
 }
 
-fn write_log(note: &StampedEvent) {
-  let text = note.kind.text();
-  let line = format!("E{} {text}: {} {}", note.number, note.subject, note.detail);
+fn write_log(event: &StampedEvent) {
+  let text = event.kind.text();
+  let line = format!(
+    "E{} {text}: {} {}",
+    event.number, event.subject, event.detail
+  );
   let line = line.trim_end();
-  match note.number {
+  match event.number {
     200..400 => log::debug!("{line}"),
     _ => log::info!("{line}"),
   }
--- a/src/observe/stamped_event.rs
+++ b/src/observe/stamped_event.rs
@@ -1,4 +1,4 @@
-//! One event on the time line.
+//! A timestamped event on the timeline.
 
 use {
   super::Stamp,
@@ -6,20 +6,20 @@
   serde::{Deserialize, Serialize},
 };
 
-/// One event on the time line.
+/// A timestamped event on the timeline.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StampedEvent {
-  /// When, and after what.
+  /// The hybrid timestamp.
   pub stamp: Stamp,
-  /// The box.
+  /// The box that recorded it.
   pub box_name: Name,
   /// The event's number in docs/EVENTS.md.
   pub number: u16,
   /// Its kind.
   pub kind: NoteKind,
-  /// What it is about.
+  /// The request, endpoint, box or other object that it concerns.
   pub subject: Name,
-  /// A short detail.
+  /// Further details, may be empty.
   pub detail: Name,
 }
 
--- a/src/observe/timeline.rs
+++ b/src/observe/timeline.rs
@@ -1,4 +1,4 @@
-//! The bounded ring of a box's events, and the merge over boxes.
+//! A bounded buffer of a box's events, and merging the events of several boxes.
 
 use {
   super::StampedEvent,
@@ -9,22 +9,23 @@
 
 const CAPACITY: usize = 8_192;
 const MICROSECONDS_PER_MS: u64 = 1_000;
-const PAGE: usize = 2_048;
+const PAGE_EVENTS: usize = 2_048;
 
 #[derive(Debug, Default)]
-struct Ring {
+struct Buffer {
+  /// Sequence number of the oldest event.
   first: u64,
-  notes: VecDeque<StampedEvent>,
+  events: VecDeque<StampedEvent>,
 }
 
-/// The events of one box, the oldest dropped first.
+/// The latest events of one box; the oldest are dropped.
 #[derive(Debug, Default)]
-pub struct Timeline(Mutex<Ring>);
+pub struct Timeline(Mutex<Buffer>);
 
-/// Events since a cursor.
+/// A page of events after a cursor.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EventPage {
-  /// The cursor to ask with next.
+  /// The cursor for the next page.
   pub next: u64,
   /// Events that were dropped before they could be read.
   pub lost: u64,
@@ -34,25 +35,25 @@
 
 impl Timeline {
   /// Adds an event.
-  pub fn push(&self, note: StampedEvent) {
-    let mut ring = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-    if ring.notes.len() == CAPACITY {
-      ring.notes.pop_front();
-      ring.first += 1;
+  pub fn push(&self, event: StampedEvent) {
+    let mut buffer = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+    if buffer.events.len() == CAPACITY {
+      buffer.events.pop_front();
+      buffer.first += 1;
     }
-    ring.notes.push_back(note);
+    buffer.events.push_back(event);
   }
 
-  /// The events since a cursor; 0 is the beginning.
+  /// A page of events after a cursor; 0 is the beginning.
   pub fn since(&self, cursor: u64) -> EventPage {
-    let ring = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-    let from = cursor.max(ring.first);
-    let skip = usize::try_from(from - ring.first).unwrap_or(usize::MAX);
-    let events = ring
-      .notes
+    let buffer = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+    let from = cursor.max(buffer.first);
+    let skip = usize::try_from(from - buffer.first).unwrap_or(usize::MAX);
+    let events = buffer
+      .events
       .iter()
       .skip(skip)
-      .take(PAGE)
+      .take(PAGE_EVENTS)
       .cloned()
       .collect::<Vec<_>>();
     EventPage {
@@ -63,7 +64,7 @@
   }
 }
 
-/// Events of several boxes in one order in which cause stands before effect.
+/// Merges the events of several boxes in causal order.
 pub fn merge(pages: Vec<EventPage>) -> Vec<StampedEvent> {
   let mut events = pages
     .into_iter()
@@ -73,7 +74,7 @@
   events
 }
 
-/// Events as a Chrome trace: a row a box, an instant an event.
+/// Converts events to a Chrome trace, with a row per box and an instant per event.
 pub fn chrome_trace(events: &[StampedEvent]) -> serde_json::Value {
   let rows = events
     .iter()
