--- a/emulator/src/engine/routes.rs
+++ b/emulator/src/engine/routes.rs
@@ -19,7 +19,7 @@
     endpoint_api::{
       AttemptsReply, BYTES_PER_TOKEN, CacheEventsReply, CancelReply, CancelRequest,
       CommandRejection, DecodeChunk, DecodeRequest, FinishReason, HoldsReply, HoldsRequest,
-      ImportAnswer, ImportRequest, PrefillAnswer, PrefillRequest, RejectionReply, RoleRequest,
+      ImportRequest, ImportResponse, PrefillRequest, PrefillResponse, RejectionReply, RoleRequest,
       prefix_blocks,
     },
     ids::AttemptId,
@@ -164,7 +164,7 @@
     });
     drop(inner);
     self.lapse_later(request.attempt);
-    Json(PrefillAnswer {
+    Json(PrefillResponse {
       cached_tokens,
       kv_bytes,
       prompt_tokens,
@@ -267,7 +267,7 @@
     Some(held) => held.imported = Some(export),
     None => return self::cancelled(),
   }
-  Json(ImportAnswer { kv_bytes }).into_response()
+  Json(ImportResponse { kv_bytes }).into_response()
 }
 
 async fn decode(
--- a/emulator/src/path_bench.rs
+++ b/emulator/src/path_bench.rs
@@ -12,7 +12,7 @@
     HttpClient,
     decide::Role,
     endpoint_api::{
-      DecodeChunk, DecodeRequest, ImportAnswer, ImportRequest, PrefillAnswer, PrefillRequest,
+      DecodeChunk, DecodeRequest, ImportRequest, ImportResponse, PrefillRequest, PrefillResponse,
     },
   },
   std::{
@@ -158,7 +158,7 @@
   let uri = format!("{}/v1/prefill", to.prefill);
   if to
     .http
-    .post::<_, PrefillAnswer>(&uri, &prefill, LIMIT)
+    .post::<_, PrefillResponse>(&uri, &prefill, LIMIT)
     .await
     .is_err()
   {
@@ -172,7 +172,7 @@
   let uri = format!("{}/v1/import", to.decode);
   if to
     .http
-    .post::<_, ImportAnswer>(&uri, &import, LIMIT)
+    .post::<_, ImportResponse>(&uri, &import, LIMIT)
     .await
     .is_err()
   {
--- a/src/admin/router.rs
+++ b/src/admin/router.rs
@@ -49,7 +49,7 @@
 }
 
 fn is_allowed(state: &AdminState, headers: &HeaderMap) -> bool {
-  let Some(key) = BearerKey::read(headers).given() else {
+  let Some(key) = BearerKey::read(headers).key() else {
     return false;
   };
   let hash = hash_key(key);
--- a/src/chunk.rs
+++ b/src/chunk.rs
@@ -1,4 +1,4 @@
-//! Pieces of an answer on their way from egress to ingress, past `decide`.
+//! Request bodies and response chunks, passed directly between ingress and egress.
 
 use {
   crate::{endpoint_api::FinishReason, ids::RequestId},
@@ -8,34 +8,34 @@
   tokio::{sync::mpsc, time::Instant},
 };
 
-/// Pieces that may wait for a slow caller before its own stream is held up.
+/// Chunks that are buffered for a slow caller before backpressure applies to its endpoint stream.
 pub(crate) const CHUNKS_IN_FLIGHT: usize = 256;
 
-/// A piece of an answer.
+/// A chunk of a response.
 #[derive(Debug)]
 pub(crate) enum Chunk {
   /// Text of a completion.
   Text(String),
-  /// Why a completion ended, and what it took. The end itself is told by `decide`.
+  /// The finish reason and token counts of a completion. The outcome itself comes from `decide`.
   Usage(Usage),
-  /// Status and headers of a plain service's answer.
+  /// Status and headers of a plain service's response.
   Head(StatusCode, HeaderMap),
-  /// Part of a plain service's body.
+  /// Part of the body of a plain service's response.
   Body(Bytes),
 }
 
-/// What a completion took.
+/// The finish reason and token counts of a completion.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Usage {
-  /// Why it ended.
+  /// Why generation ended.
   pub(crate) finish: FinishReason,
-  /// Tokens read.
+  /// Tokens of the prompt.
   pub(crate) prompt_tokens: u64,
-  /// Tokens written.
+  /// Tokens of the response.
   pub(crate) completion_tokens: u64,
 }
 
-/// The body of a request, handed from ingress to egress.
+/// The body of a request.
 #[derive(Debug)]
 pub(crate) enum Body {
   /// A completion.
@@ -44,14 +44,14 @@
     model: Arc<str>,
     /// The prompt.
     prompt: Arc<str>,
-    /// The most tokens that the answer may have.
+    /// Maximum tokens of the response.
     max_tokens: u64,
   },
   /// A call to a plain service.
   Call {
     /// The method.
     method: Method,
-    /// Path below the service, with the query.
+    /// Path after the service name, with the query.
     path: Arc<str>,
     /// Headers, without hop-by-hop ones.
     headers: HeaderMap,
@@ -60,14 +60,14 @@
   },
 }
 
-/// A request's body and the way back to its caller.
+/// A request body and the channel for its response.
 #[derive(Debug)]
 pub(crate) struct Payload {
   /// The request.
   pub(crate) request: RequestId,
   /// The body.
   pub(crate) body: Body,
-  /// The way back.
+  /// The response channel.
   pub(crate) chunks: mpsc::Sender<Chunk>,
   /// When the request arrived.
   pub(crate) arrived: Instant,
--- a/src/egress/endpoint_client.rs
+++ b/src/egress/endpoint_client.rs
@@ -5,8 +5,8 @@
     decide::{Began, CancelAnswer, Event, Role, StageOutcome},
     endpoint_api::{
       AttemptsReply, CacheEventsReply, CancelReply, CancelRequest, CommandRejection, DecodeRequest,
-      HoldsReply, HoldsRequest, ImportAnswer, ImportRequest, LoadReply, PrefillAnswer,
-      PrefillRequest, RejectionReply, RoleRequest,
+      HoldsReply, HoldsRequest, ImportRequest, ImportResponse, LoadReply, PrefillRequest,
+      PrefillResponse, RejectionReply, RoleRequest,
     },
     http_client::{CallError, HttpClient},
     ids::{AttemptId, Name},
@@ -122,7 +122,7 @@
     &self,
     request: &PrefillRequest,
     timeout: Duration,
-  ) -> Result<PrefillAnswer, CommandFailure> {
+  ) -> Result<PrefillResponse, CommandFailure> {
     let uri = self.uri("/v1/prefill");
     let response = self.http.post(&uri, request, timeout).await;
     response.map_err(|error| self.failure(error))
@@ -132,7 +132,7 @@
     &self,
     request: &ImportRequest,
     timeout: Duration,
-  ) -> Result<ImportAnswer, CommandFailure> {
+  ) -> Result<ImportResponse, CommandFailure> {
     let uri = self.uri("/v1/import");
     let response = self.http.post(&uri, request, timeout).await;
     response.map_err(|error| self.failure(error))
--- a/src/endpoint_api.rs
+++ b/src/endpoint_api.rs
@@ -1,4 +1,4 @@
-//! The messages between a box and its endpoints; docs/ENDPOINTS.md says what they mean.
+//! The HTTP messages between a box and its endpoints; docs/ENDPOINTS.md describes the protocol.
 
 use {
   crate::{
@@ -8,7 +8,7 @@
   serde::{Deserialize, Serialize},
 };
 
-/// `POST /v1/prefill`: read a prompt and keep the result for transfer.
+/// `POST /v1/prefill`: prefill a prompt and hold its KV cache for transfer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PrefillRequest {
   /// The attempt.
@@ -17,74 +17,74 @@
   pub model: Name,
   /// The prompt.
   pub prompt: Name,
-  /// What the caller has of the answer already, to be read behind the prompt.
+  /// Response text already delivered to the caller, to be prefilled after the prompt.
   pub answered: Name,
-  /// The most tokens that the answer may have.
+  /// Maximum tokens of the response.
   pub max_tokens: u64,
-  /// Time that the engine keeps the attempt without an extension.
+  /// Time that the engine holds the attempt without an extension.
   pub hold_ms: u64,
   /// Time until the caller's deadline.
   pub deadline_ms: u64,
-  /// Higher goes first.
+  /// Priority; higher goes first.
   pub priority: i64,
 }
 
-/// The answer to a prefill order, sent when the prompt has been read.
+/// The response to a prefill, sent when the prompt has been processed.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct PrefillAnswer {
+pub struct PrefillResponse {
   /// Tokens in the prompt.
   pub prompt_tokens: u64,
-  /// Of these, found in the prefix cache.
+  /// Tokens of the prompt found in the prefix cache.
   pub cached_tokens: u64,
-  /// Size of the KV cache to move.
+  /// Size of the KV cache to transfer.
   pub kv_bytes: u64,
 }
 
-/// `POST /v1/import`: pull a KV cache from a prefill engine.
+/// `POST /v1/import`: fetch a KV cache from a prefill engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ImportRequest {
   /// The attempt.
   pub attempt: AttemptId,
   /// Base URL of the prefill engine.
   pub source_url: Name,
-  /// Time that the engine keeps the attempt without an extension.
+  /// Time that the engine holds the attempt without an extension.
   pub hold_ms: u64,
 }
 
-/// The answer to an import order, sent when the KV cache has arrived.
+/// The response to an import, sent when the KV cache has been transferred.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct ImportAnswer {
-  /// Bytes moved.
+pub struct ImportResponse {
+  /// Bytes transferred.
   pub kv_bytes: u64,
 }
 
-/// `POST /v1/decode`: write the answer from an offset, as lines of [`DecodeChunk`].
+/// `POST /v1/decode`: generate the response from an offset, streamed as lines of [`DecodeChunk`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct DecodeRequest {
   /// The attempt.
   pub attempt: AttemptId,
-  /// Bytes of the answer that the caller has already.
+  /// Bytes of the response already delivered to the caller.
   pub offset: u64,
-  /// The most tokens that the whole answer may have.
+  /// Maximum tokens of the whole response.
   pub max_tokens: u64,
 }
 
-/// Why an answer ended.
+/// Why generation ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinishReason {
-  /// The model ended it.
+  /// The model emitted its end token.
   Stop,
-  /// It reached the most tokens allowed.
+  /// The token limit was reached.
   Length,
 }
 
-/// A piece of the answer.
+/// A chunk of a response.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct DecodeChunk {
   /// The attempt.
   pub attempt: AttemptId,
-  /// Byte offset of the text within the whole answer.
+  /// Byte offset of the text within the whole response.
   pub offset: u64,
   /// The text.
   pub text: String,
@@ -94,37 +94,37 @@
   pub finish: Option<FinishReason>,
 }
 
-/// `POST /v1/cancel`: stop an attempt, and refuse its orders if they come later.
+/// `POST /v1/cancel`: stop an attempt, and reject any command for it that arrives later.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CancelRequest {
   /// The attempt.
   pub attempt: AttemptId,
 }
 
-/// The answer to a cancel.
+/// The response to a cancel.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CancelReply {
-  /// What the engine did.
+  /// What became of the attempt.
   pub answer: CancelAnswer,
 }
 
-/// `POST /v1/holds`: keep these attempts for a while longer.
+/// `POST /v1/holds`: extend the holds of attempts.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct HoldsRequest {
   /// The attempts.
   pub attempts: Vec<AttemptId>,
-  /// How long, from now.
+  /// Hold duration, from now.
   pub hold_ms: u64,
 }
 
-/// The answer to an extension.
+/// The response to an extension.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct HoldsReply {
   /// Attempts that the engine does not hold.
   pub unknown: Vec<AttemptId>,
 }
 
-/// `GET /v1/attempts`: all that the engine holds memory for.
+/// `GET /v1/attempts`: the attempts that the engine holds memory for.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct AttemptsReply {
   /// The attempts.
@@ -134,68 +134,68 @@
 /// `GET /v1/load`, of engines and plain services.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LoadReply {
-  /// The endpoint's start; higher is later.
+  /// The incarnation of the endpoint; higher is later.
   pub incarnation: u64,
   /// The engine's role; plain services have none.
   #[serde(default)]
   pub role: Option<Role>,
-  /// Whether it is leaving.
+  /// Whether it is shutting down and accepts no new work.
   #[serde(default)]
   pub leaving: bool,
-  /// Requests held.
+  /// Requests that it runs.
   pub used_seats: u32,
-  /// Requests it can hold.
+  /// Requests that it can run at once.
   pub seats: u32,
-  /// Prompt tokens waiting to be read.
+  /// Prompt tokens queued for prefill.
   #[serde(default)]
   pub queue_tokens: u64,
-  /// Age of these numbers.
+  /// Age of this report.
   #[serde(default)]
   pub age_ms: u64,
 }
 
-/// `GET /v1/cache-events?since=N`: prefix blocks cached since, late and with gaps.
+/// `GET /v1/cache-events?since=N`: prefix blocks cached since a cursor. Best effort: events may be late or missing.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CacheEventsReply {
-  /// The cursor to ask with next.
+  /// The cursor for the next call.
   pub next: u64,
   /// Hashes of the blocks.
   pub blocks: Vec<u64>,
 }
 
-/// `POST /v1/role`: a fenced order to change role.
+/// `POST /v1/role`: a fenced command to change role.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RoleRequest {
-  /// The role wanted.
+  /// The new role.
   pub role: Role,
-  /// Key-value revision of the steward's lease; an older one is refused.
+  /// Key-value revision of the leader's lease; an older one is rejected.
   pub fence: u64,
 }
 
-/// Why an endpoint refuses an order.
+/// Why an endpoint rejects a command.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CommandRejection {
-  /// No room; nothing began.
+  /// No free capacity; the work did not begin.
   Full,
-  /// The attempt was cancelled before the order came; nothing began.
+  /// The attempt was cancelled before the command arrived; the work did not begin.
   Cancelled,
-  /// The endpoint is leaving or has the other role; nothing began.
+  /// The endpoint is shutting down or has the other role; the work did not begin.
   NotServing,
-  /// The export asked for is not kept any more.
+  /// The KV cache to transfer is no longer held.
   ExportGone,
-  /// The fence is older than one that the engine has obeyed.
+  /// The fence is older than one that the engine has accepted.
   OldFence,
 }
 
-/// The body of a refusal.
+/// The body of a rejection.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RejectionReply {
-  /// Why.
+  /// The reason.
   pub refusal: CommandRejection,
 }
 
-/// Hashes of a prompt's leading blocks; each covers all text before it.
+/// Hashes of a prompt's leading blocks; each hash covers all text up to the end of its block.
 ///
 /// ```
 /// use rillford::endpoint_api::prefix_blocks;
@@ -209,7 +209,7 @@
   prompt
     .as_bytes()
     .chunks_exact(BLOCK_BYTES)
-    .take(MOST_BLOCKS)
+    .take(MAX_BLOCKS)
     .map(|block| {
       hasher.update(block);
       let mut bytes = [0; 8];
@@ -219,8 +219,8 @@
     .collect()
 }
 
-/// Bytes of prompt text taken for one token before an engine has counted.
+/// Estimated bytes of prompt text per token, used until an engine has counted the tokens.
 pub const BYTES_PER_TOKEN: u64 = 4;
 
 const BLOCK_BYTES: usize = 512;
-const MOST_BLOCKS: usize = 64;
+const MAX_BLOCKS: usize = 64;
--- a/src/gateway/connections/accept.rs
+++ b/src/gateway/connections/accept.rs
@@ -1,7 +1,7 @@
 //! Accepting connections on the box's ports, and serving those that only boxes and tools use.
 
 use {
-  crate::listener::ACCEPT_PAUSE,
+  crate::listener::ACCEPT_RETRY_DELAY,
   bytes::Bytes,
   http::{Request, Response},
   http_body_util::Full,
@@ -22,7 +22,7 @@
       Ok((stream, _)) => return stream,
       Err(error) => {
         log::warn!("E601 connection not accepted: {error}");
-        sleep(ACCEPT_PAUSE).await;
+        sleep(ACCEPT_RETRY_DELAY).await;
       }
     }
   }
--- a/src/gateway/edge/endpoint_notice.rs
+++ b/src/gateway/edge/endpoint_notice.rs
@@ -1,6 +1,6 @@
 //! What an endpoint says of itself in an answer.
 
-use crate::BadRetryAfter;
+use crate::InvalidRetryAfter;
 
 /// What an endpoint says of itself in one answer, whatever was asked.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -40,5 +40,5 @@
   Limit(String),
   /// For how long it wants no work.
   #[error("{0}")]
-  Pause(#[from] BadRetryAfter),
+  Pause(#[from] InvalidRetryAfter),
 }
--- a/src/gateway/requests/caller_identity.rs
+++ b/src/gateway/requests/caller_identity.rs
@@ -48,9 +48,9 @@
 ) -> Result<Option<Rc<Organisation>>, Refusal> {
   match key {
     BearerKey::Absent if route.is_open => Ok(None),
-    BearerKey::Absent | BearerKey::Unreadable => Err(Refusal::NoKey),
-    BearerKey::Several => Err(Refusal::SeveralKeys),
-    BearerKey::Given(key) => match organisations.holder(key) {
+    BearerKey::Absent | BearerKey::Malformed => Err(Refusal::NoKey),
+    BearerKey::Ambiguous => Err(Refusal::SeveralKeys),
+    BearerKey::Present(key) => match organisations.holder(key) {
       Some(organisation) => Ok(Some(organisation.clone())),
       None => Err(Refusal::UnknownKey),
     },
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers that travel between processes.
+//! Identifiers that are sent between processes.
 
 use {
   serde::{Deserialize, Deserializer, Serialize, Serializer, de},
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct RequestId(pub u64);
 
-/// One try at a request: `box/incarnation/sequence/attempt`.
+/// An attempt at a request: `box/incarnation/sequence/attempt`.
 ///
 /// ```
 /// use rillford::ids::AttemptId;
@@ -26,18 +26,18 @@
 /// ```
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct AttemptId {
-  /// The box that gave the order.
+  /// The box that sent the command.
   pub box_name: Name,
-  /// The box's start, as milliseconds of the Unix epoch; higher is later.
+  /// The start time of the box, in milliseconds since the Unix epoch; higher is later.
   pub incarnation: u64,
   /// The request's number within the incarnation.
   pub sequence: u64,
-  /// The try's number within the request, from 1.
+  /// The number of the attempt within the request, from 1.
   pub attempt: u32,
 }
 
 impl AttemptId {
-  /// The request that this attempt serves.
+  /// The request that this attempt belongs to.
   ///
   /// ```
   /// use rillford::ids::{AttemptId, RequestId};
--- a/src/ingress/caller_headers.rs
+++ b/src/ingress/caller_headers.rs
@@ -46,7 +46,7 @@
 }
 
 fn organisation(state: &IngressState, headers: &HeaderMap) -> Option<Name> {
-  let key = BearerKey::read(headers).given()?;
+  let key = BearerKey::read(headers).key()?;
   state.keys.load().organisation(key).cloned()
 }
 
--- a/src/ingress/state.rs
+++ b/src/ingress/state.rs
@@ -143,7 +143,7 @@
     let reserved = self.limits.requests;
     if self
       .to_decide
-      .push_leaving(reserved, Event::Arrived(arrival))
+      .push_with_reserve(reserved, Event::Arrived(arrival))
       .is_err()
     {
       self.remove_pending(request);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
 //! A router for separate prefill and decode pools.
 //!
-//! A request's way: [`ingress`](crate) → [`decide`] → [`egress`], with peers, platform and observe at the
-//! side. Each is a folder, a thread, and a filter between bounded rings.
+//! Two programs share this crate. `rillford gateway` is the [`gateway`] module. In `rillford serve`, a request passes through
+//! ingress, [`decide`] and [`egress`], with [`peers`], [`store`] and [`observe`] beside them: a module and a thread each,
+//! connected by bounded rings.
 
 mod admin;
 mod bearer_key;
@@ -34,6 +35,6 @@
   cause_first::CauseFirst,
   error::{Error, Result},
   http_client::{CallError, HttpClient},
-  retry_after::{BadRetryAfter, retry_after_ms},
+  retry_after::{InvalidRetryAfter, retry_after_ms},
   run::{RunGateway, run},
 };
--- a/src/listener.rs
+++ b/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting HTTP connections with bounds on their number and on the time for headers.
+//! Accepts HTTP connections, with limits on their number and on the time for request headers.
 
 use {
   crate::{Error, Result},
@@ -13,19 +13,19 @@
   tokio::{net::TcpListener, sync::Semaphore},
 };
 
-/// Connections that may wait to be accepted: callers come in bursts when a box has died.
+/// Backlog of connections to accept: callers reconnect in bursts when another box has crashed.
 const BACKLOG: i32 = 4_096;
-/// Pause after a connection could not be accepted, for want of descriptors.
-pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, for example when file descriptors run out.
+pub(crate) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Bounds on a listener.
+/// Limits of a listener.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ListenerBounds {
   pub(crate) connections: usize,
   pub(crate) header_timeout: Duration,
 }
 
-/// Binds an address; done before the process says that it has started.
+/// Binds and listens on an address.
 pub(crate) fn bind(purpose: &'static str, address: SocketAddr) -> Result<std::net::TcpListener> {
   let error = |source| Error::Listen {
     address: address.to_string(),
@@ -33,7 +33,7 @@
     source,
   };
   let socket = Socket::new(Domain::for_address(address), Type::STREAM, None).map_err(error)?;
-  // A box is replaced on the same address at once.
+  // A restarted box binds the same address at once.
   socket.set_reuse_address(true).map_err(error)?;
   socket.bind(&address.into()).map_err(error)?;
   socket.listen(BACKLOG).map_err(error)?;
@@ -41,25 +41,25 @@
   Ok(socket.into())
 }
 
-/// Serves a router on a bound listener until the process ends.
+/// Serves a router on a bound listener until the process exits.
 pub(crate) async fn serve(listener: std::net::TcpListener, router: Router, bounds: ListenerBounds) {
   let listener = match TcpListener::from_std(listener) {
     Ok(listener) => listener,
     Err(error) => {
-      log::error!("listening: {error}");
+      log::error!("listener not started: {error}");
       return;
     }
   };
-  let places = Arc::new(Semaphore::new(bounds.connections));
+  let slots = Arc::new(Semaphore::new(bounds.connections));
   loop {
-    let Ok(place) = places.clone().acquire_owned().await else {
+    let Ok(slot) = slots.clone().acquire_owned().await else {
       return;
     };
     let stream = match listener.accept().await {
       Ok((stream, _)) => stream,
       Err(error) => {
         log::warn!("accepting a connection: {error}");
-        tokio::time::sleep(ACCEPT_PAUSE).await;
+        tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
         continue;
       }
     };
@@ -73,7 +73,7 @@
       if let Err(error) = connection.await {
         log::debug!("connection ended: {error}");
       }
-      drop(place);
+      drop(slot);
     });
   }
 }
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -1,4 +1,4 @@
-//! A bounded single-producer ring with a wake-up beside it: the joint between two filters.
+//! A bounded single-producer, single-consumer ring that wakes its consumer.
 
 use {
   rtrb::{Consumer, Producer, RingBuffer},
@@ -10,9 +10,9 @@
   tokio::sync::Notify,
 };
 
-const RETRY_WHEN_FULL: Duration = Duration::from_millis(1);
+const FULL_RETRY_PERIOD: Duration = Duration::from_millis(1);
 
-/// How the consumer's thread is woken.
+/// How the consumer is woken.
 #[derive(Clone)]
 pub enum Waker {
   /// The consumer parks its thread.
@@ -30,7 +30,7 @@
   }
 }
 
-/// The producing end. Clones share one slot in the ring's single-producer order.
+/// The producing end. Clones share the producer behind a mutex.
 pub struct Sender<T> {
   producer: Arc<Mutex<Producer<T>>>,
   waker: Waker,
@@ -46,7 +46,7 @@
 }
 
 impl<T> Sender<T> {
-  /// Puts a value in the ring, or gives it back when the ring is full.
+  /// Pushes a value, or returns it when the ring is full.
   ///
   /// ```
   /// use rillford::ring::{ring, Waker};
@@ -56,13 +56,13 @@
   /// assert_eq!(receiver.pop(), Some(7));
   /// ```
   pub fn push(&self, value: T) -> Result<(), T> {
-    self.push_leaving(0, value)
+    self.push_with_reserve(0, value)
   }
 
-  /// Puts a value in the ring only while more than `spare` slots stay free for others.
-  pub fn push_leaving(&self, spare: usize, value: T) -> Result<(), T> {
+  /// Pushes a value if more than `reserved` slots are free, or returns it.
+  pub fn push_with_reserve(&self, reserved: usize, value: T) -> Result<(), T> {
     let mut producer = self.producer.lock().unwrap_or_else(PoisonError::into_inner);
-    if producer.slots() <= spare {
+    if producer.slots() <= reserved {
       return Err(value);
     }
     let pushed = producer.push(value);
@@ -71,21 +71,21 @@
     pushed.map_err(|rtrb::PushError::Full(value)| value)
   }
 
-  /// Puts a value in the ring, waiting for room; for what must not be lost.
+  /// Pushes a value, waiting while the ring is full.
   pub async fn send(&self, value: T) {
     let mut value = value;
-    while let Err(back) = self.push(value) {
-      value = back;
-      tokio::time::sleep(RETRY_WHEN_FULL).await;
+    while let Err(rejected) = self.push(value) {
+      value = rejected;
+      tokio::time::sleep(FULL_RETRY_PERIOD).await;
     }
   }
 
-  /// Puts a value in the ring from a plain thread, waiting for room.
+  /// Pushes a value from a thread without a runtime, blocking while the ring is full.
   pub fn send_blocking(&self, value: T) {
     let mut value = value;
-    while let Err(back) = self.push(value) {
-      value = back;
-      thread::sleep(RETRY_WHEN_FULL);
+    while let Err(rejected) = self.push(value) {
+      value = rejected;
+      thread::sleep(FULL_RETRY_PERIOD);
     }
   }
 }
@@ -94,22 +94,22 @@
 pub struct Receiver<T>(Consumer<T>);
 
 impl<T> Receiver<T> {
-  /// The oldest value, if there is one.
+  /// Pops the oldest value, if there is one.
   pub fn pop(&mut self) -> Option<T> {
     self.0.pop().ok()
   }
 
-  /// How many values wait.
+  /// The number of queued values.
   pub fn len(&self) -> usize {
     self.0.slots()
   }
 
-  /// Whether nothing waits.
+  /// Whether no value is queued.
   pub fn is_empty(&self) -> bool {
     self.0.is_empty()
   }
 
-  /// Awaits the oldest value; `notify` is the one in the sender's [`Waker::Task`].
+  /// Waits for the oldest value; `notify` is the one in the sender's [`Waker::Task`].
   pub async fn next(&mut self, notify: &Notify) -> T {
     loop {
       if let Some(value) = self.pop() {
@@ -120,7 +120,7 @@
   }
 }
 
-/// Makes a ring of `capacity` slots.
+/// Creates a ring of `capacity` slots.
 pub fn ring<T>(capacity: usize, waker: Waker) -> (Sender<T>, Receiver<T>) {
   let (producer, consumer) = RingBuffer::new(capacity);
   (
--- a/src/run.rs
+++ b/src/run.rs
@@ -1,14 +1,14 @@
-//! From the command line to the subcommand, and from its result to the exit code.
+//! Runs the subcommand on the command line and maps its result to an exit code.
 
 use {
   crate::{Result, gateway::GatewaySettings, subcommand::Subcommand},
   std::process::ExitCode,
 };
 
-/// Runs a gateway box behind one platform's names and formats.
+/// Runs a gateway box with one platform's names and formats.
 pub type RunGateway = fn(GatewaySettings) -> Result;
 
-/// Runs the program. A user's mistake ends with a message and a code, never with a stack trace.
+/// Runs the program. An error is printed to standard error and sets the exit code.
 pub fn run(run_gateway: RunGateway) -> ExitCode {
   match Subcommand::parse().run(run_gateway) {
     Ok(()) => ExitCode::SUCCESS,
