--- /dev/null
+++ b/src/causal_merge.rs
@@ -0,0 +1,53 @@
+//! Merges two rings so that no effect is read before its cause.
+
+use crate::ring::Receiver;
+
+/// Reads two rings with a producer each. A value in `effects` may be a consequence of a value that was pushed to `causes` before
+/// it: for example, a caller's next request, sent after a response that also set a backoff. Popping the rings in turn could yield
+/// the effect first.
+///
+/// ```
+/// use rillford::{CausalMerge, ring::{Waker, ring}};
+/// let waker = Waker::Thread(std::thread::current());
+/// let (backoffs, causes) = ring(2, waker.clone());
+/// let (requests, effects) = ring(2, waker);
+/// let mut merge = CausalMerge::new(causes, effects);
+/// assert!(backoffs.push("backoff").is_ok());
+/// assert!(requests.push("next request").is_ok());
+/// assert_eq!(merge.pop(), Some("backoff"));
+/// assert_eq!(merge.pop(), Some("next request"));
+/// ```
+pub struct CausalMerge<T> {
+  causes: Receiver<T>,
+  effects: Receiver<T>,
+  /// An effect that was popped, and the number of causes that must be returned before it.
+  held: Option<(T, usize)>,
+}
+
+impl<T> CausalMerge<T> {
+  /// Merges two rings.
+  pub fn new(causes: Receiver<T>, effects: Receiver<T>) -> Self {
+    Self {
+      causes,
+      effects,
+      held: None,
+    }
+  }
+
+  /// Pops the next value, if there is one.
+  pub fn pop(&mut self) -> Option<T> {
+    if self.held.is_none() {
+      let effect = self.effects.pop();
+      // Read after the effect was popped, so that its causes are already in their ring.
+      self.held = effect.map(|effect| (effect, self.causes.len()));
+    }
+    match self.held.take() {
+      None => self.causes.pop(),
+      Some((effect, 0)) => Some(effect),
+      Some((effect, ahead)) => {
+        self.held = Some((effect, ahead - 1));
+        self.causes.pop()
+      }
+    }
+  }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,7 +6,7 @@
 
 mod admin;
 mod bearer_key;
-mod cause_first;
+mod causal_merge;
 mod chunk;
 mod error;
 mod http_client;
@@ -32,7 +32,7 @@
 
 pub use self::{
   admin::{ConfigurationBody, HistoryBody, ProblemBody, Revision},
-  cause_first::CauseFirst,
+  causal_merge::CausalMerge,
   error::{Error, Result},
   http_client::{CallError, HttpClient},
   retry_after::{InvalidRetryAfter, retry_after_ms},
--- a/src/serve/decide_loop.rs
+++ b/src/serve/decide_loop.rs
@@ -2,7 +2,7 @@
 
 use {
   crate::{
-    CauseFirst,
+    CausalMerge,
     decide::{Action, Ending, Event, Machine, Status},
     egress::EgressInput,
     ids::RequestId,
@@ -63,7 +63,7 @@
   pub(super) started: Instant,
   /// Endpoint reports and callers' requests. A caller may send a request because of an earlier response, so reports that
   /// precede a request are handled before it.
-  pub(super) calls: CauseFirst<Event>,
+  pub(super) calls: CausalMerge<Event>,
   pub(super) inputs: Vec<Receiver<Event>>,
   pub(super) to_egress: BufferedSender<EgressInput>,
   pub(super) to_ingress: BufferedSender<(RequestId, Ending)>,
--- a/src/serve/start.rs
+++ b/src/serve/start.rs
@@ -6,7 +6,7 @@
     stop::{await_signal, stop},
   },
   crate::{
-    CauseFirst, Error, Result,
+    CausalMerge, Error, Result,
     admin::{self, AdminSetup, AdminState},
     decide::{Identity, Machine, Note, NoteKind, Setup, Status},
     egress::{self, EgressSetup},
@@ -95,7 +95,7 @@
   );
 
   decide.run(DecideLoop {
-    calls: CauseFirst::new(egress_events, ingress_events),
+    calls: CausalMerge::new(egress_events, ingress_events),
     inputs: vec![peer_events, platform_events, operator_events],
     machine: Machine::new(Setup {
       endpoints: settings
--- a/tests/lib.rs
+++ b/tests/lib.rs
@@ -3,7 +3,7 @@
 mod answers;
 mod architecture;
 mod at_most_once;
-mod cause_first;
+mod causal_merge;
 mod command_line;
 mod configuration;
 mod contracts;
