--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Each caller receives the whole answer to its own request, once.
+//! Each caller receives the complete response to its own request, exactly once.
 
 use {
   crate::{Test, test::finish},
@@ -39,12 +39,10 @@
 #[case::refused_as_full(faults(|faults| faults.full = true))]
 #[case::failing_before(faults(|faults| faults.fail_before = true))]
 #[tokio::test]
-async fn broken_decode_engine_is_left_for_another_and_the_answer_is_whole(
-  #[case] faults: EngineFaults,
-) {
+async fn failed_decode_engine_is_replaced_and_the_response_is_whole(#[case] faults: EngineFaults) {
   let test = Test::new().start().await;
   test.engine("north-decode-1").set_faults(faults);
-  // Several, so that the broken engine gets some of them.
+  // Several requests, so that the faulty engine gets at least one.
   for index in 0..4 {
     let prompt = format!("{PROMPT}{index}");
     let told = test.complete("north-1", &Ask::new(&prompt, 23)).await;
@@ -54,14 +52,14 @@
 }
 
 #[tokio::test]
-async fn dead_decode_engine_hands_its_answers_on_at_the_exact_offset() {
+async fn response_resumes_at_the_exact_offset_after_its_decode_engine_crashed() {
   let mut test = Test::new().slow_answers().start().await;
   let stream = test.open("north-1", &Ask::new(PROMPT, 120)).await;
-  let dead = ["north-decode-1", "north-decode-2"]
+  let crashed = ["north-decode-1", "north-decode-2"]
     .into_iter()
     .find(|name| !test.engine(name).held().is_empty())
     .unwrap();
-  test.deployment.hosts.get_mut(dead).unwrap().kill();
+  test.deployment.hosts.get_mut(crashed).unwrap().kill();
   assert_eq!(
     finish(stream).await,
     Told::Answered(answer_text(PROMPT, 120))
@@ -84,7 +82,7 @@
 }
 
 #[tokio::test]
-async fn many_callers_at_once_each_get_their_own_answer() {
+async fn concurrent_callers_each_get_their_own_response() {
   let test = Test::new().start().await;
   let asks = (0..60).map(|index| {
     let caller = test.caller.clone();
@@ -95,15 +93,15 @@
       (prompt, caller.complete(&url, &ask).await)
     })
   });
-  for asked in asks.collect::<Vec<_>>() {
-    let (prompt, told) = asked.await.unwrap();
+  for task in asks.collect::<Vec<_>>() {
+    let (prompt, told) = task.await.unwrap();
     assert_eq!(told, Told::Answered(answer_text(&prompt, 10)));
   }
   test.wait_nothing_held().await;
 }
 
 #[tokio::test]
-async fn cut_answer_of_a_plain_service_breaks_the_callers_connection() {
+async fn truncated_response_of_a_plain_service_breaks_the_callers_connection() {
   let test = Test::new().start().await;
   test.portal().set_faults(emulator::ServiceFaults {
     cut_answer: true,
@@ -122,9 +120,9 @@
   assert!(matches!(told, Told::Lost(_)), "{told:?}");
 }
 
-/// A box passed a service's wish for a pause on to its caller and called the service again at once, as often as callers came.
+/// A `Retry-After` delay applies to the box itself, not only to the caller that got it.
 #[tokio::test]
-async fn service_that_wants_a_pause_is_called_no_more_until_its_end() {
+async fn service_that_asks_for_backoff_is_not_called_until_it_ends() {
   let test = Test::new().start().await;
   let portal = test.portal();
   portal.set_faults(emulator::ServiceFaults {
@@ -133,19 +131,19 @@
   });
   let (url, method) = (test.url("north-1"), http::Method::GET);
   for _ in 0..6 {
-    let asking = test
+    let call = test
       .caller
       .call(&url, method.clone(), "portal/clip", &[], "");
-    // The calls after the first wait for the end of the pause, and are given up.
-    let _ = tokio::time::timeout(std::time::Duration::from_millis(250), asking).await;
+    // The calls after the first wait for the end of the delay and are dropped.
+    let _ = tokio::time::timeout(std::time::Duration::from_millis(250), call).await;
   }
   assert_eq!(portal.turned_away(), 1);
   portal.set_faults(emulator::ServiceFaults::default());
   let is_answered = async || {
-    let asking = test
+    let call = test
       .caller
       .call(&url, method.clone(), "portal/clip", &[], "");
-    matches!(asking.await, Told::Answered(_))
+    matches!(call.await, Told::Answered(_))
   };
   assert!(emulator::eventually(std::time::Duration::from_secs(30), is_answered).await);
 }
--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! "Not run" truly did not run, and a not-repeatable request runs at most once.
+//! A request that is rejected as not run did not run, and a non-repeatable request runs at most once.
 
 use {
   crate::{Test, test::PATIENCE},
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test]
-async fn lost_answer_of_a_refund_is_told_unknown_and_never_run_again() {
+async fn lost_response_of_a_refund_is_reported_as_unknown_and_never_run_again() {
   let test = Test::new().start().await;
   test.portal().set_faults(ServiceFaults {
     lose_answer: true,
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test]
-async fn claim_whose_write_lost_its_answer_is_read_back() {
+async fn claim_whose_write_lost_its_response_is_read_back() {
   let test = Test::new().start().await;
   test.deployment.doors["north"].set(KeyValueFaults {
     lose_write_answers: 1,
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test]
-async fn refund_during_an_outage_is_told_not_run_and_can_be_sent_again() {
+async fn refund_during_a_store_outage_is_rejected_and_can_be_sent_again() {
   let test = Test::new().start().await;
   let door = &test.deployment.doors["north"];
   door.set(KeyValueFaults {
@@ -66,7 +66,7 @@
     "{told:?}"
   );
   assert_eq!(test.refund_runs("refund-4"), 0);
-  // Repeatable work goes on meanwhile.
+  // Repeatable requests are served during the outage.
   assert!(
     test
       .complete("north-1", &Ask::new("on", 3))
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test]
-async fn claim_that_takes_effect_after_not_run_was_told_is_released() {
+async fn claim_that_takes_effect_after_the_rejection_is_released() {
   let test = Test::new().start().await;
   let door = &test.deployment.doors["north"];
   door.set(KeyValueFaults {
@@ -108,7 +108,7 @@
       .keys("rillford/claims/")
       .is_empty()
   });
-  assert!(released.await, "the late claim stands for ever");
+  assert!(released.await, "the late claim is never released");
   assert!(test.refund("north-2", "refund-5").await.is_answered());
   assert_eq!(test.refund_runs("refund-5"), 1);
 }
@@ -147,7 +147,7 @@
 }
 
 #[tokio::test]
-async fn box_killed_with_a_refund_in_hand_leaves_its_key_claimed() {
+async fn box_killed_during_a_refund_leaves_its_key_claimed() {
   let mut test = Test::new().start().await;
   test.portal().set_faults(ServiceFaults {
     lose_answer: true,
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line: help, exit codes, clear errors.
+//! The command line: help, exit codes and error messages.
 
 use {
   crate::{Test, test::Running},
@@ -19,7 +19,7 @@
     .unwrap()
 }
 
-fn out(output: &Output) -> String {
+fn output_text(output: &Output) -> String {
   format!(
     "{}{}",
     String::from_utf8_lossy(&output.stdout),
@@ -36,10 +36,14 @@
 #[case(&["status", "--help"], "--json")]
 #[case(&["drain", "--help"], "--undo")]
 #[case(&["timeline", "--help"], "--trace")]
-fn help_reads_well(#[case] arguments: &[&str], #[case] wanted: &str) {
+fn help_names_commands_and_options(#[case] arguments: &[&str], #[case] wanted: &str) {
   let output = rillford(arguments);
   assert!(output.status.success());
-  assert!(out(&output).contains(wanted), "{}", out(&output));
+  assert!(
+    output_text(&output).contains(wanted),
+    "{}",
+    output_text(&output)
+  );
 }
 
 #[rstest]
@@ -48,35 +52,39 @@
 #[case(&["serve", "--settings", "/nowhere.toml"], 3, "reading /nowhere.toml")]
 #[case(&["status", "--server", "http://127.0.0.1:1", "--key", "k"], 4, "reading status at http://127.0.0.1:1")]
 #[case(&["policy", "try", "--policy", "examples/oslo/policy.rhai", "--hour", "25", "quiz"], 2, "between 0 and 23")]
-fn mistakes_have_a_message_and_a_code(
+fn errors_have_a_message_and_an_exit_code(
   #[case] arguments: &[&str],
   #[case] code: i32,
   #[case] wanted: &str,
 ) {
   let output = rillford(arguments);
-  assert_eq!(output.status.code(), Some(code), "{}", out(&output));
-  assert!(out(&output).contains(wanted), "{}", out(&output));
-  assert!(!out(&output).contains("panicked"));
+  assert_eq!(output.status.code(), Some(code), "{}", output_text(&output));
+  assert!(
+    output_text(&output).contains(wanted),
+    "{}",
+    output_text(&output)
+  );
+  assert!(!output_text(&output).contains("panicked"));
 }
 
 #[test]
-fn broken_policy_is_told_with_file_line_and_column() {
+fn invalid_policy_is_reported_with_file_line_and_column() {
   let folder = tempfile::tempdir().unwrap();
   let file = folder.path().join("policy.rhai");
   fs::write(&file, "fn rank(request, now) {\n  #{ class: }\n}\n").unwrap();
   let output = rillford(&["check", "--policy", file.to_str().unwrap()]);
   assert_eq!(output.status.code(), Some(3));
   assert!(
-    out(&output).contains("policy.rhai:2: policy: line 2, column"),
+    output_text(&output).contains("policy.rhai:2: policy: line 2, column"),
     "{}",
-    out(&output)
+    output_text(&output)
   );
 }
 
 #[rstest]
 #[case("oslo")]
 #[case("sariwa")]
-fn examples_pass_check(#[case] site: &str) {
+fn examples_are_valid(#[case] site: &str) {
   let file = |name: &str| format!("examples/{site}/{name}");
   let output = rillford(&[
     "check",
@@ -89,13 +97,13 @@
     "--organisation",
     &file("organisation.json"),
   ]);
-  assert!(output.status.success(), "{}", out(&output));
+  assert!(output.status.success(), "{}", output_text(&output));
   let document = fs::read_to_string(file("platform.json")).unwrap();
   let document = serde_json::from_str::<serde_json::Value>(&document).unwrap();
   let policy = fs::read_to_string(file("policy.rhai")).unwrap();
   assert_eq!(
     document["policy"], policy,
-    "the document carries another policy than the file"
+    "the policy in the document differs from the file"
   );
 }
 
@@ -104,7 +112,7 @@
 #[case("oslo", "lookup", "service", "priority 0")]
 #[case("sariwa", "checkout", "service", "priority 100")]
 #[case("sariwa", "basket", "model", "may wait true")]
-fn policies_rank_as_their_site_wants(
+fn example_policies_rank_tasks(
   #[case] site: &str,
   #[case] task: &str,
   #[case] kind: &str,
@@ -112,36 +120,40 @@
 ) {
   let policy = format!("examples/{site}/policy.rhai");
   let output = rillford(&["policy", "try", "--policy", &policy, "--kind", kind, task]);
-  assert!(out(&output).contains(wanted), "{}", out(&output));
+  assert!(
+    output_text(&output).contains(wanted),
+    "{}",
+    output_text(&output)
+  );
 }
 
-fn on(test: &Running, arguments: &[&str]) -> String {
+fn run_on_box(test: &Running, arguments: &[&str]) -> String {
   let server = test.deployment.boxes["north-1"].admin_url();
-  let mut all = arguments.to_vec();
+  let mut all_arguments = arguments.to_vec();
   let at = arguments
     .len()
     .min(if arguments[0] == "config" { 2 } else { 1 });
-  for (index, word) in ["--server", &server, "--key", ADMIN_KEY]
+  for (index, argument) in ["--server", &server, "--key", ADMIN_KEY]
     .into_iter()
     .enumerate()
   {
-    all.insert(at + index, word);
+    all_arguments.insert(at + index, argument);
   }
-  let output = rillford(&all);
-  assert!(output.status.success(), "{}", out(&output));
-  out(&output)
+  let output = rillford(&all_arguments);
+  assert!(output.status.success(), "{}", output_text(&output));
+  output_text(&output)
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn subcommands_work_on_a_running_box() {
   let test = Test::new().start().await;
-  assert!(on(&test, &["status"]).contains("north-decode-1"));
-  assert!(on(&test, &["config", "get", "platform"]).contains("hold_ms"));
+  assert!(run_on_box(&test, &["status"]).contains("north-decode-1"));
+  assert!(run_on_box(&test, &["config", "get", "platform"]).contains("hold_ms"));
   let folder = tempfile::tempdir().unwrap();
   let file = folder.path().join("platform.json");
   fs::write(&file, "{}").unwrap();
   let file = file.to_str().unwrap();
-  let put = on(
+  let put = run_on_box(
     &test,
     &[
       "config",
@@ -154,18 +166,18 @@
     ],
   );
   assert!(put.contains("platform is at revision"), "{put}");
-  let history = on(&test, &["config", "history", "platform"]);
+  let history = run_on_box(&test, &["config", "history", "platform"]);
   assert!(history.contains("revision 1\n"), "{history}");
-  assert!(on(&test, &["drain", "north-decode-1"]).contains("no new work"));
-  assert!(on(&test, &["drain", "--undo", "north-decode-1"]).contains("again"));
-  assert!(on(&test, &["timeline"]).contains("RequestAnswered"));
+  assert!(run_on_box(&test, &["drain", "north-decode-1"]).contains("no new work"));
+  assert!(run_on_box(&test, &["drain", "--undo", "north-decode-1"]).contains("again"));
+  assert!(run_on_box(&test, &["timeline"]).contains("RequestAnswered"));
   let trace = folder.path().join("trace.json");
-  on(&test, &["timeline", "--trace", trace.to_str().unwrap()]);
+  run_on_box(&test, &["timeline", "--trace", trace.to_str().unwrap()]);
   assert!(fs::read_to_string(trace).unwrap().contains("traceEvents"));
 }
 
 #[test]
-fn event_catalogue_lists_each_event_with_its_number_and_text() {
+fn event_catalogue_lists_every_event_with_its_number_and_text() {
   let catalogue = fs::read_to_string(Path::new("docs/EVENTS.md")).unwrap();
   for kind in NoteKind::ALL {
     let row = format!("| {} | `{kind:?}` | {} |", kind.number(), kind.text());
@@ -178,6 +190,6 @@
   assert_eq!(
     rows,
     NoteKind::ALL.len(),
-    "the catalogue lists events that are not there"
+    "the catalogue lists events that do not exist"
   );
 }
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! An accepted configuration is in force in every hall within seconds and never goes back.
+//! An accepted configuration is in force in every hall within seconds and is never replaced by an older one.
 
 use {
   crate::{Test, test::PATIENCE},
@@ -19,7 +19,7 @@
     .revision
 }
 
-/// Reads the platform document's revision by one box and writes a new text by another.
+/// Reads the platform document's revision from one box and writes a new text through another.
 async fn rewrite(test: &crate::test::Running, name: &str, text: &str) -> (StatusCode, String) {
   let (_, body) = test.admin("north-1", Method::GET, PLATFORM, None, "").await;
   let read = Some(revision(&body));
@@ -36,7 +36,7 @@
   digests
 }
 
-async fn all_agree_on_other_than(test: &crate::test::Running, old: u64) -> bool {
+async fn all_converge_on_new_digest(test: &crate::test::Running, old: u64) -> bool {
   eventually(PATIENCE, async || {
     let digests = digests(test).await;
     digests
@@ -52,11 +52,11 @@
   let old = test.status("north-1").await.configuration_digest;
   let (status, body) = rewrite(&test, "north-2", &document(99)).await;
   assert_eq!(status, StatusCode::OK, "{body}");
-  assert!(all_agree_on_other_than(&test, old).await);
+  assert!(all_converge_on_new_digest(&test, old).await);
 }
 
 #[tokio::test]
-async fn of_two_operators_writing_at_once_one_is_told_of_the_conflict() {
+async fn of_two_operators_writing_at_once_one_gets_a_conflict() {
   let test = Test::two_halls().start().await;
   for round in 0..5 {
     let (_, body) = test.admin("north-1", Method::GET, PLATFORM, None, "").await;
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test]
-async fn write_whose_answer_is_lost_is_read_back() {
+async fn write_whose_response_is_lost_is_read_back() {
   let test = Test::new().start().await;
   let (_, body) = test.admin("north-1", Method::GET, PLATFORM, None, "").await;
   test.deployment.doors["north"].set(KeyValueFaults {
@@ -97,7 +97,7 @@
 }
 
 #[tokio::test]
-async fn hall_that_is_cut_from_the_platform_hears_of_changes_from_its_peers() {
+async fn hall_that_is_cut_from_the_platform_receives_changes_from_its_peers() {
   let test = Test::two_halls().start().await;
   test.deployment.doors["south"].set(KeyValueFaults {
     cut: true,
@@ -106,11 +106,11 @@
   let old = test.status("south-1").await.configuration_digest;
   let (status, _) = rewrite(&test, "north-1", &document(55)).await;
   assert_eq!(status, StatusCode::OK);
-  assert!(all_agree_on_other_than(&test, old).await);
+  assert!(all_converge_on_new_digest(&test, old).await);
 }
 
 #[tokio::test]
-async fn hall_that_is_cut_off_serves_on_and_catches_up() {
+async fn isolated_hall_keeps_serving_and_catches_up() {
   let test = Test::two_halls().start().await;
   test.deployment.doors["south"].set(KeyValueFaults {
     cut: true,
@@ -128,15 +128,15 @@
   }
   assert_eq!(test.status("south-1").await.configuration_digest, old);
   test.deployment.mend_links();
-  assert!(all_agree_on_other_than(&test, old).await);
+  assert!(all_converge_on_new_digest(&test, old).await);
 }
 
 #[tokio::test]
-async fn replaced_box_takes_the_newest_from_its_peers_while_the_platform_is_down() {
+async fn restarted_box_gets_the_newest_configuration_from_its_peers_during_a_store_outage() {
   let mut test = Test::new().start().await;
   let old = test.status("north-1").await.configuration_digest;
   rewrite(&test, "north-1", &document(33)).await;
-  assert!(all_agree_on_other_than(&test, old).await);
+  assert!(all_converge_on_new_digest(&test, old).await);
   test.deployment.doors["north"].set(KeyValueFaults {
     down: true,
     ..KeyValueFaults::default()
@@ -151,7 +151,7 @@
 }
 
 #[tokio::test]
-async fn box_with_neither_platform_nor_peer_stays_unready_and_says_so() {
+async fn box_with_neither_store_nor_peer_stays_unready_and_logs_it() {
   let test = Test::halls(vec![emulator::HallPlan::small("north", &["north-1"])])
     .plan(|plan| plan.start_boxes = false);
   let mut test = test.start_unready();
@@ -160,31 +160,31 @@
     ..KeyValueFaults::default()
   });
   test.deployment.start_box("north-1").unwrap();
-  let said = eventually(PATIENCE, async || {
+  let logged = eventually(PATIENCE, async || {
     test.deployment.boxes["north-1"].log().contains("E440")
   });
-  assert!(said.await, "{}", test.deployment.boxes["north-1"].log());
+  assert!(logged.await, "{}", test.deployment.boxes["north-1"].log());
   assert!(!test.caller.is_ready(&test.url("north-1")).await);
   test.deployment.doors["north"].set(KeyValueFaults::default());
   test.wait_serving("north-1").await;
 }
 
 #[tokio::test]
-async fn swallowed_watch_event_is_made_good() {
+async fn lost_watch_event_is_recovered() {
   let test = Test::new().start().await;
   let old = test.status("north-1").await.configuration_digest;
   test.deployment.doors["north"].set(KeyValueFaults {
     swallow_events: 1,
     ..KeyValueFaults::default()
   });
-  // Written by the operators' own tools, past the boxes: only watches could tell.
+  // Written directly to the store, not through a box: only a watch reports the change.
   let key = "rillford/configuration/platform";
   test.deployment.key_value.put(key, &document(22));
-  assert!(all_agree_on_other_than(&test, old).await);
+  assert!(all_converge_on_new_digest(&test, old).await);
 }
 
 #[tokio::test]
-async fn broken_document_in_the_service_leaves_the_old_in_force() {
+async fn invalid_document_in_the_store_leaves_the_old_one_in_force() {
   let test = Test::new().start().await;
   let old = test.status("north-1").await.configuration_digest;
   let key = "rillford/configuration/platform";
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! A leaving endpoint gets no new work within a few seconds; a planned stop cuts nothing.
+//! A draining endpoint gets no new work within a few seconds; a graceful stop interrupts no request.
 
 use {
   crate::{
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test]
-async fn drain_on_one_box_holds_on_all_until_it_is_undone() {
+async fn drain_on_one_box_applies_on_all_boxes() {
   let test = Test::new().start().await;
   let path = "/endpoints/north-decode-2/drain";
   let (status, _) = test.admin("north-1", Method::POST, path, None, "").await;
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test]
-async fn endpoint_that_left_is_taken_back_with_a_new_incarnation() {
+async fn endpoint_is_used_again_with_a_new_incarnation() {
   let test = Test::new().start().await;
   let engine = test.engine("north-decode-1");
   engine.set_faults(EngineFaults {
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test]
-async fn planned_stop_ends_streams_whole_and_hands_homes_on() {
+async fn planned_stop_finishes_streams_and_hands_engines_over() {
   let mut test = Test::new().slow_answers().start().await;
   let ask = Ask::new("A stream over a planned stop. ", 330);
   let mut streams = Vec::new();
@@ -88,7 +88,7 @@
   }
   let process = &test.deployment.boxes["north-1"];
   process.signal(libc::SIGTERM);
-  // A second signal cuts nothing either.
+  // A second signal interrupts nothing either.
   process.signal(libc::SIGTERM);
   let gone = eventually(PATIENCE, async || {
     !test.caller.is_ready(&test.url("north-1")).await
@@ -99,8 +99,8 @@
     assert_eq!(finish(stream).await, Told::Answered(whole));
   }
   let process = test.deployment.boxes.get_mut("north-1").unwrap();
-  let ended = eventually(PATIENCE, async || process.ended().is_some()).await;
-  assert!(ended, "the box does not exit");
+  let exited = eventually(PATIENCE, async || process.ended().is_some()).await;
+  assert!(exited, "the box does not exit");
   assert!(process.ended().unwrap().success());
   test.wait_serving("north-2").await;
   test.wait_nothing_held().await;
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path, from a caller's request to its whole answer.
+//! The path of a request through all components, from the caller to the complete response.
 
 use {
   crate::Test,
@@ -7,7 +7,7 @@
 };
 
 #[tokio::test]
-async fn streamed_completion_is_answered_whole_through_prefill_transfer_and_decode() {
+async fn streamed_completion_passes_through_prefill_transfer_and_decode() {
   let test = Test::new().start().await;
   let before = test
     .deployment
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test]
-async fn whole_completion_carries_the_same_text() {
+async fn buffered_completion_has_the_same_text() {
   let test = Test::new().start().await;
   let told = test
     .complete("north-2", &Ask::new("Chapter two. ", 12).whole())
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test]
-async fn plain_call_keeps_method_path_query_and_body_and_drops_hop_by_hop_headers() {
+async fn service_call_keeps_method_path_query_and_body_and_drops_hop_by_hop_headers() {
   let test = Test::new().start().await;
   let headers = [
     ("x-kept".to_string(), "1".to_string()),
