--- a/src/causal_merge.rs
+++ b/src/causal_merge.rs
@@ -2,7 +2,7 @@
 
 use crate::ring::Receiver;
 
-/// Reads two rings with a producer each. A value in `effects` may be a consequence of a value that was pushed to `causes` before
+/// Merges two rings with a producer each. A value in `effects` may be a consequence of a value that was pushed to `causes` before
 /// it: for example, a caller's next request, sent after a response that also set a backoff. Popping the rings in turn could yield
 /// the effect first.
 ///
@@ -21,7 +21,7 @@
   causes: Receiver<T>,
   effects: Receiver<T>,
   /// An effect that was popped, and the number of causes that must be returned before it.
-  held: Option<(T, usize)>,
+  pending_effect: Option<(T, usize)>,
 }
 
 impl<T> CausalMerge<T> {
@@ -30,22 +30,22 @@
     Self {
       causes,
       effects,
-      held: None,
+      pending_effect: None,
     }
   }
 
   /// Pops the next value, if there is one.
   pub fn pop(&mut self) -> Option<T> {
-    if self.held.is_none() {
+    if self.pending_effect.is_none() {
       let effect = self.effects.pop();
       // Read after the effect was popped, so that its causes are already in their ring.
-      self.held = effect.map(|effect| (effect, self.causes.len()));
+      self.pending_effect = effect.map(|effect| (effect, self.causes.len()));
     }
-    match self.held.take() {
+    match self.pending_effect.take() {
       None => self.causes.pop(),
       Some((effect, 0)) => Some(effect),
-      Some((effect, ahead)) => {
-        self.held = Some((effect, ahead - 1));
+      Some((effect, causes_before)) => {
+        self.pending_effect = Some((effect, causes_before - 1));
         self.causes.pop()
       }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! A router for separate prefill and decode pools.
 //!
-//! Two programs share this crate. `rillford gateway` is the [`gateway`] module. In `rillford serve`, a request passes through
+//! There are two kinds of box. `rillford gateway` is the [`gateway`] module. In `rillford serve`, a request passes through
 //! ingress, [`decide`] and [`egress`], with [`peers`], [`store`] and [`observe`] beside them: a module and a thread each,
 //! connected by bounded rings.
 
