--- a/src/gateway/permits/acquisition.rs
+++ b/src/gateway/permits/acquisition.rs
@@ -254,7 +254,9 @@
 
 fn no_permit(gateway: &Gateway, wait_ms: u64) -> Unavailable {
   gateway.counters.without_permit.inc();
-  Unavailable::NoPermit { remaining_ms: wait_ms }
+  Unavailable::NoPermit {
+    remaining_ms: wait_ms,
+  }
 }
 
 /// Logs a decision with the limit, its source and age, and the box that decided.
