--- a/src/gateway/limits/mod.rs
+++ b/src/gateway/limits/mod.rs
@@ -1,4 +1,5 @@
-//! Organisations' rate limits over all boxes: usage reports between boxes, and the admission of a request.
+//! Organisations' rate limits over all boxes: usage reports between boxes, and the admission of a request. Some boxes of each hall are
+//! coordinators: they account the usage of all boxes and exchange their totals; every other box reports its usage to one of them.
 //!
 //! Imports the folders up to `state`. The accounting is in `decisions`: `usage_table` on coordinators, `local_usage` on all other
 //! boxes.
--- a/src/gateway/membership/store_sync.rs
+++ b/src/gateway/membership/store_sync.rs
@@ -23,16 +23,16 @@
 const WATCH_WAIT: Duration = Duration::from_millis(2_500);
 /// How long a watch call waits in a large deployment: its return is the proof of contact that followers depend on.
 const SHORT_WATCH_WAIT: Duration = Duration::from_millis(500);
-/// Pause of a reader between watch calls, which batches changes into one call and one response to each follower.
+/// Pause of a fallback reader between watch calls, which batches changes into one call and one response to each follower.
 const READER_PAUSE: Duration = Duration::from_millis(150);
-/// The same for a box without followers that reads the store itself for now: there may be many of them.
+/// The same for any other box that reads the store itself for now: there may be many of them.
 const DIRECT_PAUSE: Duration = Duration::from_millis(500);
 /// Attempts at one page of a listing: with the longest pauses they end within the 20 s of history that the store keeps.
 const MAX_PAGE_ATTEMPTS: u32 = 8;
 /// Spread of simultaneous listings, per box: a listing of the largest supported deployment has 12 pages, and the store takes 2,000
 /// reads per second.
 const LISTING_MS_PER_BOX: f64 = 4.0;
-/// How long a box that others follow reads the store itself after its readers failed.
+/// How long a fallback reader reads the store itself after its readers failed.
 const DIRECT_MS: u64 = 3_000;
 /// Boxes polled at the same time when the store does not answer: with a third of them cut off too, all fail in one round of 27, and
 /// the next round polls others.
@@ -314,8 +314,8 @@
       .copied()
   }
 
-  /// Falls back to the store after all readers have failed: for a while on a box that others follow, otherwise once, since by then
-  /// one of those boxes has store contact.
+  /// Falls back to the store after all readers have failed: a fallback reader for a while, any other box once, since by then a fallback
+  /// reader has store contact.
   fn read_directly(&mut self) {
     self.failed_readers = 0;
     let boxes = self.gateway.boxes.borrow();
@@ -326,7 +326,7 @@
 
   /// Watches the store for one call; `None` when it fails.
   async fn watch_store(&mut self, revision: u64) -> Option<StoreChanges> {
-    let (is_large, is_followed) = {
+    let (is_large, is_fallback_reader) = {
       let boxes = self.gateway.boxes.borrow();
       (
         boxes.is_large(),
@@ -334,7 +334,7 @@
       )
     };
     let wait = if is_large {
-      sleep(if is_followed {
+      sleep(if is_fallback_reader {
         READER_PAUSE
       } else {
         DIRECT_PAUSE
--- a/src/gateway/permits/mod.rs
+++ b/src/gateway/permits/mod.rs
@@ -1,4 +1,5 @@
-//! Permits for endpoints that advertise a rate limit over all boxes: a request is sent to such an endpoint only with a permit.
+//! Permits for endpoints that advertise a rate limit over all boxes: a request is sent to such an endpoint only with a permit. One box
+//! per endpoint, its coordinator, grants the permits of all boxes.
 //!
 //! Imports the folders up to `state`. The decisions are in `decisions`: `advertised_limits`, `permit_account` for the coordinator of an
 //! endpoint, `local_permits` for all other boxes, `coordinator_order` for the choice of the coordinator.
--- a/src/gateway/quarantine/mod.rs
+++ b/src/gateway/quarantine/mod.rs
@@ -1,4 +1,6 @@
-//! Quarantine of requests that crash the endpoints that run them: crash detection, marks shared with all boxes, and screening.
+//! Quarantine of requests that crash the endpoints that run them: crash detection, marks shared with all boxes, and screening. A mark
+//! records, under a request's fingerprint, that an endpoint crashed on it, or that a box claimed a probe: the one run that a
+//! quarantined request is allowed at a time.
 //!
 //! Imports the folders up to `parts`. The decisions are in `decisions::quarantine_registry`; the last check before each send is in
 //! `parts`.
