--- a/src/gateway/parts/engine_call.rs
+++ b/src/gateway/parts/engine_call.rs
@@ -191,7 +191,7 @@
   }
 
   /// The permit, for the request that is sent now: from here on it goes back only if the engine never sees that request.
-  pub(crate) fn acquire_permit(&mut self) -> Permit {
+  pub(crate) fn take_permit(&mut self) -> Permit {
     std::mem::replace(&mut self.permit, Permit::NotNeeded)
   }
 }
--- a/src/gateway/requests/stream_send.rs
+++ b/src/gateway/requests/stream_send.rs
@@ -31,7 +31,7 @@
     let sent_ms = self.gateway.now_ms();
     let permit = reservation
       .as_mut()
-      .map_or(Permit::NotNeeded, Reservation::acquire_permit);
+      .map_or(Permit::NotNeeded, Reservation::take_permit);
     let result = self.send_within_silence(entry, &marks, permit).await;
     match &result {
       Ok(_) => self.note_answer(reservation, export),
