--- a/emulator/src/decisions/world.rs
+++ b/emulator/src/decisions/world.rs
@@ -306,7 +306,7 @@
   /// What a box wants done, on its way.
   fn act(&mut self, index: usize, action: Action) {
     match action {
-      Action::Note(_) | Action::GiveUp(..) => {}
+      Action::Record(_) | Action::GiveUp(..) => {}
       Action::End(request, ending) => self.ended(request, ending),
       Action::Send(to, message) => self.send(index, &to, message),
       Action::Claim(request, ..) => {
--- a/src/decide/action.rs
+++ b/src/decide/action.rs
@@ -1,7 +1,7 @@
 //! All that `decide` can ask for.
 
 use {
-  super::{Ending, Note, PeerMessage, Role},
+  super::{Ending, PeerMessage, Role, TimelineEvent},
   crate::ids::{AttemptId, Name, RequestId},
 };
 
@@ -115,5 +115,5 @@
   /// Change an engine's role.
   OrderRole(RoleOrder),
   /// Put an event on the time line.
-  Note(Note),
+  Record(TimelineEvent),
 }
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -2,7 +2,7 @@
 
 use {
   super::{
-    Action, Arrival, Ending, Life, Machine, NoPermit, NoteKind, Rank, Refusal, Step, Work,
+    Action, Arrival, Ending, EventKind, Life, Machine, NoPermit, Rank, Refusal, Step, Work,
     machine::ABSENT_RETRY_MS,
   },
   crate::{ids::RequestId, policy::RequestFacts},
@@ -17,7 +17,7 @@
     let rank = self.rank(&arrival);
     self
       .scene
-      .note(NoteKind::RequestArrived, arrival.request.0, &rank.class);
+      .note(EventKind::RequestArrived, arrival.request.0, &rank.class);
     if let Some(ending) = self.refusal(&arrival, &rank) {
       self.refuse(arrival.request, ending);
       return;
@@ -70,7 +70,7 @@
       Err(error) => {
         self
           .scene
-          .note(NoteKind::PolicyFailed, &arrival.task, error);
+          .note(EventKind::PolicyFailed, &arrival.task, error);
         let last = self.good_ranks.get(&arrival.task).cloned();
         last.unwrap_or_else(Rank::plain)
       }
@@ -162,7 +162,7 @@
     if let Ending::NotRun { reason, .. } = ending {
       self
         .scene
-        .note(NoteKind::RequestNotRun, request.0, format!("{reason:?}"));
+        .note(EventKind::RequestNotRun, request.0, format!("{reason:?}"));
     }
     self.scene.act(Action::End(request, ending));
   }
--- a/src/decide/life.rs
+++ b/src/decide/life.rs
@@ -2,7 +2,7 @@
 
 use {
   super::{
-    Arrival, ClaimOutcome, Endpoint, NoPermit, NoteKind, Placement, Rank, Refusal, Scene,
+    Arrival, ClaimOutcome, Endpoint, EventKind, NoPermit, Placement, Rank, Refusal, Scene,
     StageOutcome, Waiting, Work,
   },
   crate::ids::{AttemptId, Name},
@@ -185,15 +185,15 @@
       Step::Claim(ClaimOutcome::Held) => {
         self.claimed = true;
         self.requeue = true;
-        context.note(NoteKind::ClaimHeld, self.arrival.request.0, "");
+        context.note(EventKind::ClaimHeld, self.arrival.request.0, "");
         Transition(State::queued())
       }
       Step::Claim(ClaimOutcome::Taken) => {
-        context.note(NoteKind::ClaimTaken, self.arrival.request.0, "");
+        context.note(EventKind::ClaimTaken, self.arrival.request.0, "");
         self.not_run(context, Refusal::AlreadyClaimed, 0)
       }
       Step::Claim(ClaimOutcome::Unavailable) => {
-        context.note(NoteKind::ClaimUnavailable, self.arrival.request.0, "");
+        context.note(EventKind::ClaimUnavailable, self.arrival.request.0, "");
         self.not_run(context, Refusal::ClaimUnavailable, CLAIM_RETRY_MS)
       }
       // A claim may have been written: its settling releases or keeps it.
@@ -307,7 +307,7 @@
       } if self.is_current(attempt) => {
         self.streaming = true;
         context.fleet.change(endpoint, Endpoint::succeeded);
-        context.note(NoteKind::FirstChunk, attempt, "");
+        context.note(EventKind::FirstChunk, attempt, "");
         Handled
       }
       Step::Stage {
--- a/src/decide/life/closing.rs
+++ b/src/decide/life/closing.rs
@@ -3,7 +3,7 @@
 use {
   super::{Life, State},
   crate::{
-    decide::{Action, Began, Doubt, Ending, NoteKind, Refusal, Scene, Work},
+    decide::{Action, Began, Doubt, Ending, EventKind, Refusal, Scene, Work},
     ids::Name,
   },
   statig::prelude::*,
@@ -33,7 +33,7 @@
     resumable: bool,
   ) -> Outcome<State> {
     let attempt = self.attempt_id(context);
-    context.note(NoteKind::OrderFailed, &attempt, endpoint);
+    context.note(EventKind::OrderFailed, &attempt, endpoint);
     self.began |= began == Began::Perhaps;
     self.leave_attempt(context);
     self.tried.push(endpoint.clone());
@@ -54,7 +54,7 @@
       return self.end_failed(context, Refusal::NeverBegan, doubt);
     }
     if !context.budget.take() {
-      context.note(NoteKind::RetryDenied, &attempt, "");
+      context.note(EventKind::RetryDenied, &attempt, "");
       return self.end_failed(context, Refusal::RetryBudget, doubt);
     }
     self.requeue = true;
@@ -110,7 +110,7 @@
   ) -> Outcome<State> {
     self.release_claim(context);
     let request = self.arrival.request;
-    context.note(NoteKind::RequestNotRun, request.0, format!("{reason:?}"));
+    context.note(EventKind::RequestNotRun, request.0, format!("{reason:?}"));
     context.act(Action::End(
       request,
       Ending::NotRun {
@@ -123,7 +123,7 @@
 
   pub(super) fn unknown(&mut self, context: &mut Scene, reason: Doubt) -> Outcome<State> {
     let request = self.arrival.request;
-    context.note(NoteKind::RequestUnknown, request.0, format!("{reason:?}"));
+    context.note(EventKind::RequestUnknown, request.0, format!("{reason:?}"));
     context.act(Action::End(request, Ending::Unknown { reason }));
     Transition(State::ended())
   }
@@ -135,7 +135,7 @@
     }
     self.release_seat(context);
     let request = self.arrival.request;
-    context.note(NoteKind::RequestAnswered, request.0, &attempt);
+    context.note(EventKind::RequestAnswered, request.0, &attempt);
     context.act(Action::End(request, Ending::Answered));
     Transition(State::ended())
   }
@@ -146,7 +146,7 @@
       self.release_claim(context);
     }
     let request = self.arrival.request;
-    context.note(NoteKind::RequestAbandoned, request.0, "");
+    context.note(EventKind::RequestAbandoned, request.0, "");
     context.act(Action::End(request, Ending::Abandoned));
     Transition(State::ended())
   }
@@ -158,7 +158,7 @@
     let Some(key) = self.arrival.idempotency_key.clone() else {
       return;
     };
-    context.note(NoteKind::ClaimReleased, self.arrival.request.0, "");
+    context.note(EventKind::ClaimReleased, self.arrival.request.0, "");
     context.act(Action::ReleaseClaim(
       self.arrival.request,
       self.arrival.organisation.clone(),
@@ -170,7 +170,7 @@
   pub(super) fn leave_attempt(&mut self, context: &mut Scene) {
     let attempt = self.attempt_id(context);
     if self.read_tokens > 0 {
-      context.note(NoteKind::PrefillWasted, &attempt, self.read_tokens);
+      context.note(EventKind::PrefillWasted, &attempt, self.read_tokens);
       self.read_tokens = 0;
     }
     if let Some(placement) = self.placement.clone() {
--- a/src/decide/life/moving.rs
+++ b/src/decide/life/moving.rs
@@ -4,7 +4,7 @@
   super::{Life, State},
   crate::{
     decide::{
-      Action, BLOCK_TOKENS, Began, DecodeOrder, Endpoint, ImportOrder, NoteKind, Scene, Work,
+      Action, BLOCK_TOKENS, Began, DecodeOrder, Endpoint, EventKind, ImportOrder, Scene, Work,
     },
     ids::Name,
   },
@@ -34,7 +34,7 @@
       context.hints.saw(context.now_ms, endpoint, &work.prefix);
       work.prompt_tokens = prompt_tokens.max(1);
     }
-    context.note(NoteKind::PrefillDone, &attempt, cached_tokens);
+    context.note(EventKind::PrefillDone, &attempt, cached_tokens);
     self.order_import(context)
   }
 
@@ -44,7 +44,7 @@
     };
     let attempt = self.attempt_id(context);
     context.open(&attempt, &placement.decode);
-    context.note(NoteKind::TransferOrdered, &attempt, &placement.decode);
+    context.note(EventKind::TransferOrdered, &attempt, &placement.decode);
     context.act(Action::Import(ImportOrder {
       attempt,
       deadline_ms: self.left_ms(context),
@@ -103,11 +103,11 @@
     let attempt = self.attempt_id(context);
     context.close(&attempt, &placement.prefill);
     self.read_tokens = 0;
-    context.note(NoteKind::TransferDone, &attempt, &placement.decode);
+    context.note(EventKind::TransferDone, &attempt, &placement.decode);
     let kind = if self.offset > 0 {
-      NoteKind::DecodeResumed
+      EventKind::DecodeResumed
     } else {
-      NoteKind::DecodeOrdered
+      EventKind::DecodeOrdered
     };
     context.note(kind, &attempt, &placement.decode);
     context.act(Action::Decode(DecodeOrder {
--- a/src/decide/life/placing.rs
+++ b/src/decide/life/placing.rs
@@ -3,7 +3,7 @@
 use {
   super::{Life, Placed, State},
   crate::decide::{
-    Action, NoteKind, PeerMessage, PrefillOrder, Refusal, Scene, SeatAsk, SeatDecision, SeatMode,
+    Action, EventKind, PeerMessage, PrefillOrder, Refusal, Scene, SeatAsk, SeatDecision, SeatMode,
     ServiceOrder, Work,
   },
   statig::prelude::*,
@@ -79,7 +79,7 @@
       .change(&endpoint, |service| service.note_sent(context.now_ms, 1));
     self.seat = Some(endpoint.clone());
     self.endpoint = Some(endpoint.clone());
-    context.note(NoteKind::ServiceCalled, &attempt, &endpoint);
+    context.note(EventKind::ServiceCalled, &attempt, &endpoint);
     context.act(Action::Call(ServiceOrder {
       attempt,
       deadline_ms: self.left_ms(context),
@@ -95,7 +95,7 @@
         .fleet
         .change(&engine, |engine| engine.refused_until_ms = until_ms);
       let attempt = self.attempt_id(context);
-      context.note(NoteKind::SeatRefused, attempt, engine);
+      context.note(EventKind::SeatRefused, attempt, engine);
     }
     // The ask was no try at an engine.
     self.requeue = true;
@@ -130,7 +130,7 @@
       engine.note_sent(now_ms, placement.uncached_tokens);
     });
     context.open(&attempt, &placement.prefill);
-    context.note(NoteKind::PrefillOrdered, &attempt, &placement.prefill);
+    context.note(EventKind::PrefillOrdered, &attempt, &placement.prefill);
     context.act(Action::Prefill(PrefillOrder {
       attempt,
       deadline_ms: self.left_ms(context),
--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -3,7 +3,7 @@
 use {
   super::{
     Action, BoxEntry, CancelAnswer, ConfigurationView, EndpointKind, EndpointSpec, EndpointState,
-    EndpointStatus, Event, Fleet, HeldAttempt, Identity, Lane, LoadReport, NoPermit, NoteKind,
+    EndpointStatus, Event, EventKind, Fleet, HeldAttempt, Identity, Lane, LoadReport, NoPermit,
     PeerStatus, Placed, Rank, Refusal, Role, Scene, Sign, StageOutcome, StageReport, Status, Step,
     life::{Life, State},
     scene::order_key,
@@ -205,7 +205,7 @@
     if !started || jump_ms < self.scene.tuning().clock_jump_ms {
       return;
     }
-    self.scene.note(NoteKind::ClockJumped, jump_ms, "");
+    self.scene.note(EventKind::ClockJumped, jump_ms, "");
     self.scene.members.forgive(now_ms);
     self.timers.drop_lease();
     self.give_up_lost_holds();
@@ -336,7 +336,7 @@
     let key = order_key(attempt, endpoint);
     if self.scene.orders.settled(&key, answer) {
       self.scene.note(
-        NoteKind::CancelSettled,
+        EventKind::CancelSettled,
         attempt,
         format!("{endpoint} {answer:?}"),
       );
@@ -353,7 +353,7 @@
       self.scene.orders.forget_endpoint(&report.endpoint);
       self.scene.books.remove(&report.endpoint);
       self.scene.note(
-        NoteKind::EndpointReturned,
+        EventKind::EndpointReturned,
         &report.endpoint,
         report.incarnation,
       );
@@ -368,11 +368,11 @@
       return;
     };
     let kind = if endpoint.is_live() {
-      NoteKind::EndpointLive
+      EventKind::EndpointLive
     } else if endpoint.is_leaving() {
-      NoteKind::EndpointLeaving
+      EventKind::EndpointLeaving
     } else {
-      NoteKind::EndpointSuspect
+      EventKind::EndpointSuspect
     };
     self.scene.note(kind, name, "");
   }
@@ -388,7 +388,7 @@
       if self.scene.orders.is_open(&key) {
         continue;
       }
-      self.scene.note(NoteKind::OrphanSwept, &attempt, engine);
+      self.scene.note(EventKind::OrphanSwept, &attempt, engine);
       self.scene.open(&attempt, engine);
       self.scene.cancel(&attempt, engine);
     }
@@ -424,13 +424,15 @@
     self.scene.configuration = view;
     self.scene.configured = true;
     let digest = self.scene.configuration.digest();
-    self
-      .scene
-      .note(NoteKind::ConfigurationApplied, format!("{digest:016x}"), "");
+    self.scene.note(
+      EventKind::ConfigurationApplied,
+      format!("{digest:016x}"),
+      "",
+    );
     if first {
       self
         .scene
-        .note(NoteKind::BoxReady, self.scene.identity.name.clone(), "");
+        .note(EventKind::BoxReady, self.scene.identity.name.clone(), "");
     }
   }
 
@@ -457,7 +459,7 @@
     self.timers.hurry();
     self
       .scene
-      .note(NoteKind::StopBegan, self.scene.identity.name.clone(), "");
+      .note(EventKind::StopBegan, self.scene.identity.name.clone(), "");
   }
 
   /// Tells "not run" to those that can't be served in time any more, and passes time on to asks.
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -52,7 +52,7 @@
   link_windows::LinkWindows,
   machine::{Machine, Setup},
   membership::{FULL_MESH_BOXES, Membership, Peer, ranked},
-  note::{Note, NoteKind},
+  note::{EventKind, TimelineEvent},
   orders::{OrderKey, Orders},
   peer_message::{
     Document, DocumentRevision, Heartbeat, LeavingEndpoint, PeerMessage, SeatAnswer, SeatAsk,
--- a/src/decide/note.rs
+++ b/src/decide/note.rs
@@ -9,9 +9,9 @@
   ($($(#[$meta:meta])* $name:ident = $number:literal, $text:literal;)*) => {
     /// The kinds of event.
     #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-    pub enum NoteKind { $($(#[$meta])* #[doc = $text] $name,)* }
+    pub enum EventKind { $($(#[$meta])* #[doc = $text] $name,)* }
 
-    impl NoteKind {
+    impl EventKind {
       /// All kinds, by number.
       pub const ALL: &[Self] = &[$(Self::$name),*];
 
@@ -78,24 +78,24 @@
 
 /// One event, before the time line stamps it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Note {
+pub struct TimelineEvent {
   /// Its kind.
-  pub kind: NoteKind,
+  pub kind: EventKind,
   /// What it is about: a request, an attempt, an endpoint or a box.
   pub subject: Arc<str>,
   /// A short detail, possibly empty.
   pub detail: Arc<str>,
 }
 
-impl Note {
+impl TimelineEvent {
   /// Makes an event.
   ///
   /// ```
-  /// use rillford::decide::{Note, NoteKind};
-  /// let note = Note::new(NoteKind::PeerLost, "north-2", "");
+  /// use rillford::decide::{TimelineEvent, EventKind};
+  /// let note = TimelineEvent::new(EventKind::PeerLost, "north-2", "");
   /// assert_eq!(note.kind.number(), 411);
   /// ```
-  pub fn new(kind: NoteKind, subject: impl Into<Arc<str>>, detail: impl Into<Arc<str>>) -> Self {
+  pub fn new(kind: EventKind, subject: impl Into<Arc<str>>, detail: impl Into<Arc<str>>) -> Self {
     Self {
       detail: detail.into(),
       kind,
--- a/src/decide/peer_handling.rs
+++ b/src/decide/peer_handling.rs
@@ -1,7 +1,7 @@
 //! What a box does on messages of its peers.
 
 use {
-  super::{Action, Document, Heartbeat, Machine, NoteKind, PeerMessage, SeatAnswer, Sign, Step},
+  super::{Action, Document, EventKind, Heartbeat, Machine, PeerMessage, SeatAnswer, Sign, Step},
   crate::ids::Name,
 };
 
@@ -34,7 +34,7 @@
       self.scene.forget_homes();
     }
     if came_alive {
-      self.scene.note(NoteKind::PeerLive, from, "");
+      self.scene.note(EventKind::PeerLive, from, "");
     }
     for leaving in &heartbeat.leaving_endpoints {
       let sign = Sign::Leaving(leaving.incarnation);
--- a/src/decide/scene.rs
+++ b/src/decide/scene.rs
@@ -3,9 +3,9 @@
 
 use {
   super::{
-    Action, ConfigurationView, EngineView, Fleet, Membership, Note, NoteKind, OrderKey, Orders,
+    Action, ConfigurationView, EngineView, EventKind, Fleet, Membership, OrderKey, Orders,
     PeerMessage, PrefixHints, RetryBudget, Role, SeatAnswer, SeatAsk, SeatBook, SeatDecision,
-    SeatMode, Tuning, ranked,
+    SeatMode, TimelineEvent, Tuning, ranked,
   },
   crate::ids::{AttemptId, Name},
   rand::SeedableRng,
@@ -76,9 +76,9 @@
     self.actions.push(action);
   }
 
-  pub(crate) fn note(&mut self, kind: NoteKind, subject: impl ToString, detail: impl ToString) {
-    let note = Note::new(kind, subject.to_string(), detail.to_string());
-    self.act(Action::Note(note));
+  pub(crate) fn note(&mut self, kind: EventKind, subject: impl ToString, detail: impl ToString) {
+    let note = TimelineEvent::new(kind, subject.to_string(), detail.to_string());
+    self.act(Action::Record(note));
   }
 
   pub(crate) fn take_actions(&mut self) -> Vec<Action> {
@@ -99,7 +99,7 @@
   pub(crate) fn cancel(&mut self, attempt: &AttemptId, endpoint: &Name) {
     let key = order_key(attempt, endpoint);
     if self.orders.cancel(self.now_ms, &key) {
-      self.note(NoteKind::CancelSent, attempt, endpoint);
+      self.note(EventKind::CancelSent, attempt, endpoint);
       self.act(Action::Cancel(attempt.clone(), endpoint.clone()));
     }
   }
--- a/src/decide/timers.rs
+++ b/src/decide/timers.rs
@@ -2,7 +2,7 @@
 
 use {
   super::{
-    Action, Candidate, EndpointKind, Heartbeat, HoldOrder, Machine, NoteKind, PeerMessage, Role,
+    Action, Candidate, EndpointKind, EventKind, Heartbeat, HoldOrder, Machine, PeerMessage, Role,
     RoleOrder, Sign, TurnBounds, next_turn,
   },
   crate::{ids::Name, policy::PoolFacts},
@@ -132,7 +132,7 @@
       for book in self.scene.books.values_mut() {
         book.drop_box(&peer.entry.name, peer.incarnation);
       }
-      self.scene.note(NoteKind::PeerLost, peer.entry.name, "");
+      self.scene.note(EventKind::PeerLost, peer.entry.name, "");
     }
   }
 
@@ -254,7 +254,7 @@
     for engine in lost {
       self.timers.held_since_ms.insert(engine.clone(), now_ms);
       for attempt in held.remove(&engine).unwrap_or_default() {
-        self.scene.note(NoteKind::HoldLost, &attempt, &engine);
+        self.scene.note(EventKind::HoldLost, &attempt, &engine);
         self.scene.act(Action::GiveUp(attempt, engine.clone()));
       }
     }
@@ -280,7 +280,7 @@
     let splits = match policy.shift(self.clock(), &pools) {
       Ok(splits) => splits,
       Err(error) => {
-        self.scene.note(NoteKind::PolicyFailed, "shift", error);
+        self.scene.note(EventKind::PolicyFailed, "shift", error);
         return;
       }
     };
@@ -294,7 +294,7 @@
         continue;
       };
       self.scene.note(
-        NoteKind::RoleOrdered,
+        EventKind::RoleOrdered,
         &turn.engine,
         format!("{:?}", turn.role),
       );
--- a/src/egress/desk.rs
+++ b/src/egress/desk.rs
@@ -144,7 +144,7 @@
       Action::ListAttempts(endpoint) => self.list_attempts(endpoint),
       Action::OrderRole(order) => self.change_role(order),
       Action::End(request, _) => self.forget(request),
-      Action::Claim(..) | Action::ReleaseClaim(..) | Action::Send(..) | Action::Note(_) => {}
+      Action::Claim(..) | Action::ReleaseClaim(..) | Action::Send(..) | Action::Record(_) => {}
     }
   }
 
--- a/src/observe/metrics.rs
+++ b/src/observe/metrics.rs
@@ -3,7 +3,7 @@
 use {
   crate::{
     Error, Result,
-    decide::{NoteKind, Status},
+    decide::{EventKind, Status},
   },
   cadence::{BufferedUdpMetricSink, Counted, Gauged, NopMetricSink, StatsdClient, Timed},
   std::{
@@ -38,21 +38,21 @@
     Ok(Self(StatsdClient::from_sink(PREFIX, sink)))
   }
 
-  pub(crate) fn note(&self, kind: NoteKind, detail: &str) {
+  pub(crate) fn note(&self, kind: EventKind, detail: &str) {
     let name = match kind {
-      NoteKind::RequestAnswered => "requests.answered",
-      NoteKind::RequestNotRun => "requests.not_run",
-      NoteKind::RequestUnknown => "requests.unknown",
-      NoteKind::RequestAbandoned => "requests.abandoned",
-      NoteKind::DecodeResumed => "retries.resumed",
-      NoteKind::RetryDenied => "retries.denied",
-      NoteKind::CancelSent => "cancels.sent",
-      NoteKind::CancelSettled => "cancels.settled",
-      NoteKind::PrefillWasted => "prefill.wasted_tokens",
+      EventKind::RequestAnswered => "requests.answered",
+      EventKind::RequestNotRun => "requests.not_run",
+      EventKind::RequestUnknown => "requests.unknown",
+      EventKind::RequestAbandoned => "requests.abandoned",
+      EventKind::DecodeResumed => "retries.resumed",
+      EventKind::RetryDenied => "retries.denied",
+      EventKind::CancelSent => "cancels.sent",
+      EventKind::CancelSettled => "cancels.settled",
+      EventKind::PrefillWasted => "prefill.wasted_tokens",
       _ => return,
     };
     let amount = match kind {
-      NoteKind::PrefillWasted => detail.parse().unwrap_or(0),
+      EventKind::PrefillWasted => detail.parse().unwrap_or(0),
       _ => 1,
     };
     let _ = self.0.count(name, amount);
--- a/src/observe/observer.rs
+++ b/src/observe/observer.rs
@@ -3,7 +3,7 @@
 use {
   super::{HybridClock, MetricSink, StampedNote, Timeline},
   crate::{
-    decide::{Note, NoteKind, Status},
+    decide::{EventKind, Status, TimelineEvent},
     ids::Name,
     ring::{Receiver, Sender},
   },
@@ -59,7 +59,7 @@
     &self.clock
   }
 
-  pub(crate) fn note(&self, note: Note) {
+  pub(crate) fn note(&self, note: TimelineEvent) {
     let stamped = StampedNote {
       box_name: self.box_name.clone(),
       detail: note.detail,
@@ -78,8 +78,8 @@
     }
   }
 
-  pub(crate) fn say(&self, kind: NoteKind, subject: &str, detail: &str) {
-    self.note(Note::new(kind, subject, detail));
+  pub(crate) fn say(&self, kind: EventKind, subject: &str, detail: &str) {
+    self.note(TimelineEvent::new(kind, subject, detail));
   }
 }
 
--- a/src/observe/stamped_note.rs
+++ b/src/observe/stamped_note.rs
@@ -2,7 +2,7 @@
 
 use {
   super::Stamp,
-  crate::{decide::NoteKind, ids::Name},
+  crate::{decide::EventKind, ids::Name},
   serde::{Deserialize, Serialize},
 };
 
@@ -16,7 +16,7 @@
   /// The event's number in docs/EVENTS.md.
   pub number: u16,
   /// Its kind.
-  pub kind: NoteKind,
+  pub kind: EventKind,
   /// What it is about.
   pub subject: Name,
   /// A short detail.
--- a/src/serve/decide_loop.rs
+++ b/src/serve/decide_loop.rs
@@ -134,7 +134,7 @@
 
   fn hand_out(&mut self, action: Action) {
     match action {
-      Action::Note(note) => self.observer.note(note),
+      Action::Record(note) => self.observer.note(note),
       Action::Send(to, message) => self.to_peers.put(PeersInput::Send(to, message)),
       Action::Claim(request, organisation, key) => {
         let input = StoreInput::Claim(request, organisation, key);
--- a/src/serve/start.rs
+++ b/src/serve/start.rs
@@ -8,7 +8,7 @@
   crate::{
     CauseFirst, Error, Result,
     admin::{self, AdminSetup},
-    decide::{Identity, Machine, Note, NoteKind, Setup, Status},
+    decide::{EventKind, Identity, Machine, Setup, Status, TimelineEvent},
     egress::{self, EgressSetup},
     ids::Name,
     ingress::{self, Desk, IngressSetup, SharedPhase},
@@ -89,7 +89,7 @@
   let (to_platform_documents, documents) = ring(RING_SLOTS, platform_waker);
 
   observer.say(
-    NoteKind::BoxStarted,
+    EventKind::BoxStarted,
     &identity.name,
     env!("CARGO_PKG_VERSION"),
   );
@@ -210,7 +210,11 @@
       log::error!("signals: {error}");
     }
     stop(&phase, &status, &from_operators, balancer_lag).await;
-    observer.note(Note::new(NoteKind::BoxStopped, identity.name.clone(), ""));
+    observer.note(TimelineEvent::new(
+      EventKind::BoxStopped,
+      identity.name.clone(),
+      "",
+    ));
   });
   Ok(())
 }
--- a/src/store/desk.rs
+++ b/src/store/desk.rs
@@ -9,7 +9,7 @@
   },
   crate::{
     configuration::{KeyTable, Store},
-    decide::{BoxEntry, ClaimOutcome, Document, Event, Note, NoteKind, Status},
+    decide::{BoxEntry, ClaimOutcome, Document, Event, EventKind, Status, TimelineEvent},
     http_client::HttpClient,
     ids::{Name, RequestId},
     ingress::{Phase, SharedPhase},
@@ -171,7 +171,7 @@
         match store.apply(document) {
           Ok(news) => changed |= news,
           Err(error) => {
-            let note = Note::new(NoteKind::ConfigurationRefused, key, error.to_string());
+            let note = TimelineEvent::new(EventKind::ConfigurationRefused, key, error.to_string());
             self.observer.note(note);
           }
         }
@@ -250,9 +250,9 @@
     if *down == reached {
       *down = !reached;
       let kind = if reached {
-        NoteKind::PlatformUp
+        EventKind::PlatformUp
       } else {
-        NoteKind::PlatformDown
+        EventKind::PlatformDown
       };
       self.observer.say(kind, "key-value service", "");
     }
@@ -286,10 +286,10 @@
       match (&held, before) {
         (Some(_), false) => self
           .observer
-          .say(NoteKind::StewardTaken, &self.identity.hall, ""),
+          .say(EventKind::StewardTaken, &self.identity.hall, ""),
         (None, true) => self
           .observer
-          .say(NoteKind::StewardLost, &self.identity.hall, ""),
+          .say(EventKind::StewardLost, &self.identity.hall, ""),
         _ => {}
       }
       if let Some(held) = &held {
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -3,7 +3,7 @@
 use {
   crate::{Test, test::Running},
   emulator::ADMIN_KEY,
-  rillford::decide::NoteKind,
+  rillford::decide::EventKind,
   rstest::rstest,
   std::{
     fs,
@@ -167,7 +167,7 @@
 #[test]
 fn event_catalogue_lists_each_event_with_its_number_and_text() {
   let catalogue = fs::read_to_string(Path::new("docs/EVENTS.md")).unwrap();
-  for kind in NoteKind::ALL {
+  for kind in EventKind::ALL {
     let row = format!("| {} | `{kind:?}` | {} |", kind.number(), kind.text());
     assert!(catalogue.contains(&row), "missing: {row}");
   }
@@ -177,7 +177,7 @@
     .count();
   assert_eq!(
     rows,
-    NoteKind::ALL.len(),
+    EventKind::ALL.len(),
     "the catalogue lists events that are not there"
   );
 }
