--- a/emulator/src/decisions/world.rs
+++ b/emulator/src/decisions/world.rs
@@ -13,8 +13,8 @@
   rand_chacha::ChaCha8Rng,
   rillford::{
     decide::{
-      Action, Arrival, BoxEntry, ClaimOutcome, ConfigurationView, Document, Ending, EndpointKind,
-      Event, Identity, Machine, ModelWork, PeerMessage, Role, ServiceWork, Setup, Work,
+      Action, Arrival, BoxEntry, ClaimOutcome, ConfigurationView, Document, EndpointKind, Event,
+      Identity, Machine, ModelWork, PeerMessage, RequestOutcome, Role, ServiceWork, Setup, Work,
     },
     ids::{AttemptId, Name, RequestId},
     observe::Stamp,
@@ -62,7 +62,7 @@
 #[derive(Clone, Default)]
 struct Fate {
   box_index: usize,
-  ending: Option<Ending>,
+  ending: Option<RequestOutcome>,
   first_us: Option<u64>,
   between_ms: f64,
   tries: u32,
@@ -410,14 +410,14 @@
     }
   }
 
-  fn ended(&mut self, request: RequestId, ending: Ending) {
+  fn ended(&mut self, request: RequestId, ending: RequestOutcome) {
     let request = request.0 as usize;
     let now_us = self.schedule.now_us;
     let fate = &mut self.fates[request];
     fate.ending = Some(ending);
     fate.ended_us = now_us;
     let storms = self.variant.fault == Fault::RetryStorm && self.faulty;
-    if storms && matches!(ending, Ending::NotRun { .. }) && fate.tries < STORM_TRIES {
+    if storms && matches!(ending, RequestOutcome::NotRun { .. }) && fate.tries < STORM_TRIES {
       self.schedule.after(STORM_PAUSE_US, What::Arrive(request));
     }
   }
@@ -471,10 +471,10 @@
   organisation.0 += 1;
   match fate.ending {
     None => figures.untold += 1,
-    Some(Ending::NotRun { .. }) => figures.not_run += 1,
-    Some(Ending::Unknown { .. }) => figures.unknown += 1,
-    Some(Ending::Abandoned) => figures.left += 1,
-    Some(Ending::Answered) => {
+    Some(RequestOutcome::NotRun { .. }) => figures.not_run += 1,
+    Some(RequestOutcome::Unknown { .. }) => figures.unknown += 1,
+    Some(RequestOutcome::Abandoned) => figures.left += 1,
+    Some(RequestOutcome::Answered) => {
       figures.answered += 1;
       let first_ms = (fate.first_us.unwrap_or(fate.finished_us) - fate.arrived_us) as f64 / 1_000.0;
       figures.first_token_ms.push(first_ms);
--- a/src/decide/action.rs
+++ b/src/decide/action.rs
@@ -1,7 +1,7 @@
 //! All that `decide` can ask for.
 
 use {
-  super::{Ending, PeerMessage, Role, TimelineEvent},
+  super::{PeerMessage, RequestOutcome, Role, TimelineEvent},
   crate::ids::{AttemptId, Name, RequestId},
 };
 
@@ -111,7 +111,7 @@
   /// Tell a peer.
   Send(Name, PeerMessage),
   /// Tell the caller how its request ended.
-  End(RequestId, Ending),
+  End(RequestId, RequestOutcome),
   /// Change an engine's role.
   OrderRole(RoleOrder),
   /// Put an event on the time line.
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -2,8 +2,8 @@
 
 use {
   super::{
-    Action, Arrival, Ending, EventKind, Life, Machine, NoPermit, Rank, Refusal, Step, Work,
-    machine::ABSENT_RETRY_MS,
+    Action, Arrival, EventKind, Life, Machine, NoPermit, NotRunReason, Rank, RequestOutcome, Step,
+    Work, machine::ABSENT_RETRY_MS,
   },
   crate::{ids::RequestId, policy::RequestFacts},
   statig::prelude::*,
@@ -78,15 +78,15 @@
   }
 
   /// Why a request is refused on arrival, if it is. May shed another to make room.
-  pub(super) fn refusal(&mut self, arrival: &Arrival, rank: &Rank) -> Option<Ending> {
+  pub(super) fn refusal(&mut self, arrival: &Arrival, rank: &Rank) -> Option<RequestOutcome> {
     let not_run = |reason, retry_after_ms| {
-      Some(Ending::NotRun {
+      Some(RequestOutcome::NotRun {
         reason,
         retry_after_ms,
       })
     };
     if !self.scene.configured {
-      return not_run(Refusal::NotReady, ABSENT_RETRY_MS);
+      return not_run(NotRunReason::NotReady, ABSENT_RETRY_MS);
     }
     let organisation = &arrival.organisation;
     let view = &self.scene.configuration;
@@ -96,18 +96,18 @@
       .and_then(|limits| limits.in_progress)
       .unwrap_or(view.tuning.organisation_limit);
     if self.in_progress.get(organisation).copied().unwrap_or(0) >= limit {
-      return not_run(Refusal::OrganisationLimit, ABSENT_RETRY_MS);
+      return not_run(NotRunReason::OrganisationLimit, ABSENT_RETRY_MS);
     }
     let allowed_ms = arrival.deadline_ms.unwrap_or(rank.first_token_ms);
     let Some(predicted_ms) = self.predicted_ms(&arrival.work, rank) else {
-      return not_run(Refusal::NoEndpoint, ABSENT_RETRY_MS);
+      return not_run(NotRunReason::NoEndpoint, ABSENT_RETRY_MS);
     };
     if self.scene.tuning().early_refusal && predicted_ms > allowed_ms {
       let retry_after_ms = (predicted_ms - allowed_ms).max(LEAST_RETRY_MS);
-      return not_run(Refusal::TooLate, retry_after_ms);
+      return not_run(NotRunReason::TooLate, retry_after_ms);
     }
     if !self.make_room(&arrival.work, rank) {
-      return not_run(Refusal::QueueFull, predicted_ms.max(ABSENT_RETRY_MS));
+      return not_run(NotRunReason::QueueFull, predicted_ms.max(ABSENT_RETRY_MS));
     }
     None
   }
@@ -154,12 +154,15 @@
       return false;
     }
     let retry_after_ms = full.wait_ms(least.priority).max(ABSENT_RETRY_MS);
-    self.step(least.request, &Step::Refuse(Refusal::Shed, retry_after_ms));
+    self.step(
+      least.request,
+      &Step::Refuse(NotRunReason::Shed, retry_after_ms),
+    );
     true
   }
 
-  pub(super) fn refuse(&mut self, request: RequestId, ending: Ending) {
-    if let Ending::NotRun { reason, .. } = ending {
+  pub(super) fn refuse(&mut self, request: RequestId, ending: RequestOutcome) {
+    if let RequestOutcome::NotRun { reason, .. } = ending {
       self
         .scene
         .note(EventKind::RequestNotRun, request.0, format!("{reason:?}"));
--- a/src/decide/ending.rs
+++ b/src/decide/ending.rs
@@ -5,7 +5,7 @@
 /// Why a request was not run.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Refusal {
+pub enum NotRunReason {
   /// The organisation has too many requests in progress.
   OrganisationLimit,
   /// The queue is full and nothing in it ranks lower.
@@ -35,7 +35,7 @@
 /// Why it is not known whether a request ran.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Doubt {
+pub enum UnknownReason {
   /// An endpoint failed after the work may have begun.
   EndpointFailed,
   /// The answer did not come in time.
@@ -47,20 +47,20 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "outcome")]
-pub enum Ending {
+pub enum RequestOutcome {
   /// The whole answer was delivered.
   Answered,
   /// The work truly did not run.
   NotRun {
     /// Why.
-    reason: Refusal,
+    reason: NotRunReason,
     /// When to come back.
     retry_after_ms: u64,
   },
   /// The work may have run.
   Unknown {
     /// Why.
-    reason: Doubt,
+    reason: UnknownReason,
   },
   /// The caller left before the end.
   Abandoned,
--- a/src/decide/life.rs
+++ b/src/decide/life.rs
@@ -2,7 +2,7 @@
 
 use {
   super::{
-    Arrival, ClaimOutcome, Endpoint, EventKind, NoPermit, Placement, Rank, Refusal, Scene,
+    Arrival, ClaimOutcome, Endpoint, EventKind, NoPermit, NotRunReason, Placement, Rank, Scene,
     StageOutcome, Waiting, Work,
   },
   crate::ids::{AttemptId, Name},
@@ -50,7 +50,7 @@
   /// Its caller has gone.
   CallerGone,
   /// It can't be served in time, or must make room.
-  Refuse(Refusal, u64),
+  Refuse(NotRunReason, u64),
   /// Time has passed.
   Tick,
 }
@@ -190,11 +190,11 @@
       }
       Step::Claim(ClaimOutcome::Taken) => {
         context.note(EventKind::ClaimTaken, self.arrival.request.0, "");
-        self.not_run(context, Refusal::AlreadyClaimed, 0)
+        self.not_run(context, NotRunReason::AlreadyClaimed, 0)
       }
       Step::Claim(ClaimOutcome::Unavailable) => {
         context.note(EventKind::ClaimUnavailable, self.arrival.request.0, "");
-        self.not_run(context, Refusal::ClaimUnavailable, CLAIM_RETRY_MS)
+        self.not_run(context, NotRunReason::ClaimUnavailable, CLAIM_RETRY_MS)
       }
       // A claim may have been written: its settling releases or keeps it.
       Step::CallerGone => Transition(State::claim_unwanted()),
--- a/src/decide/life/closing.rs
+++ b/src/decide/life/closing.rs
@@ -3,7 +3,7 @@
 use {
   super::{Life, State},
   crate::{
-    decide::{Action, Began, Doubt, Ending, EventKind, Refusal, Scene, Work},
+    decide::{Action, Began, EventKind, NotRunReason, RequestOutcome, Scene, UnknownReason, Work},
     ids::Name,
   },
   statig::prelude::*,
@@ -43,19 +43,19 @@
       .fleet
       .change(endpoint, |endpoint| endpoint.failed(now_ms));
     let doubt = if self.streaming {
-      Doubt::AnswerBroken
+      UnknownReason::AnswerBroken
     } else {
-      Doubt::EndpointFailed
+      UnknownReason::EndpointFailed
     };
     if !self.may_retry(resumable) {
-      return self.end_failed(context, Refusal::NeverBegan, doubt);
+      return self.end_failed(context, NotRunReason::NeverBegan, doubt);
     }
     if self.failures >= context.tuning().max_attempts {
-      return self.end_failed(context, Refusal::NeverBegan, doubt);
+      return self.end_failed(context, NotRunReason::NeverBegan, doubt);
     }
     if !context.budget.take() {
       context.note(EventKind::RetryDenied, &attempt, "");
-      return self.end_failed(context, Refusal::RetryBudget, doubt);
+      return self.end_failed(context, NotRunReason::RetryBudget, doubt);
     }
     self.requeue = true;
     Transition(State::queued())
@@ -75,8 +75,8 @@
   pub(super) fn end_failed(
     &mut self,
     context: &mut Scene,
-    reason: Refusal,
-    doubt: Doubt,
+    reason: NotRunReason,
+    doubt: UnknownReason,
   ) -> Outcome<State> {
     if self.began {
       return self.unknown(context, doubt);
@@ -88,14 +88,14 @@
   pub(super) fn give_up(
     &mut self,
     context: &mut Scene,
-    reason: Refusal,
+    reason: NotRunReason,
     retry_after_ms: u64,
   ) -> Outcome<State> {
     if self.began {
       let doubt = match reason {
-        _ if self.streaming => Doubt::AnswerBroken,
-        Refusal::TooLate => Doubt::TimedOut,
-        _ => Doubt::EndpointFailed,
+        _ if self.streaming => UnknownReason::AnswerBroken,
+        NotRunReason::TooLate => UnknownReason::TimedOut,
+        _ => UnknownReason::EndpointFailed,
       };
       return self.unknown(context, doubt);
     }
@@ -105,7 +105,7 @@
   pub(super) fn not_run(
     &mut self,
     context: &mut Scene,
-    reason: Refusal,
+    reason: NotRunReason,
     retry_after_ms: u64,
   ) -> Outcome<State> {
     self.release_claim(context);
@@ -113,7 +113,7 @@
     context.note(EventKind::RequestNotRun, request.0, format!("{reason:?}"));
     context.act(Action::End(
       request,
-      Ending::NotRun {
+      RequestOutcome::NotRun {
         reason,
         retry_after_ms,
       },
@@ -121,10 +121,10 @@
     Transition(State::ended())
   }
 
-  pub(super) fn unknown(&mut self, context: &mut Scene, reason: Doubt) -> Outcome<State> {
+  pub(super) fn unknown(&mut self, context: &mut Scene, reason: UnknownReason) -> Outcome<State> {
     let request = self.arrival.request;
     context.note(EventKind::RequestUnknown, request.0, format!("{reason:?}"));
-    context.act(Action::End(request, Ending::Unknown { reason }));
+    context.act(Action::End(request, RequestOutcome::Unknown { reason }));
     Transition(State::ended())
   }
 
@@ -136,7 +136,7 @@
     self.release_seat(context);
     let request = self.arrival.request;
     context.note(EventKind::RequestAnswered, request.0, &attempt);
-    context.act(Action::End(request, Ending::Answered));
+    context.act(Action::End(request, RequestOutcome::Answered));
     Transition(State::ended())
   }
 
@@ -147,7 +147,7 @@
     }
     let request = self.arrival.request;
     context.note(EventKind::RequestAbandoned, request.0, "");
-    context.act(Action::End(request, Ending::Abandoned));
+    context.act(Action::End(request, RequestOutcome::Abandoned));
     Transition(State::ended())
   }
 
--- a/src/decide/life/placing.rs
+++ b/src/decide/life/placing.rs
@@ -3,8 +3,8 @@
 use {
   super::{Life, Placed, State},
   crate::decide::{
-    Action, EventKind, PeerMessage, PrefillOrder, Refusal, Scene, SeatAsk, SeatDecision, SeatMode,
-    ServiceOrder, Work,
+    Action, EventKind, NotRunReason, PeerMessage, PrefillOrder, Scene, SeatAsk, SeatDecision,
+    SeatMode, ServiceOrder, Work,
   },
   statig::prelude::*,
 };
@@ -25,7 +25,7 @@
     if late && !self.began && context.tuning().early_refusal {
       self.placed = Placed::Moved;
       let retry_after_ms = placement.ready_in_ms;
-      return self.give_up(context, Refusal::TooLate, retry_after_ms);
+      return self.give_up(context, NotRunReason::TooLate, retry_after_ms);
     }
     let max_tokens = work.max_tokens;
     self.placed = Placed::Moved;
--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -4,7 +4,8 @@
   super::{
     Action, BoxEntry, CancelAnswer, ConfigurationView, EndpointKind, EndpointSpec, EndpointState,
     EndpointStatus, Event, EventKind, Fleet, HeldAttempt, Identity, Lane, LoadReport, NoPermit,
-    PeerStatus, Placed, Rank, Refusal, Role, Scene, Sign, StageOutcome, StageReport, Status, Step,
+    NotRunReason, PeerStatus, Placed, Rank, Role, Scene, Sign, StageOutcome, StageReport, Status,
+    Step,
     life::{Life, State},
     scene::order_key,
   },
@@ -328,7 +329,10 @@
   }
 
   fn end_without_engine(&mut self, request: RequestId) -> bool {
-    self.step(request, &Step::Refuse(Refusal::NoEndpoint, ABSENT_RETRY_MS));
+    self.step(
+      request,
+      &Step::Refuse(NotRunReason::NoEndpoint, ABSENT_RETRY_MS),
+    );
     true
   }
 
@@ -491,7 +495,10 @@
       })
       .collect::<Vec<_>>();
     for request in late {
-      self.step(request, &Step::Refuse(Refusal::TooLate, ABSENT_RETRY_MS));
+      self.step(
+        request,
+        &Step::Refuse(NotRunReason::TooLate, ABSENT_RETRY_MS),
+      );
     }
   }
 
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A request's way: [`Machine::handle`] takes an [`Arrival`], policy ranks it, a [`Lane`] holds it,
 //! `placement` chooses engines, the decode engine's home box reserves a seat in its [`SeatBook`],
-//! and [`life::Life`] follows the orders to one of the [`Ending`]s.
+//! and [`life::Life`] follows the orders to one of the [`RequestOutcome`]s.
 
 mod action;
 mod admission;
@@ -39,7 +39,7 @@
   action::{Action, DecodeOrder, HoldOrder, ImportOrder, PrefillOrder, RoleOrder, ServiceOrder},
   arrival::{Arrival, ModelWork, ServiceWork, Work},
   configuration_view::{ConfigurationView, OrganisationLimits},
-  ending::{Doubt, Ending, Refusal},
+  ending::{NotRunReason, RequestOutcome, UnknownReason},
   endpoint::{Endpoint, EndpointKind, EndpointLife, EndpointSpec, Sign},
   event::{
     Began, BoxEntry, CancelAnswer, ClaimOutcome, Event, HeldAttempt, LoadReport, Role,
--- a/src/ingress/answer.rs
+++ b/src/ingress/answer.rs
@@ -8,7 +8,7 @@
   },
   crate::{
     chunk::{Chunk, Usage},
-    decide::{Doubt, Ending},
+    decide::{RequestOutcome, UnknownReason},
     endpoint_api::FinishReason,
     ids::Name,
   },
@@ -24,8 +24,8 @@
 };
 
 const DONE: &str = "data: [DONE]\n\n";
-const LOST: Ending = Ending::Unknown {
-  reason: Doubt::AnswerBroken,
+const LOST: RequestOutcome = RequestOutcome::Unknown {
+  reason: UnknownReason::AnswerBroken,
 };
 
 /// What is the same in each piece of one answer.
@@ -123,7 +123,7 @@
   bytes.into()
 }
 
-fn error_event(ending: Ending) -> Bytes {
+fn error_event(ending: RequestOutcome) -> Bytes {
   let Some(body) = outcome_body(ending) else {
     return Bytes::new();
   };
@@ -135,7 +135,7 @@
 /// What comes next on a ticket.
 enum Next {
   Chunk(Chunk),
-  Ended(Ending),
+  Ended(RequestOutcome),
 }
 
 impl Ticket {
@@ -167,7 +167,7 @@
     Next::Ended(ending)
   }
 
-  fn put_back(&mut self, chunk: Chunk, ending: Ending) -> Next {
+  fn put_back(&mut self, chunk: Chunk, ending: RequestOutcome) -> Next {
     let (sender, receiver) = tokio::sync::oneshot::channel();
     let _ = sender.send(ending);
     self.ending = receiver;
@@ -184,7 +184,7 @@
       Next::Chunk(Chunk::Text(piece)) => text.push_str(&piece),
       Next::Chunk(Chunk::Usage(total)) => usage = Some(total),
       Next::Chunk(Chunk::Head(..) | Chunk::Body(_)) => {}
-      Next::Ended(Ending::Answered) => return letterhead.whole(text, usage),
+      Next::Ended(RequestOutcome::Answered) => return letterhead.whole(text, usage),
       Next::Ended(ending) => return outcome_response(ending),
     }
   }
@@ -206,7 +206,7 @@
       Next::Chunk(Chunk::Text(text)) => break letterhead.piece(text),
       Next::Chunk(Chunk::Usage(total)) => usage = Some(total),
       Next::Chunk(Chunk::Head(..) | Chunk::Body(_)) => {}
-      Next::Ended(Ending::Answered) => {
+      Next::Ended(RequestOutcome::Answered) => {
         return events(HttpBody::from(letterhead.last(usage)));
       }
       Next::Ended(ending) => return outcome_response(ending),
@@ -242,7 +242,7 @@
         Next::Ended(ending) => {
           self.ended = true;
           return Some(match ending {
-            Ending::Answered => self.letterhead.last(self.usage),
+            RequestOutcome::Answered => self.letterhead.last(self.usage),
             broken => error_event(broken),
           });
         }
@@ -303,7 +303,7 @@
         Next::Chunk(_) => {}
         Next::Ended(ending) => {
           self.ended = true;
-          return (ending != Ending::Answered).then_some(Err(BrokeOff));
+          return (ending != RequestOutcome::Answered).then_some(Err(BrokeOff));
         }
       }
     }
--- a/src/ingress/desk.rs
+++ b/src/ingress/desk.rs
@@ -5,7 +5,7 @@
   crate::{
     chunk::{Body, CHUNKS_IN_FLIGHT, Chunk, Payload},
     configuration::KeyTable,
-    decide::{Arrival, Ending, Event, Refusal, Work},
+    decide::{Arrival, Event, NotRunReason, RequestOutcome, Work},
     egress::EgressInput,
     ids::{Name, RequestId},
     ring::Sender,
@@ -78,14 +78,14 @@
   pub(crate) to_decide: Sender<Event>,
   pub(crate) to_egress: Sender<EgressInput>,
   pub(crate) next: AtomicU64,
-  pub(crate) waiting: Mutex<HashMap<RequestId, oneshot::Sender<Ending>>>,
+  pub(crate) waiting: Mutex<HashMap<RequestId, oneshot::Sender<RequestOutcome>>>,
 }
 
 /// A request on its way, as a handler holds it.
 pub(super) struct Ticket {
   pub(super) guard: CallerGuard,
   pub(super) chunks: mpsc::Receiver<Chunk>,
-  pub(super) ending: oneshot::Receiver<Ending>,
+  pub(super) ending: oneshot::Receiver<RequestOutcome>,
 }
 
 /// What a handler knows of a request besides its body.
@@ -102,8 +102,8 @@
   /// Hands a request on; a full ring is an immediate refusal.
   pub(super) fn admit(self: &Arc<Self>, asked: Asked, body: Body) -> Result<Ticket, Box<Response>> {
     match self.phase.get() {
-      Phase::Unready => return Err(refused(Refusal::NotReady, BUSY_RETRY_MS)),
-      Phase::Closed => return Err(refused(Refusal::Stopping, STOPPING_RETRY_MS)),
+      Phase::Unready => return Err(refused(NotRunReason::NotReady, BUSY_RETRY_MS)),
+      Phase::Closed => return Err(refused(NotRunReason::Stopping, STOPPING_RETRY_MS)),
       Phase::Ready | Phase::Leaving => {}
     }
     let request = RequestId(self.next.fetch_add(1, Ordering::Relaxed));
@@ -112,7 +112,7 @@
     {
       let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
       if waiting.len() >= self.limits.requests {
-        return Err(refused(Refusal::Busy, BUSY_RETRY_MS));
+        return Err(refused(NotRunReason::Busy, BUSY_RETRY_MS));
       }
       waiting.insert(request, ending_sender);
     }
@@ -124,7 +124,7 @@
     };
     if self.to_egress.push(EgressInput::Payload(payload)).is_err() {
       self.forget(request);
-      return Err(refused(Refusal::Busy, BUSY_RETRY_MS));
+      return Err(refused(NotRunReason::Busy, BUSY_RETRY_MS));
     }
     let arrival = Arrival {
       deadline_ms: asked.deadline_ms,
@@ -142,7 +142,7 @@
       .is_err()
     {
       self.forget(request);
-      return Err(refused(Refusal::Busy, BUSY_RETRY_MS));
+      return Err(refused(NotRunReason::Busy, BUSY_RETRY_MS));
     }
     Ok(Ticket {
       chunks,
@@ -159,7 +159,7 @@
       .remove(&request);
   }
 
-  pub(super) fn end(&self, request: RequestId, ending: Ending) {
+  pub(super) fn end(&self, request: RequestId, ending: RequestOutcome) {
     let waiting = self
       .waiting
       .lock()
@@ -171,8 +171,8 @@
   }
 }
 
-fn refused(reason: Refusal, retry_after_ms: u64) -> Box<Response> {
-  Box::new(outcome_response(Ending::NotRun {
+fn refused(reason: NotRunReason, retry_after_ms: u64) -> Box<Response> {
+  Box::new(outcome_response(RequestOutcome::NotRun {
     reason,
     retry_after_ms,
   }))
--- a/src/ingress/duty.rs
+++ b/src/ingress/duty.rs
@@ -3,7 +3,7 @@
 use {
   super::{desk::Desk, router::router},
   crate::{
-    decide::Ending,
+    decide::RequestOutcome,
     ids::RequestId,
     listener::{ListenerBounds, serve},
     ring::Receiver,
@@ -16,7 +16,7 @@
 pub(crate) struct IngressSetup {
   pub(crate) desk: Arc<Desk>,
   pub(crate) listener: std::net::TcpListener,
-  pub(crate) endings: Receiver<(RequestId, Ending)>,
+  pub(crate) endings: Receiver<(RequestId, RequestOutcome)>,
   pub(crate) notify: Arc<Notify>,
 }
 
--- a/src/ingress/outcome.rs
+++ b/src/ingress/outcome.rs
@@ -1,7 +1,7 @@
 //! What a caller is told of an ending that is no answer: status, `Retry-After`, machine-readable body.
 
 use {
-  crate::decide::{Doubt, Ending, Refusal},
+  crate::decide::{NotRunReason, RequestOutcome, UnknownReason},
   axum::{
     Json,
     response::{IntoResponse, Response},
@@ -39,45 +39,47 @@
   pub(crate) retry_after_ms: Option<u64>,
 }
 
-fn refusal_status(reason: Refusal) -> StatusCode {
+fn refusal_status(reason: NotRunReason) -> StatusCode {
   match reason {
-    Refusal::OrganisationLimit => StatusCode::TOO_MANY_REQUESTS,
-    Refusal::AlreadyClaimed => StatusCode::CONFLICT,
-    Refusal::QueueFull
-    | Refusal::Shed
-    | Refusal::TooLate
-    | Refusal::NoEndpoint
-    | Refusal::ClaimUnavailable
-    | Refusal::NeverBegan
-    | Refusal::RetryBudget
-    | Refusal::Stopping
-    | Refusal::Busy
-    | Refusal::NotReady => StatusCode::SERVICE_UNAVAILABLE,
+    NotRunReason::OrganisationLimit => StatusCode::TOO_MANY_REQUESTS,
+    NotRunReason::AlreadyClaimed => StatusCode::CONFLICT,
+    NotRunReason::QueueFull
+    | NotRunReason::Shed
+    | NotRunReason::TooLate
+    | NotRunReason::NoEndpoint
+    | NotRunReason::ClaimUnavailable
+    | NotRunReason::NeverBegan
+    | NotRunReason::RetryBudget
+    | NotRunReason::Stopping
+    | NotRunReason::Busy
+    | NotRunReason::NotReady => StatusCode::SERVICE_UNAVAILABLE,
   }
 }
 
-fn refusal_text(reason: Refusal) -> &'static str {
+fn refusal_text(reason: NotRunReason) -> &'static str {
   match reason {
-    Refusal::OrganisationLimit => "your organisation has too many requests in progress",
-    Refusal::QueueFull => "the queue is full",
-    Refusal::Shed => "shed for work that ranks higher",
-    Refusal::TooLate => "the first token would come after the deadline",
-    Refusal::NoEndpoint => "no live endpoint serves this",
-    Refusal::ClaimUnavailable => "the claim for this key can't be made now",
-    Refusal::AlreadyClaimed => "a request with this key was taken on before; see its own answer",
-    Refusal::NeverBegan => "each endpoint tried confirmed that the work never began",
-    Refusal::RetryBudget => "the work never began, and no retry is left",
-    Refusal::Stopping => "this box is stopping",
-    Refusal::Busy => "this box is busy",
-    Refusal::NotReady => "this box has no configuration yet",
+    NotRunReason::OrganisationLimit => "your organisation has too many requests in progress",
+    NotRunReason::QueueFull => "the queue is full",
+    NotRunReason::Shed => "shed for work that ranks higher",
+    NotRunReason::TooLate => "the first token would come after the deadline",
+    NotRunReason::NoEndpoint => "no live endpoint serves this",
+    NotRunReason::ClaimUnavailable => "the claim for this key can't be made now",
+    NotRunReason::AlreadyClaimed => {
+      "a request with this key was taken on before; see its own answer"
+    }
+    NotRunReason::NeverBegan => "each endpoint tried confirmed that the work never began",
+    NotRunReason::RetryBudget => "the work never began, and no retry is left",
+    NotRunReason::Stopping => "this box is stopping",
+    NotRunReason::Busy => "this box is busy",
+    NotRunReason::NotReady => "this box has no configuration yet",
   }
 }
 
-fn doubt_text(reason: Doubt) -> &'static str {
+fn doubt_text(reason: UnknownReason) -> &'static str {
   match reason {
-    Doubt::EndpointFailed => "an endpoint failed after the work may have begun",
-    Doubt::TimedOut => "the work may have begun and did not end in time",
-    Doubt::AnswerBroken => "the answer broke off and could not be resumed",
+    UnknownReason::EndpointFailed => "an endpoint failed after the work may have begun",
+    UnknownReason::TimedOut => "the work may have begun and did not end in time",
+    UnknownReason::AnswerBroken => "the answer broke off and could not be resumed",
   }
 }
 
@@ -90,20 +92,20 @@
 }
 
 /// The body for an ending; none for endings that have no body of their own.
-pub(crate) fn outcome_body(ending: Ending) -> Option<OutcomeBody> {
+pub(crate) fn outcome_body(ending: RequestOutcome) -> Option<OutcomeBody> {
   let error = match ending {
-    Ending::Answered | Ending::Abandoned => return None,
-    Ending::NotRun {
+    RequestOutcome::Answered | RequestOutcome::Abandoned => return None,
+    RequestOutcome::NotRun {
       reason,
       retry_after_ms,
     } => OutcomeError {
       code: code(reason),
       message: format!("not run: {}", refusal_text(reason)),
       outcome: Outcome::NotRun,
-      retry_after_ms: (reason != Refusal::AlreadyClaimed).then_some(retry_after_ms),
+      retry_after_ms: (reason != NotRunReason::AlreadyClaimed).then_some(retry_after_ms),
       r#type: "not_run",
     },
-    Ending::Unknown { reason } => OutcomeError {
+    RequestOutcome::Unknown { reason } => OutcomeError {
       code: code(reason),
       message: format!("unknown: {}", doubt_text(reason)),
       outcome: Outcome::Unknown,
@@ -115,13 +117,15 @@
 }
 
 /// The response for an ending before the first byte.
-pub(crate) fn outcome_response(ending: Ending) -> Response {
+pub(crate) fn outcome_response(ending: RequestOutcome) -> Response {
   let status = match ending {
-    Ending::NotRun { reason, .. } => refusal_status(reason),
-    Ending::Unknown {
-      reason: Doubt::TimedOut,
+    RequestOutcome::NotRun { reason, .. } => refusal_status(reason),
+    RequestOutcome::Unknown {
+      reason: UnknownReason::TimedOut,
     } => StatusCode::GATEWAY_TIMEOUT,
-    Ending::Unknown { .. } | Ending::Answered | Ending::Abandoned => StatusCode::BAD_GATEWAY,
+    RequestOutcome::Unknown { .. } | RequestOutcome::Answered | RequestOutcome::Abandoned => {
+      StatusCode::BAD_GATEWAY
+    }
   };
   let Some(body) = outcome_body(ending) else {
     return status.into_response();
--- a/src/serve/decide_loop.rs
+++ b/src/serve/decide_loop.rs
@@ -3,7 +3,7 @@
 use {
   crate::{
     CauseFirst,
-    decide::{Action, Ending, Event, Machine, Status},
+    decide::{Action, Event, Machine, RequestOutcome, Status},
     egress::EgressInput,
     ids::RequestId,
     observe::{Observation, Observer},
@@ -65,7 +65,7 @@
   pub(super) calls: CauseFirst<Event>,
   pub(super) inputs: Vec<Receiver<Event>>,
   pub(super) to_egress: Outlet<EgressInput>,
-  pub(super) to_ingress: Outlet<(RequestId, Ending)>,
+  pub(super) to_ingress: Outlet<(RequestId, RequestOutcome)>,
   pub(super) to_peers: Outlet<PeersInput>,
   pub(super) to_platform: Outlet<StoreInput>,
   pub(super) observer: Observer,
--- a/tests/machine.rs
+++ b/tests/machine.rs
@@ -9,9 +9,9 @@
   },
   rillford::{
     decide::{
-      Action, Arrival, Began, CancelAnswer, ClaimOutcome, ConfigurationView, Ending, EndpointKind,
-      EndpointSpec, Event, Identity, LoadReport, Machine, ModelWork, Role, Setup, StageOutcome,
-      StageReport, Work,
+      Action, Arrival, Began, CancelAnswer, ClaimOutcome, ConfigurationView, EndpointKind,
+      EndpointSpec, Event, Identity, LoadReport, Machine, ModelWork, RequestOutcome, Role, Setup,
+      StageOutcome, StageReport, Work,
     },
     ids::{AttemptId, Name, RequestId},
   },
@@ -88,7 +88,7 @@
   tombstones: BTreeSet<(AttemptId, Name)>,
   began: BTreeMap<u64, u64>,
   not_repeatable: BTreeSet<u64>,
-  endings: BTreeMap<u64, Vec<Ending>>,
+  endings: BTreeMap<u64, Vec<RequestOutcome>>,
 }
 
 fn engine(name: &str, role: Role) -> EndpointSpec {
@@ -385,7 +385,7 @@
     for (request, endings) in &self.endings {
       prop_assert!(endings.len() <= 1, "request {request} ended as {endings:?}");
       let began = self.began.get(request).copied().unwrap_or(0);
-      if let [Ending::NotRun { .. }] = endings.as_slice() {
+      if let [RequestOutcome::NotRun { .. }] = endings.as_slice() {
         prop_assert_eq!(began, 0, "request {} was told not run", request);
       }
     }
