--- a/emulator/src/decisions/world.rs
+++ b/emulator/src/decisions/world.rs
@@ -306,8 +306,8 @@
   /// What a box wants done, on its way.
   fn act(&mut self, index: usize, action: Action) {
     match action {
-      Action::Record(_) | Action::GiveUp(..) => {}
-      Action::End(request, ending) => self.ended(request, ending),
+      Action::Record(_) | Action::AbortStream(..) => {}
+      Action::Complete(request, ending) => self.ended(request, ending),
       Action::Send(to, message) => self.send(index, &to, message),
       Action::Claim(request, ..) => {
         self.figures.platform_calls += 1;
--- a/emulator/src/decisions/world/orders.rs
+++ b/emulator/src/decisions/world/orders.rs
@@ -40,7 +40,7 @@
       Action::Import(order) => {
         if order.link_wait_ms > 0 {
           let wait_us = order.link_wait_ms * 1_000;
-          let order = rillford::decide::ImportOrder {
+          let order = rillford::decide::ImportCommand {
             link_wait_ms: 0,
             ..order
           };
@@ -67,7 +67,7 @@
         }
       }
       Action::PollLoad(endpoint) => self.poll(index, endpoint),
-      Action::OrderRole(order) => {
+      Action::SetRole(order) => {
         let engine = self.engine_index[&order.engine];
         self.engines[engine].wanted_role = Some(order.role);
       }
--- a/emulator/src/slopes.rs
+++ b/emulator/src/slopes.rs
@@ -185,7 +185,7 @@
         Some(answer) => answer,
         None => continue,
       },
-      Action::End(..) => {
+      Action::Complete(..) => {
         ended += 1;
         continue;
       }
--- a/src/decide/action.rs
+++ b/src/decide/action.rs
@@ -7,7 +7,7 @@
 
 /// An order to read a prompt.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct PrefillOrder {
+pub struct PrefillCommand {
   /// The attempt.
   pub attempt: AttemptId,
   /// The engine.
@@ -22,7 +22,7 @@
 
 /// An order to pull a KV cache from a prefill engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct ImportOrder {
+pub struct ImportCommand {
   /// The attempt.
   pub attempt: AttemptId,
   /// The engine that keeps the export.
@@ -39,7 +39,7 @@
 
 /// An order to write the answer from an offset.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct DecodeOrder {
+pub struct DecodeCommand {
   /// The attempt.
   pub attempt: AttemptId,
   /// The engine.
@@ -50,7 +50,7 @@
 
 /// An order to keep attempts for a while longer.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct HoldOrder {
+pub struct HoldCommand {
   /// The engine.
   pub engine: Name,
   /// The attempts.
@@ -61,7 +61,7 @@
 
 /// One call to a plain service.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct ServiceOrder {
+pub struct CallCommand {
   /// The attempt.
   pub attempt: AttemptId,
   /// The endpoint.
@@ -72,7 +72,7 @@
 
 /// An order to change role.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct RoleOrder {
+pub struct RoleCommand {
   /// The engine.
   pub engine: Name,
   /// The role wanted.
@@ -91,19 +91,19 @@
   /// Take back our own claim after proof that nothing ran.
   ReleaseClaim(RequestId, Name, Name),
   /// Read a prompt.
-  Prefill(PrefillOrder),
+  Prefill(PrefillCommand),
   /// Move a KV cache.
-  Import(ImportOrder),
+  Import(ImportCommand),
   /// Write an answer.
-  Decode(DecodeOrder),
+  Decode(DecodeCommand),
   /// Call a plain service.
-  Call(ServiceOrder),
+  Call(CallCommand),
   /// Stop an attempt at an endpoint.
   Cancel(AttemptId, Name),
   /// Stop reading this attempt's stream and report it as broken: the hold on it is lost.
-  GiveUp(AttemptId, Name),
+  AbortStream(AttemptId, Name),
   /// Extend the holds of these attempts.
-  ExtendHolds(HoldOrder),
+  ExtendHolds(HoldCommand),
   /// Ask an endpoint for its load.
   PollLoad(Name),
   /// Ask an engine what it holds.
@@ -111,9 +111,9 @@
   /// Tell a peer.
   Send(Name, PeerMessage),
   /// Tell the caller how its request ended.
-  End(RequestId, RequestOutcome),
+  Complete(RequestId, RequestOutcome),
   /// Change an engine's role.
-  OrderRole(RoleOrder),
+  SetRole(RoleCommand),
   /// Put an event on the time line.
   Record(TimelineEvent),
 }
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -167,6 +167,6 @@
         .scene
         .note(EventKind::RequestNotRun, request.0, format!("{reason:?}"));
     }
-    self.scene.act(Action::End(request, ending));
+    self.scene.act(Action::Complete(request, ending));
   }
 }
--- a/src/decide/life/closing.rs
+++ b/src/decide/life/closing.rs
@@ -111,7 +111,7 @@
     self.release_claim(context);
     let request = self.arrival.request;
     context.note(EventKind::RequestNotRun, request.0, format!("{reason:?}"));
-    context.act(Action::End(
+    context.act(Action::Complete(
       request,
       RequestOutcome::NotRun {
         reason,
@@ -124,7 +124,10 @@
   pub(super) fn unknown(&mut self, context: &mut Scene, reason: UnknownReason) -> Outcome<State> {
     let request = self.arrival.request;
     context.note(EventKind::RequestUnknown, request.0, format!("{reason:?}"));
-    context.act(Action::End(request, RequestOutcome::Unknown { reason }));
+    context.act(Action::Complete(
+      request,
+      RequestOutcome::Unknown { reason },
+    ));
     Transition(State::ended())
   }
 
@@ -136,7 +139,7 @@
     self.release_seat(context);
     let request = self.arrival.request;
     context.note(EventKind::RequestAnswered, request.0, &attempt);
-    context.act(Action::End(request, RequestOutcome::Answered));
+    context.act(Action::Complete(request, RequestOutcome::Answered));
     Transition(State::ended())
   }
 
@@ -147,7 +150,7 @@
     }
     let request = self.arrival.request;
     context.note(EventKind::RequestAbandoned, request.0, "");
-    context.act(Action::End(request, RequestOutcome::Abandoned));
+    context.act(Action::Complete(request, RequestOutcome::Abandoned));
     Transition(State::ended())
   }
 
--- a/src/decide/life/moving.rs
+++ b/src/decide/life/moving.rs
@@ -4,7 +4,7 @@
   super::{Life, State},
   crate::{
     decide::{
-      Action, BLOCK_TOKENS, Began, DecodeOrder, Endpoint, EventKind, ImportOrder, Scene, Work,
+      Action, BLOCK_TOKENS, Began, DecodeCommand, Endpoint, EventKind, ImportCommand, Scene, Work,
     },
     ids::Name,
   },
@@ -45,7 +45,7 @@
     let attempt = self.attempt_id(context);
     context.open(&attempt, &placement.decode);
     context.note(EventKind::TransferOrdered, &attempt, &placement.decode);
-    context.act(Action::Import(ImportOrder {
+    context.act(Action::Import(ImportCommand {
       attempt,
       deadline_ms: self.left_ms(context),
       engine: placement.decode,
@@ -110,7 +110,7 @@
       EventKind::DecodeOrdered
     };
     context.note(kind, &attempt, &placement.decode);
-    context.act(Action::Decode(DecodeOrder {
+    context.act(Action::Decode(DecodeCommand {
       attempt,
       engine: placement.decode,
       offset: self.offset,
--- a/src/decide/life/placing.rs
+++ b/src/decide/life/placing.rs
@@ -3,8 +3,8 @@
 use {
   super::{Life, Placed, State},
   crate::decide::{
-    Action, EventKind, NotRunReason, PeerMessage, PrefillOrder, Scene, SeatAsk, SeatDecision,
-    SeatMode, ServiceOrder, Work,
+    Action, CallCommand, EventKind, NotRunReason, PeerMessage, PrefillCommand, Scene, SeatAsk,
+    SeatDecision, SeatMode, Work,
   },
   statig::prelude::*,
 };
@@ -80,7 +80,7 @@
     self.seat = Some(endpoint.clone());
     self.endpoint = Some(endpoint.clone());
     context.note(EventKind::ServiceCalled, &attempt, &endpoint);
-    context.act(Action::Call(ServiceOrder {
+    context.act(Action::Call(CallCommand {
       attempt,
       deadline_ms: self.left_ms(context),
       endpoint,
@@ -131,7 +131,7 @@
     });
     context.open(&attempt, &placement.prefill);
     context.note(EventKind::PrefillOrdered, &attempt, &placement.prefill);
-    context.act(Action::Prefill(PrefillOrder {
+    context.act(Action::Prefill(PrefillCommand {
       attempt,
       deadline_ms: self.left_ms(context),
       engine: placement.prefill,
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -36,7 +36,9 @@
 pub(crate) use self::timers::Timers;
 
 pub use self::{
-  action::{Action, DecodeOrder, HoldOrder, ImportOrder, PrefillOrder, RoleOrder, ServiceOrder},
+  action::{
+    Action, CallCommand, DecodeCommand, HoldCommand, ImportCommand, PrefillCommand, RoleCommand,
+  },
   arrival::{Arrival, ModelWork, ServiceWork, Work},
   configuration_view::{ConfigurationView, OrganisationLimits},
   ending::{NotRunReason, RequestOutcome, UnknownReason},
--- a/src/decide/timers.rs
+++ b/src/decide/timers.rs
@@ -2,8 +2,8 @@
 
 use {
   super::{
-    Action, Candidate, EndpointKind, EventKind, Heartbeat, HoldOrder, Machine, PeerMessage, Role,
-    RoleOrder, Sign, TurnBounds, next_turn,
+    Action, Candidate, EndpointKind, EventKind, Heartbeat, HoldCommand, Machine, PeerMessage, Role,
+    RoleCommand, Sign, TurnBounds, next_turn,
   },
   crate::{ids::Name, policy::PoolFacts},
   std::collections::{BTreeMap, BTreeSet},
@@ -231,7 +231,7 @@
         .held_since_ms
         .entry(engine.clone())
         .or_insert(now_ms);
-      self.scene.act(Action::ExtendHolds(HoldOrder {
+      self.scene.act(Action::ExtendHolds(HoldCommand {
         attempts,
         engine,
         hold_ms: self.scene.tuning().hold_ms,
@@ -255,7 +255,7 @@
       self.timers.held_since_ms.insert(engine.clone(), now_ms);
       for attempt in held.remove(&engine).unwrap_or_default() {
         self.scene.note(EventKind::HoldLost, &attempt, &engine);
-        self.scene.act(Action::GiveUp(attempt, engine.clone()));
+        self.scene.act(Action::AbortStream(attempt, engine.clone()));
       }
     }
   }
@@ -298,7 +298,7 @@
         &turn.engine,
         format!("{:?}", turn.role),
       );
-      self.scene.act(Action::OrderRole(RoleOrder {
+      self.scene.act(Action::SetRole(RoleCommand {
         engine: turn.engine,
         fence: self.timers.fence,
         role: turn.role,
--- a/src/egress/desk.rs
+++ b/src/egress/desk.rs
@@ -13,8 +13,8 @@
   crate::{
     chunk::{Body, Payload},
     decide::{
-      Action, Began, DecodeOrder, Event, HoldOrder, ImportOrder, LoadReport, PrefillOrder,
-      RoleOrder, ServiceOrder, StageOutcome, StageReport,
+      Action, Began, CallCommand, DecodeCommand, Event, HoldCommand, ImportCommand, LoadReport,
+      PrefillCommand, RoleCommand, StageOutcome, StageReport,
     },
     endpoint_api::{DecodeRequest, HoldsRequest, ImportRequest, PrefillRequest},
     http_client::HttpClient,
@@ -138,12 +138,12 @@
       Action::Decode(order) => self.decode(order),
       Action::Call(order) => self.call(order),
       Action::Cancel(attempt, endpoint) => self.cancel(attempt, endpoint),
-      Action::GiveUp(attempt, endpoint) => self.give_up(attempt, endpoint),
+      Action::AbortStream(attempt, endpoint) => self.give_up(attempt, endpoint),
       Action::ExtendHolds(order) => self.extend_holds(order),
       Action::PollLoad(endpoint) => self.poll_load(endpoint),
       Action::ListAttempts(endpoint) => self.list_attempts(endpoint),
-      Action::OrderRole(order) => self.change_role(order),
-      Action::End(request, _) => self.forget(request),
+      Action::SetRole(order) => self.change_role(order),
+      Action::Complete(request, _) => self.forget(request),
       Action::Claim(..) | Action::ReleaseClaim(..) | Action::Send(..) | Action::Record(_) => {}
     }
   }
@@ -193,8 +193,8 @@
     None
   }
 
-  fn prefill(&mut self, order: PrefillOrder) {
-    let PrefillOrder {
+  fn prefill(&mut self, order: PrefillCommand) {
+    let PrefillCommand {
       attempt,
       engine,
       priority,
@@ -241,8 +241,8 @@
     });
   }
 
-  fn import(&mut self, order: ImportOrder) {
-    let ImportOrder {
+  fn import(&mut self, order: ImportCommand) {
+    let ImportCommand {
       attempt,
       source,
       engine,
@@ -271,8 +271,8 @@
     });
   }
 
-  fn decode(&mut self, order: DecodeOrder) {
-    let DecodeOrder {
+  fn decode(&mut self, order: DecodeCommand) {
+    let DecodeCommand {
       attempt,
       engine,
       offset,
@@ -311,8 +311,8 @@
     });
   }
 
-  fn call(&mut self, order: ServiceOrder) {
-    let ServiceOrder {
+  fn call(&mut self, order: CallCommand) {
+    let CallCommand {
       attempt,
       deadline_ms,
       endpoint,
@@ -393,8 +393,8 @@
     self.spawn(attempt, endpoint, async move { outcome });
   }
 
-  fn extend_holds(&mut self, order: HoldOrder) {
-    let HoldOrder {
+  fn extend_holds(&mut self, order: HoldCommand) {
+    let HoldCommand {
       engine: endpoint,
       attempts,
       hold_ms,
@@ -457,7 +457,7 @@
   }
 
   /// The lease is checked on the monotonic clock directly before the order is sent.
-  fn change_role(&mut self, order: RoleOrder) {
+  fn change_role(&mut self, order: RoleCommand) {
     let Some(client) = self.office.client(&order.engine) else {
       return;
     };
--- a/src/serve/decide_loop.rs
+++ b/src/serve/decide_loop.rs
@@ -144,7 +144,7 @@
         let input = StoreInput::Release(request, organisation, key);
         self.to_platform.put(input);
       }
-      Action::End(request, ending) => {
+      Action::Complete(request, ending) => {
         self.to_ingress.put((request, ending));
         self.to_egress.put(EgressInput::Order(action));
       }
--- a/tests/machine.rs
+++ b/tests/machine.rs
@@ -200,7 +200,7 @@
         self.cancels.push((attempt, engine));
       }
       Action::Claim(request, ..) => self.claims.push(request),
-      Action::End(request, ending) => {
+      Action::Complete(request, ending) => {
         self.endings.entry(request.0).or_default().push(ending);
       }
       Action::PollLoad(engine) => self.report_later(engine),
