--- a/emulator/src/decisions/world.rs
+++ b/emulator/src/decisions/world.rs
@@ -406,7 +406,7 @@
     }
     let index = self.fates[request].box_index;
     if self.boxes[index].alive {
-      self.tell_now(index, Event::CallerGone(RequestId(request as u64)));
+      self.tell_now(index, Event::CallerDisconnected(RequestId(request as u64)));
     }
   }
 
--- a/emulator/src/decisions/world/orders.rs
+++ b/emulator/src/decisions/world/orders.rs
@@ -102,7 +102,7 @@
       .iter()
       .find(|writing| writing.attempt == attempt);
     let offset = writing.map_or(0, |writing| writing.written as u64);
-    let outcome = StageOutcome::Broke {
+    let outcome = StageOutcome::Failed {
       began,
       offset,
       resumable: true,
--- a/src/decide/event.rs
+++ b/src/decide/event.rs
@@ -51,7 +51,7 @@
   /// The endpoint refused because it is full; nothing began there.
   Full,
   /// The order failed.
-  Broke {
+  Failed {
     /// Whether the work may have begun.
     began: Began,
     /// Bytes of the answer delivered so far.
@@ -145,7 +145,7 @@
   /// A caller asks.
   Arrived(Arrival),
   /// A caller has gone.
-  CallerGone(RequestId),
+  CallerDisconnected(RequestId),
   /// A claim was settled.
   ClaimSettled(RequestId, ClaimOutcome),
   /// An order came to something.
@@ -155,17 +155,17 @@
   /// An endpoint reported its load.
   LoadReported(LoadReport),
   /// An endpoint did not answer a poll.
-  ReportMissed(Name),
+  PollFailed(Name),
   /// An endpoint turned an order away, and wants none for so many milliseconds.
-  EndpointPauses(Name, u64),
+  EndpointBackoff(Name, u64),
   /// Cache events of an engine: prefix blocks it now holds.
   CacheReported(Name, Vec<u64>),
   /// The answer to a listing.
-  Listed(Name, Vec<HeldAttempt>),
+  AttemptsListed(Name, Vec<HeldAttempt>),
   /// A batch of holds was extended.
   HoldsExtended(Name),
   /// A batch of holds could not be extended.
-  HoldsMissed(Name),
+  HoldExtensionFailed(Name),
   /// A peer said something.
   Peer(Name, PeerMessage),
   /// The platform's box list.
@@ -173,7 +173,7 @@
   /// A configuration is in force on this box.
   Configured(Arc<ConfigurationView>),
   /// This box holds its hall's steward lease until the time, with this fence.
-  StewardUntil {
+  LeaseHeld {
     /// End of the lease on this box's clock, less the margin.
     until_ms: u64,
     /// Key-value revision of the lease's key.
--- a/src/decide/life.rs
+++ b/src/decide/life.rs
@@ -48,7 +48,7 @@
     outcome: StageOutcome,
   },
   /// Its caller has gone.
-  CallerGone,
+  CallerDisconnected,
   /// It can't be served in time, or must make room.
   Refuse(NotRunReason, u64),
   /// Time has passed.
@@ -197,7 +197,7 @@
         self.not_run(context, NotRunReason::ClaimUnavailable, CLAIM_RETRY_MS)
       }
       // A claim may have been written: its settling releases or keeps it.
-      Step::CallerGone => Transition(State::claim_unwanted()),
+      Step::CallerDisconnected => Transition(State::claim_unwanted()),
       _ => Super,
     }
   }
@@ -250,7 +250,7 @@
         self.take_ask_back(context);
         self.seat_refused(context)
       }
-      Step::CallerGone => {
+      Step::CallerDisconnected => {
         self.take_ask_back(context);
         self.abandoned(context)
       }
@@ -351,7 +351,7 @@
   #[superstate]
   fn unsent(&mut self, context: &mut Scene, event: &Step) -> Outcome<State> {
     match event {
-      Step::CallerGone => self.abandoned(context),
+      Step::CallerDisconnected => self.abandoned(context),
       Step::Refuse(reason, retry_after_ms) => self.give_up(context, *reason, *retry_after_ms),
       _ => Handled,
     }
@@ -361,7 +361,7 @@
   #[superstate]
   fn sent(&mut self, context: &mut Scene, event: &Step) -> Outcome<State> {
     match event {
-      Step::CallerGone => self.abandoned(context),
+      Step::CallerDisconnected => self.abandoned(context),
       Step::Stage {
         attempt,
         endpoint,
@@ -374,7 +374,7 @@
         attempt,
         endpoint,
         outcome:
-          StageOutcome::Broke {
+          StageOutcome::Failed {
             began,
             offset,
             resumable,
--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -85,30 +85,30 @@
   fn dispatch(&mut self, event: Event) {
     match event {
       Event::Arrived(arrival) => self.arrived(arrival),
-      Event::CallerGone(request) => self.step(request, &Step::CallerGone),
+      Event::CallerDisconnected(request) => self.step(request, &Step::CallerDisconnected),
       Event::ClaimSettled(request, outcome) => self.step(request, &Step::Claim(outcome)),
       Event::Stage(report) => self.stage(report),
       Event::CancelSettled(attempt, endpoint, answer) => {
         self.cancel_settled(&attempt, &endpoint, answer);
       }
       Event::LoadReported(report) => self.load_reported(&report),
-      Event::EndpointPauses(endpoint, wanted_ms) => {
+      Event::EndpointBackoff(endpoint, wanted_ms) => {
         let now_ms = self.scene.now_ms;
         self
           .scene
           .fleet
           .change(&endpoint, |endpoint| endpoint.pause(now_ms, wanted_ms));
       }
-      Event::ReportMissed(_) | Event::HoldsMissed(_) => {}
+      Event::PollFailed(_) | Event::HoldExtensionFailed(_) => {}
       Event::CacheReported(engine, blocks) => {
         self.scene.hints.saw(self.scene.now_ms, &engine, &blocks);
       }
-      Event::Listed(engine, held) => self.listed(&engine, held),
+      Event::AttemptsListed(engine, held) => self.listed(&engine, held),
       Event::HoldsExtended(engine) => self.holds_extended(&engine),
       Event::Peer(from, message) => self.peer(from, message),
       Event::Boxes(entries) => self.boxes(&entries),
       Event::Configured(view) => self.configured(view),
-      Event::StewardUntil { until_ms, fence } => self.timers.hold_lease(until_ms, fence),
+      Event::LeaseHeld { until_ms, fence } => self.timers.hold_lease(until_ms, fence),
       Event::Drain(endpoint, leaving) => self.drain(&endpoint, leaving),
       Event::Stopping => self.stop(),
       Event::Tick => self.tick(),
--- a/src/egress/calls.rs
+++ b/src/egress/calls.rs
@@ -118,7 +118,7 @@
 }
 
 fn broke(began: Began, offset: u64) -> StageOutcome {
-  StageOutcome::Broke {
+  StageOutcome::Failed {
     began,
     offset,
     resumable: offset == 0,
--- a/src/egress/desk.rs
+++ b/src/egress/desk.rs
@@ -349,7 +349,7 @@
       };
       tokio::select! {
         outcome = call(&client, &errand.payload, what, office.stall(), began) => outcome,
-        () = errand.payload.chunks.closed() => StageOutcome::Broke {
+        () = errand.payload.chunks.closed() => StageOutcome::Failed {
           began: Began::Perhaps,
           offset: 0,
           resumable: false,
@@ -407,7 +407,7 @@
       let request = HoldsRequest { attempts, hold_ms };
       let event = match client.extend_holds(&request).await {
         Some(_) => Event::HoldsExtended(endpoint),
-        None => Event::HoldsMissed(endpoint),
+        None => Event::HoldExtensionFailed(endpoint),
       };
       office.to_decide.send(event).await;
     });
@@ -422,7 +422,7 @@
     tokio::spawn(async move {
       let asked_ms = office.now_ms();
       let Some(reply) = client.load().await else {
-        office.to_decide.send(Event::ReportMissed(endpoint)).await;
+        office.to_decide.send(Event::PollFailed(endpoint)).await;
         return;
       };
       let has_cache = reply.role.is_some();
@@ -450,7 +450,7 @@
     let office = self.office.clone();
     tokio::spawn(async move {
       if let Some(reply) = client.attempts().await {
-        let event = Event::Listed(endpoint, reply.attempts);
+        let event = Event::AttemptsListed(endpoint, reply.attempts);
         office.to_decide.send(event).await;
       }
     });
--- a/src/egress/endpoint_client.rs
+++ b/src/egress/endpoint_client.rs
@@ -41,7 +41,7 @@
       Self::NeverBegan => Began::Never,
       Self::PerhapsBegan => Began::Perhaps,
     };
-    StageOutcome::Broke {
+    StageOutcome::Failed {
       began,
       offset,
       resumable: true,
@@ -109,7 +109,7 @@
     if !turns_away {
       return;
     }
-    let pauses = Event::EndpointPauses(self.name.clone(), wanted_ms);
+    let pauses = Event::EndpointBackoff(self.name.clone(), wanted_ms);
     // With a full ring the next refusal tells it.
     let _ = self.to_decide.push(pauses);
   }
--- a/src/ingress/caller_guard.rs
+++ b/src/ingress/caller_guard.rs
@@ -37,7 +37,10 @@
     self.desk.forget(self.request);
     if !self.ended {
       // Room for one such event per request is kept free by the desk.
-      let _ = self.desk.to_decide.push(Event::CallerGone(self.request));
+      let _ = self
+        .desk
+        .to_decide
+        .push(Event::CallerDisconnected(self.request));
     }
   }
 }
--- a/src/store/desk.rs
+++ b/src/store/desk.rs
@@ -293,7 +293,7 @@
         _ => {}
       }
       if let Some(held) = &held {
-        let event = Event::StewardUntil {
+        let event = Event::LeaseHeld {
           fence: held.fence,
           until_ms: self.own_ms(held.until),
         };
--- a/tests/cause_first.rs
+++ b/tests/cause_first.rs
@@ -8,7 +8,7 @@
 //! ```text
 //! 1704 egress hears the pause
 //! 1705 decide Arrived(request 5)
-//! 1705 decide EndpointPauses("north-portal-1", 3000)
+//! 1705 decide EndpointBackoff("north-portal-1", 3000)
 //! 1705 egress sends request 5
 //! ```
 
--- a/tests/machine.rs
+++ b/tests/machine.rs
@@ -226,7 +226,7 @@
   }
 
   fn broke(&mut self, order: &Order, began: Began) {
-    let outcome = StageOutcome::Broke {
+    let outcome = StageOutcome::Failed {
       began,
       offset: 0,
       resumable: true,
@@ -240,7 +240,7 @@
       Chance::Leave(which) => {
         if self.requests > 0 {
           let request = *which as u64 % self.requests;
-          self.tell(Event::CallerGone(RequestId(request)));
+          self.tell(Event::CallerDisconnected(RequestId(request)));
         }
       }
       Chance::Deliver(which) => self.deliver(*which),
@@ -365,7 +365,7 @@
   /// Lets everything end: orders arrive, cancels are answered, time passes.
   fn settle(&mut self) {
     for request in 0..self.requests {
-      self.tell(Event::CallerGone(RequestId(request)));
+      self.tell(Event::CallerDisconnected(RequestId(request)));
     }
     for _ in 0..400 {
       while !self.claims.is_empty() {
