--- a/emulator/src/slopes.rs
+++ b/emulator/src/slopes.rs
@@ -10,7 +10,7 @@
     ids::{AttemptId, Name, RequestId},
     observe::Stamp,
     peers::{Frame, decode, encode},
-    policy::{Clock, Program, RequestFacts},
+    policy::{Clock, Program, RequestAttributes},
   },
   std::{fs, hint::black_box, sync::Arc, time::Instant},
 };
@@ -397,7 +397,7 @@
   let Ok(program) = Program::compile(POLICY) else {
     return;
   };
-  let facts = RequestFacts {
+  let facts = RequestAttributes {
     kind: "model".into(),
     max_tokens: 100,
     organisation: "organisation".into(),
--- a/src/configuration/documents.rs
+++ b/src/configuration/documents.rs
@@ -5,7 +5,7 @@
   crate::{
     decide::Tuning,
     ids::Name,
-    policy::{Clock, Program, RequestFacts},
+    policy::{Clock, Program, RequestAttributes},
   },
   serde::{Deserialize, Serialize},
   std::sync::Arc,
@@ -122,7 +122,7 @@
     source,
   };
   let program = Program::compile(policy).map_err(refuse)?;
-  let facts = RequestFacts {
+  let facts = RequestAttributes {
     kind: "model".into(),
     max_tokens: 1,
     organisation: "check".into(),
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -5,7 +5,7 @@
     Action, Arrival, EventKind, Life, Machine, NoPermit, NotRunReason, Rank, RequestOutcome, Step,
     Work, machine::ABSENT_RETRY_MS,
   },
-  crate::{ids::RequestId, policy::RequestFacts},
+  crate::{ids::RequestId, policy::RequestAttributes},
   statig::prelude::*,
 };
 
@@ -54,7 +54,7 @@
       Work::Model(work) => (&work.model, "model", work.prompt_tokens, work.max_tokens),
       Work::Service(work) => (&work.service, "service", 0, 0),
     };
-    let facts = RequestFacts {
+    let facts = RequestAttributes {
       kind: kind.into(),
       max_tokens,
       organisation: arrival.organisation.clone(),
--- a/src/decide/steward.rs
+++ b/src/decide/steward.rs
@@ -2,7 +2,7 @@
 
 use {
   super::Role,
-  crate::{ids::Name, policy::Split},
+  crate::{ids::Name, policy::RoleSplit},
 };
 
 /// An engine as the steward sees it.
@@ -39,7 +39,7 @@
 /// The one engine of a model that is to turn now, if any. Each role keeps at least one engine.
 ///
 /// ```
-/// use rillford::{decide::{next_turn, Candidate, Role, TurnBounds}, policy::Split};
+/// use rillford::{decide::{next_turn, Candidate, Role, TurnBounds}, policy::RoleSplit};
 /// let engine = |name: &str, role| Candidate {
 ///   engine: name.into(), role, stayed_ms: 500_000, used_seats: 0,
 /// };
@@ -47,11 +47,11 @@
 ///   engine("a", Role::Prefill), engine("b", Role::Decode),
 ///   engine("c", Role::Decode), engine("d", Role::Decode),
 /// ];
-/// let split = Split { model: "m".into(), prefill_share: 0.5 };
+/// let split = RoleSplit { model: "m".into(), prefill_share: 0.5 };
 /// let bounds = TurnBounds { dead_band: 0.1, least_stay_ms: 60_000 };
 /// assert_eq!(next_turn(&engines, &split, bounds).unwrap().engine, "b".into());
 /// ```
-pub fn next_turn(engines: &[Candidate], split: &Split, bounds: TurnBounds) -> Option<Turn> {
+pub fn next_turn(engines: &[Candidate], split: &RoleSplit, bounds: TurnBounds) -> Option<Turn> {
   let total = engines.len();
   if total < 2 {
     return None;
--- a/src/decide/timers.rs
+++ b/src/decide/timers.rs
@@ -5,7 +5,7 @@
     Action, Candidate, EndpointKind, EventKind, Heartbeat, HoldCommand, Machine, PeerMessage, Role,
     RoleCommand, Sign, TurnBounds, next_turn,
   },
-  crate::{ids::Name, policy::PoolFacts},
+  crate::{ids::Name, policy::PoolStats},
   std::collections::{BTreeMap, BTreeSet},
 };
 
@@ -319,9 +319,9 @@
     models.into_iter().collect()
   }
 
-  fn pool_facts(&self, model: &Name) -> PoolFacts {
+  fn pool_facts(&self, model: &Name) -> PoolStats {
     let now_ms = self.scene.now_ms;
-    let mut facts = PoolFacts {
+    let mut facts = PoolStats {
       decode_engines: 0,
       model: model.clone(),
       prefill_engines: 0,
--- a/src/gateway/roles/role_steward.rs
+++ b/src/gateway/roles/role_steward.rs
@@ -10,7 +10,7 @@
       state::{Gateway, Phase},
     },
     ids::Name,
-    policy::PoolFacts,
+    policy::PoolStats,
   },
   std::{collections::HashMap, rc::Rc, time::Duration},
   tokio::time::sleep,
@@ -232,7 +232,7 @@
   }
 
   /// What a policy is told of a service's engines. The load is this box's own, taken as usual for all boxes.
-  fn pool_facts(&self, service: &Name, engines: &[EndpointEntry]) -> PoolFacts {
+  fn pool_facts(&self, service: &Name, engines: &[EndpointEntry]) -> PoolStats {
     let boxes = self.gateway.boxes.borrow().len().max(1) as u64;
     let book = self.gateway.book.borrow();
     let load = |role| {
@@ -245,7 +245,7 @@
     let seats: u64 = with_role(engines, Role::Decode)
       .map(|engine| u64::from(engine.seats))
       .sum();
-    PoolFacts {
+    PoolStats {
       decode_engines: with_role(engines, Role::Decode).count() as u64,
       model: service.clone(),
       prefill_engines: with_role(engines, Role::Prefill).count() as u64,
--- a/src/gateway/settings/route_policy.rs
+++ b/src/gateway/settings/route_policy.rs
@@ -7,7 +7,7 @@
     gateway::edge::{CallerFacts, Organisation, Route, RouteKind},
     ids::Name,
     observe::unix_ms,
-    policy::{Clock, PoolFacts, Program, RequestFacts},
+    policy::{Clock, PoolStats, Program, RequestAttributes},
   },
   std::{path::Path, sync::Arc},
 };
@@ -70,7 +70,7 @@
       RouteKind::Stream { .. } => "model",
       RouteKind::Repeatable | RouteKind::Unrepeatable => "service",
     };
-    let told = RequestFacts {
+    let told = RequestAttributes {
       kind: kind.into(),
       max_tokens: facts.answer_tokens,
       organisation: organisation.map_or_else(|| route.host.clone(), |asks| asks.name.clone()),
@@ -99,7 +99,7 @@
   }
 
   /// The wanted share of engines that read prompts, if the program says.
-  pub fn prefill_share(&self, pool: &PoolFacts) -> Option<f64> {
+  pub fn prefill_share(&self, pool: &PoolStats) -> Option<f64> {
     let program = self.program.as_ref()?;
     match program.shift(self.clock(), std::slice::from_ref(pool)) {
       Ok(splits) => splits
--- a/src/policy/facts.rs
+++ b/src/policy/facts.rs
@@ -39,7 +39,7 @@
 
 /// What `rank` is told of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct RequestFacts {
+pub struct RequestAttributes {
   /// The organisation.
   pub organisation: Name,
   /// The model or the plain service.
@@ -56,7 +56,7 @@
 
 /// What `shift` is told of one model's engines in this hall.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PoolFacts {
+pub struct PoolStats {
   /// The model.
   pub model: Name,
   /// Engines in the prefill role.
@@ -71,7 +71,7 @@
 
 /// What `shift` wants for one model.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Split {
+pub struct RoleSplit {
   /// The model.
   pub model: Name,
   /// Wanted share of engines in the prefill role, from 0 to 1.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -7,7 +7,7 @@
 mod program;
 
 pub use self::{
-  facts::{Clock, PoolFacts, RequestFacts, Split},
+  facts::{Clock, PoolStats, RequestAttributes, RoleSplit},
   policy_error::PolicyError,
   program::Program,
 };
--- a/src/policy/program.rs
+++ b/src/policy/program.rs
@@ -1,7 +1,7 @@
 //! A compiled policy program.
 
 use {
-  super::{Clock, PolicyError, PoolFacts, RequestFacts, Split},
+  super::{Clock, PolicyError, PoolStats, RequestAttributes, RoleSplit},
   crate::{decide::Rank, ids::Name},
   rhai::{AST, Array, Dynamic, Engine, EvalAltResult, ImmutableString, Map, Position, Scope},
   std::sync::Arc,
@@ -23,13 +23,13 @@
 /// A compiled policy program. It sees only what it is given, and its work is bounded.
 ///
 /// ```
-/// use rillford::policy::{Clock, Program, RequestFacts};
+/// use rillford::policy::{Clock, Program, RequestAttributes};
 /// let program = Program::compile(r#"
 ///   fn rank(request, now) {
 ///     #{ class: request.task, priority: if now.hour < 8 { 1 } else { 5 } }
 ///   }
 /// "#).unwrap();
-/// let facts = RequestFacts {
+/// let facts = RequestAttributes {
 ///   organisation: "oslo".into(), subject: "summary-model".into(), kind: "model".into(),
 ///   task: "summary".into(), prompt_tokens: 900, max_tokens: 100,
 /// };
@@ -74,7 +74,7 @@
   }
 
   /// What the program says of a request.
-  pub fn rank(&self, facts: &RequestFacts, clock: Clock) -> Result<Rank, PolicyError> {
+  pub fn rank(&self, facts: &RequestAttributes, clock: Clock) -> Result<Rank, PolicyError> {
     let mut request = Map::new();
     request.insert("organisation".into(), text(&facts.organisation));
     request.insert("subject".into(), text(&facts.subject));
@@ -87,7 +87,7 @@
   }
 
   /// The wanted split of roles; none where the program has no `shift`.
-  pub fn shift(&self, clock: Clock, pools: &[PoolFacts]) -> Result<Vec<Split>, PolicyError> {
+  pub fn shift(&self, clock: Clock, pools: &[PoolStats]) -> Result<Vec<RoleSplit>, PolicyError> {
     if !self.shifts {
       return Ok(Vec::new());
     }
@@ -161,7 +161,7 @@
   map
 }
 
-fn pool_map(pool: &PoolFacts) -> Map {
+fn pool_map(pool: &PoolStats) -> Map {
   let mut map = Map::new();
   map.insert("model".into(), text(&pool.model));
   map.insert("prefill_engines".into(), number(pool.prefill_engines));
@@ -220,7 +220,7 @@
   Ok(rank)
 }
 
-fn splits_from(answer: Dynamic) -> Result<Vec<Split>, PolicyError> {
+fn splits_from(answer: Dynamic) -> Result<Vec<RoleSplit>, PolicyError> {
   let wrong = || PolicyError::Answer {
     function: SHIFT,
     wanted: "a map from model to a prefill share between 0 and 1",
@@ -235,7 +235,7 @@
         .ok()
         .filter(|share| (0.0..=1.0).contains(share))
         .ok_or_else(wrong)?;
-      Ok(Split {
+      Ok(RoleSplit {
         model: model.as_str().into(),
         prefill_share,
       })
--- a/src/subcommand/policy.rs
+++ b/src/subcommand/policy.rs
@@ -3,7 +3,7 @@
 use {
   crate::{
     Error, Result,
-    policy::{Clock, Program, RequestFacts},
+    policy::{Clock, Program, RequestAttributes},
   },
   bpaf::Bpaf,
   std::{fs, path::PathBuf},
@@ -73,7 +73,7 @@
       minute_of_day: hour * MINUTES_PER_HOUR,
     };
     for task in tasks {
-      let facts = RequestFacts {
+      let facts = RequestAttributes {
         kind: kind.as_str().into(),
         max_tokens,
         organisation: organisation.as_str().into(),
--- a/tests/gateway/policy.rs
+++ b/tests/gateway/policy.rs
@@ -4,7 +4,7 @@
   super::{EndpointStandIn, GatewayTest, Reply},
   rillford::{
     gateway::{CallerFacts, Route, RouteKind, RoutePolicy, RouteRank, WeightedService},
-    policy::PoolFacts,
+    policy::PoolStats,
   },
   std::{path::Path, process::Command},
 };
@@ -79,7 +79,7 @@
 
 #[test]
 fn program_shares_out_the_engines() {
-  let pool = PoolFacts {
+  let pool = PoolStats {
     decode_engines: 6,
     model: "llm".into(),
     prefill_engines: 3,
