--- a/src/decide/ending.rs
+++ b/src/decide/ending.rs
@@ -10,7 +10,7 @@
   OrganisationLimit,
   /// The queue is full and nothing in it ranks lower.
   QueueFull,
-  /// It ranked lowest when the queue was full.
+  /// It rendezvous_order lowest when the queue was full.
   Shed,
   /// The predicted first token lies past the deadline.
   TooLate,
--- a/src/decide/membership.rs
+++ b/src/decide/membership.rs
@@ -177,7 +177,7 @@
     }
     halls
       .into_values()
-      .filter_map(|boxes| ranked(&self.own, &boxes).into_iter().next())
+      .filter_map(|boxes| rendezvous_order(&self.own, &boxes).into_iter().next())
       .collect()
   }
 }
@@ -193,21 +193,21 @@
   if others.len() < FULL_MESH_BOXES {
     return others;
   }
-  let mut ranked = ranked(name, &others);
-  ranked.truncate(FULL_MESH_BOXES - 1);
-  ranked
+  let mut rendezvous_order = rendezvous_order(name, &others);
+  rendezvous_order.truncate(FULL_MESH_BOXES - 1);
+  rendezvous_order
 }
 
 /// Candidates in rendezvous order for a subject, the best first.
 ///
 /// ```
-/// use rillford::decide::ranked;
+/// use rillford::decide::rendezvous_order;
 /// let boxes = ["a".into(), "b".into(), "c".into()];
-/// let first = ranked(&"engine-1".into(), &boxes);
+/// let first = rendezvous_order(&"engine-1".into(), &boxes);
 /// let fewer = boxes.iter().filter(|name| **name != first[0]).cloned().collect::<Vec<_>>();
-/// assert_eq!(ranked(&"engine-1".into(), &fewer)[0], first[1]);
+/// assert_eq!(rendezvous_order(&"engine-1".into(), &fewer)[0], first[1]);
 /// ```
-pub fn ranked(subject: &Name, candidates: &[Name]) -> Vec<Name> {
+pub fn rendezvous_order(subject: &Name, candidates: &[Name]) -> Vec<Name> {
   let mut scored = candidates
     .iter()
     .map(|name| (score(subject, name), name.clone()))
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -53,7 +53,7 @@
   life::{Life, Placed, Step},
   link_windows::LinkWindows,
   machine::{Machine, Setup},
-  membership::{FULL_MESH_BOXES, Membership, Peer, ranked},
+  membership::{FULL_MESH_BOXES, Membership, Peer, rendezvous_order},
   note::{EventKind, TimelineEvent},
   orders::{OrderKey, Orders},
   peer_message::{
--- a/src/decide/scene.rs
+++ b/src/decide/scene.rs
@@ -5,7 +5,7 @@
   super::{
     Action, ConfigurationView, EngineView, EventKind, Fleet, Membership, OrderKey, Orders,
     PeerMessage, PrefixHints, RetryBudget, Role, SeatAnswer, SeatAsk, SeatBook, SeatDecision,
-    SeatMode, TimelineEvent, Tuning, ranked,
+    SeatMode, TimelineEvent, Tuning, rendezvous_order,
   },
   crate::ids::{AttemptId, Name},
   rand::SeedableRng,
@@ -111,7 +111,7 @@
     }
     let hall = self.fleet.get(endpoint)?.spec.hall.clone();
     let candidates = self.members.candidates(&hall, self.stopping);
-    let home = ranked(endpoint, &candidates).into_iter().next();
+    let home = rendezvous_order(endpoint, &candidates).into_iter().next();
     self.homes.insert(endpoint.clone(), home.clone());
     home
   }
--- a/src/store/configuration.rs
+++ b/src/store/configuration.rs
@@ -71,7 +71,7 @@
 /// Whether a box is one of its hall's two watchers, by rendezvous order over the live boxes.
 pub(super) fn is_watcher(own: &Name, hall_boxes: &[Name]) -> bool {
   const WATCHERS: usize = 2;
-  crate::decide::ranked(&"configuration".into(), hall_boxes)
+  crate::decide::rendezvous_order(&"configuration".into(), hall_boxes)
     .iter()
     .take(WATCHERS)
     .any(|name| name == own)
--- a/src/store/desk.rs
+++ b/src/store/desk.rs
@@ -260,7 +260,7 @@
 
   fn is_first(&self) -> bool {
     let boxes = self.hall_boxes();
-    let ranked = crate::decide::ranked(&"steward".into(), &boxes);
+    let ranked = crate::decide::rendezvous_order(&"steward".into(), &boxes);
     ranked.first() == Some(&self.identity.name)
   }
 
