--- a/emulator/src/decisions/plots.rs
+++ b/emulator/src/decisions/plots.rs
@@ -27,7 +27,7 @@
     .map(|step| {
       let certainty = f64::from(step) / 5.0;
       let variant = Variant::shipped("knob", site)
-        .tuned(|tuning| tuning.seat_certainty = certainty)
+        .tuned(|tuning| tuning.slot_certainty = certainty)
         .at(1.25);
       let runs = runs(site, Day::Peak, &variant, seeds);
       CurvePoint {
--- a/emulator/src/decisions/sim_engine.rs
+++ b/emulator/src/decisions/sim_engine.rs
@@ -108,7 +108,7 @@
   }
 
   pub(super) fn is_full(&self) -> bool {
-    self.used() >= self.spec.seats
+    self.used() >= self.spec.slots
   }
 
   pub(super) fn report(&self) -> LoadReport {
@@ -128,8 +128,8 @@
           .map(|job| job.prompt_tokens - self.cached(&job.prefix).min(job.prompt_tokens))
           .sum::<u64>(),
       role: Some(self.role),
-      seats: self.spec.seats,
-      used_seats: self.used(),
+      slots: self.spec.slots,
+      used_slots: self.used(),
     }
   }
 
--- a/emulator/src/decisions/variant.rs
+++ b/emulator/src/decisions/variant.rs
@@ -4,7 +4,7 @@
   super::workload::Site,
   rillford::{
     configuration::PlatformDocument,
-    decide::{PlacementMode, SeatMode, Tuning},
+    decide::{PlacementMode, SlotMode, Tuning},
   },
 };
 
@@ -112,7 +112,7 @@
       perfect(Self::shipped("", site).tuned(|tuning| tuning.reserve_before_prefill = false)),
       perfect(Self::two_choices(site)),
       perfect(Self::shipped("", site).tuned(|tuning| tuning.full_pause_ms = 10)),
-      perfect(Self::shipped("", site).tuned(|tuning| tuning.seat_certainty = 0.5)),
+      perfect(Self::shipped("", site).tuned(|tuning| tuning.slot_certainty = 0.5)),
       perfect(Self::shipped("", site)),
     ]
   }
@@ -121,7 +121,7 @@
   pub fn round_robin(site: Site) -> Self {
     Self::shipped("round robin", site).tuned(|tuning| {
       tuning.placement = PlacementMode::RoundRobin;
-      tuning.seat_mode = SeatMode::LaggingLoad;
+      tuning.slot_mode = SlotMode::LaggingLoad;
       tuning.reserve_before_prefill = false;
       tuning.early_refusal = false;
     })
@@ -131,7 +131,7 @@
   pub fn two_choices(site: Site) -> Self {
     Self::shipped("two choices", site).tuned(|tuning| {
       tuning.placement = PlacementMode::TwoChoices;
-      tuning.seat_mode = SeatMode::LaggingLoad;
+      tuning.slot_mode = SlotMode::LaggingLoad;
       tuning.reserve_before_prefill = false;
       tuning.early_refusal = false;
     })
@@ -139,11 +139,11 @@
 
   /// The shipped placement, with seats by lagging load.
   pub fn lagging_load(site: Site) -> Self {
-    Self::shipped("lagging load", site).tuned(|tuning| tuning.seat_mode = SeatMode::LaggingLoad)
+    Self::shipped("lagging load", site).tuned(|tuning| tuning.slot_mode = SlotMode::LaggingLoad)
   }
 
   /// The shipped placement, with a fixed share of seats for each box.
   pub fn fixed_shares(site: Site) -> Self {
-    Self::shipped("fixed shares", site).tuned(|tuning| tuning.seat_mode = SeatMode::FixedShares)
+    Self::shipped("fixed shares", site).tuned(|tuning| tuning.slot_mode = SlotMode::FixedShares)
   }
 }
--- a/emulator/src/decisions/workload.rs
+++ b/emulator/src/decisions/workload.rs
@@ -78,12 +78,12 @@
 
 fn endpoints(site: Site, halls: &[Name], per_hall: &[HallEngines]) -> Vec<EndpointSpec> {
   let mut specs = Vec::new();
-  let (prefill_rate, seats) = match site {
+  let (prefill_rate, slots) = match site {
     Site::Oslo => (16_000, 8),
     Site::Sariwa => (12_000, 16),
   };
   for (hall, engines) in halls.iter().zip(per_hall) {
-    let mut push = |name: String, kind: EndpointKind, seats: u32| {
+    let mut push = |name: String, kind: EndpointKind, slots: u32| {
       specs.push(EndpointSpec {
         hall: hall.clone(),
         kind,
@@ -91,7 +91,7 @@
         link_bytes_per_s: 12_500_000_000,
         name: name.into(),
         prefill_tokens_per_s: prefill_rate,
-        seats,
+        slots,
       });
     };
     let engine = |role| EndpointKind::Engine {
@@ -103,7 +103,7 @@
       push(format!("{hall}-p{index}"), engine(Role::Prefill), 32);
     }
     for index in 0..engines.decode {
-      push(format!("{hall}-d{index}"), engine(Role::Decode), seats);
+      push(format!("{hall}-d{index}"), engine(Role::Decode), slots);
     }
     for index in 0..engines.services {
       let kind = EndpointKind::Service {
--- a/emulator/src/decisions/world/reports.rs
+++ b/emulator/src/decisions/world/reports.rs
@@ -68,8 +68,8 @@
       leaving: false,
       queue_tokens: 0,
       role: None,
-      seats: 16,
-      used_seats: busy,
+      slots: 16,
+      used_slots: busy,
     };
     let event = Event::LoadReported(report);
     self.schedule.after(LOCAL_US, What::Tell(index, event));
--- a/emulator/src/slopes.rs
+++ b/emulator/src/slopes.rs
@@ -78,7 +78,7 @@
     link_bytes_per_s: 12_500_000_000,
     name: format!("engine-{index}").into(),
     prefill_tokens_per_s: 12_000,
-    seats: 64,
+    slots: 64,
   }
 }
 
@@ -104,8 +104,8 @@
     leaving: false,
     queue_tokens: 0,
     role: Some(*role),
-    seats: spec.seats,
-    used_seats: 3,
+    slots: spec.slots,
+    used_slots: 3,
   }
 }
 
@@ -205,12 +205,14 @@
 impl Peers {
   fn take(&mut self, to: &Name, message: PeerMessage) -> Option<Event> {
     let answer = match &message {
-      PeerMessage::SeatAsk(ask) => Some(PeerMessage::SeatAnswer(rillford::decide::SeatAnswer {
-        attempt: ask.attempt.clone(),
-        engine: ask.engine.clone(),
-        granted: true,
-        link_wait_ms: 0,
-      })),
+      PeerMessage::SlotRequest(ask) => {
+        Some(PeerMessage::SlotResponse(rillford::decide::SlotResponse {
+          attempt: ask.attempt.clone(),
+          engine: ask.engine.clone(),
+          granted: true,
+          link_wait_ms: 0,
+        }))
+      }
       _ => None,
     };
     let frame = Frame {
--- a/src/configuration/documents.rs
+++ b/src/configuration/documents.rs
@@ -148,7 +148,7 @@
     })
   };
   let tuning = &document.tuning;
-  if !(0.0..=1.0).contains(&tuning.seat_certainty) {
+  if !(0.0..=1.0).contains(&tuning.slot_certainty) {
     return refuse("tuning.seat_certainty", "must lie between 0 and 1");
   }
   if !(0.0..=1.0).contains(&tuning.retry_share) {
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -125,7 +125,7 @@
     let serving_ms = match work {
       Work::Model(work) => self.scene.least_first_token_ms(work)?,
       Work::Service(work) => match self.scene.place_call(&work.service, &[]) {
-        Ok(_) | Err(NoPermit::NoSeat) => 0,
+        Ok(_) | Err(NoPermit::NoSlot) => 0,
         Err(NoPermit::NoEngine) => return None,
       },
     };
--- a/src/decide/endpoint.rs
+++ b/src/decide/endpoint.rs
@@ -43,7 +43,7 @@
   /// What it is.
   pub kind: EndpointKind,
   /// Requests it may hold at once.
-  pub seats: u32,
+  pub slots: u32,
   /// Prompt tokens read a second.
   pub prefill_tokens_per_s: u64,
   /// Size of a token in the KV cache.
@@ -169,7 +169,7 @@
   /// Orders that failed here since one came to something.
   pub failures_in_a_row: u32,
   /// Own attempts that hold a seat here.
-  pub own_seats: u32,
+  pub own_slots: u32,
   life: InitializedStateMachine<EndpointLife>,
   report: LoadReport,
   sent: VecDeque<Sent>,
@@ -189,15 +189,15 @@
       leaving: false,
       queue_tokens: 0,
       role,
-      seats: spec.seats,
-      used_seats: 0,
+      slots: spec.slots,
+      used_slots: 0,
     };
     Self {
       failures_in_a_row: 0,
       heard_ms: 0,
       incarnation: 0,
       life: EndpointLife::default().uninitialized_state_machine().init(),
-      own_seats: 0,
+      own_slots: 0,
       paused_until_ms: 0,
       refused_until_ms: 0,
       report,
@@ -305,19 +305,19 @@
   }
 
   /// Seats that the engine has, by its own report.
-  pub fn seats(&self) -> u32 {
-    self.report.seats
+  pub fn slots(&self) -> u32 {
+    self.report.slots
   }
 
   /// Seats taken, by the last report and own work since.
-  pub fn used_seats(&self) -> u32 {
+  pub fn used_slots(&self) -> u32 {
     let recent = u32::try_from(self.sent.len()).unwrap_or(u32::MAX);
-    self.report.used_seats.saturating_add(recent)
+    self.report.used_slots.saturating_add(recent)
   }
 
   /// Seats taken by the last report alone.
-  pub fn reported_seats(&self) -> u32 {
-    self.report.used_seats
+  pub fn reported_slots(&self) -> u32 {
+    self.report.used_slots
   }
 
   /// Time at which a prefill engine is expected to have read all that waits.
@@ -341,7 +341,7 @@
     match self.role {
       Some(Role::Prefill) => self.prefill_free_at_ms(),
       Some(Role::Decode) | None => {
-        u64::from(self.used_seats()) * 1_000 / u64::from(self.seats().max(1))
+        u64::from(self.used_slots()) * 1_000 / u64::from(self.slots().max(1))
       }
     }
   }
--- a/src/decide/event.rs
+++ b/src/decide/event.rs
@@ -108,9 +108,9 @@
   /// Whether it is leaving.
   pub leaving: bool,
   /// Requests held.
-  pub used_seats: u32,
+  pub used_slots: u32,
   /// Requests it can hold.
-  pub seats: u32,
+  pub slots: u32,
   /// Prompt tokens waiting to be read.
   pub queue_tokens: u64,
   /// Age of the report when it was relayed.
--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -18,7 +18,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Slot {
+struct PoolEntry {
   key: u64,
   index: usize,
 }
@@ -27,7 +27,7 @@
 pub struct Fleet {
   endpoints: Vec<Endpoint>,
   by_name: BTreeMap<Name, usize>,
-  pools: BTreeMap<PoolKey, BTreeSet<Slot>>,
+  pools: BTreeMap<PoolKey, BTreeSet<PoolEntry>>,
   places: Vec<Vec<PoolKey>>,
   keys: Vec<u64>,
 }
@@ -99,7 +99,7 @@
       .get(key)
       .into_iter()
       .flatten()
-      .map(|slot| &self.endpoints[slot.index])
+      .map(|entry| &self.endpoints[entry.index])
   }
 
   /// The number of endpoints in a pool.
@@ -125,7 +125,7 @@
     self
       .pools
       .iter()
-      .find(|(pool, slots)| pool.subject == *subject && pool.role == role && !slots.is_empty())
+      .find(|(pool, entries)| pool.subject == *subject && pool.role == role && !entries.is_empty())
       .map(|(pool, _)| pool.hall.clone())
   }
 
@@ -142,7 +142,7 @@
   }
 
   fn replace(&mut self, index: usize) {
-    let old = Slot {
+    let old = PoolEntry {
       index,
       key: self.keys[index],
     };
@@ -155,14 +155,14 @@
     if !endpoint.is_live() {
       return;
     }
-    let slot = Slot {
+    let entry = PoolEntry {
       index,
       key: endpoint.pool_key(),
     };
     let places = Self::places_of(endpoint);
-    self.keys[index] = slot.key;
+    self.keys[index] = entry.key;
     for place in &places {
-      self.pools.entry(place.clone()).or_default().insert(slot);
+      self.pools.entry(place.clone()).or_default().insert(entry);
     }
     self.places[index] = places;
   }
--- a/src/decide/life.rs
+++ b/src/decide/life.rs
@@ -30,7 +30,7 @@
   /// It was put back into its lane.
   Requeued,
   /// A home answered its ask for a seat.
-  Seat {
+  Slot {
     /// The attempt that asked.
     attempt: AttemptId,
     /// Whether the seat is reserved.
@@ -109,7 +109,7 @@
       failures: 0,
       link_wait_ms: 0,
       offset: 0,
-      placed: Placed::Waits(NoPermit::NoSeat),
+      placed: Placed::Waits(NoPermit::NoSlot),
       placement: None,
       prefilled_ms: 0,
       read_tokens: 0,
@@ -235,7 +235,7 @@
   #[state(superstate = "unsent")]
   fn asking(&mut self, context: &mut Scene, event: &Step) -> Outcome<State> {
     match event {
-      Step::Seat {
+      Step::Slot {
         attempt,
         granted,
         link_wait_ms,
@@ -243,12 +243,12 @@
         if *granted {
           self.order_prefill(context, *link_wait_ms)
         } else {
-          self.seat_refused(context)
+          self.slot_refused(context)
         }
       }
       Step::Tick if context.now_ms > self.asked_ms + context.tuning().ask_timeout_ms => {
         self.take_ask_back(context);
-        self.seat_refused(context)
+        self.slot_refused(context)
       }
       Step::CallerDisconnected => {
         self.take_ask_back(context);
--- a/src/decide/life/closing.rs
+++ b/src/decide/life/closing.rs
@@ -136,7 +136,7 @@
     if let Some(placement) = &self.placement {
       context.close(&attempt, &placement.decode);
     }
-    self.release_seat(context);
+    self.release_slot(context);
     let request = self.arrival.request;
     context.note(EventKind::RequestAnswered, request.0, &attempt);
     context.act(Action::Complete(request, RequestOutcome::Answered));
@@ -180,19 +180,19 @@
       context.cancel(&attempt, &placement.prefill);
       context.cancel(&attempt, &placement.decode);
     }
-    self.release_seat(context);
+    self.release_slot(context);
   }
 
-  pub(super) fn release_seat(&mut self, context: &mut Scene) {
+  pub(super) fn release_slot(&mut self, context: &mut Scene) {
     let Some(engine) = self.seat.take() else {
       return;
     };
     let attempt = self.attempt_id(context);
     if self.placement.is_some() {
-      context.return_seat(&attempt, &engine);
+      context.return_slot(&attempt, &engine);
     } else {
       context.fleet.change(&engine, |service| {
-        service.own_seats = service.own_seats.saturating_sub(1);
+        service.own_slots = service.own_slots.saturating_sub(1);
         service.forget_sent(1);
       });
     }
--- a/src/decide/life/moving.rs
+++ b/src/decide/life/moving.rs
@@ -77,17 +77,17 @@
       return Handled;
     };
     match context.free_decode(work, &full) {
-      Some(other) => self.move_seat(context, other),
+      Some(other) => self.move_slot(context, other),
       None => self.link_wait_ms = FULL_AGAIN_MS,
     }
     self.order_import(context)
   }
 
-  pub(super) fn move_seat(&mut self, context: &mut Scene, other: Name) {
-    self.release_seat(context);
+  pub(super) fn move_slot(&mut self, context: &mut Scene, other: Name) {
+    self.release_slot(context);
     let now_ms = context.now_ms;
     context.fleet.change(&other, |engine| {
-      engine.own_seats += 1;
+      engine.own_slots += 1;
       engine.note_sent(now_ms, 1);
     });
     self.seat = Some(other.clone());
--- a/src/decide/life/placing.rs
+++ b/src/decide/life/placing.rs
@@ -3,8 +3,8 @@
 use {
   super::{Life, Placed, State},
   crate::decide::{
-    Action, CallCommand, EventKind, NotRunReason, PeerMessage, PrefillCommand, Scene, SeatAsk,
-    SeatDecision, SeatMode, Work,
+    Action, CallCommand, EventKind, NotRunReason, PeerMessage, PrefillCommand, Scene, SlotDecision,
+    SlotMode, SlotRequest, Work,
   },
   statig::prelude::*,
 };
@@ -33,7 +33,7 @@
     self.link_wait_ms = 0;
     let reserve = context.tuning().reserve_before_prefill;
     let home = context.home(&placement.decode);
-    let ask = SeatAsk {
+    let ask = SlotRequest {
       attempt: self.attempt_id(context),
       engine: placement.decode.clone(),
       hold_ms: max_tokens * context.tuning().token_ms,
@@ -41,17 +41,17 @@
       ready_in_ms: placement.ready_in_ms,
     };
     self.placement = Some(placement);
-    if !reserve || context.tuning().seat_mode != SeatMode::HomeGrants {
+    if !reserve || context.tuning().slot_mode != SlotMode::OwnerGrants {
       return self.order_prefill(context, 0);
     }
     match home {
       Some(home) if home == context.identity.name => match context.grant(&ask) {
-        SeatDecision::Granted { link_wait_ms } => self.order_prefill(context, link_wait_ms),
-        SeatDecision::Full => self.seat_refused(context),
+        SlotDecision::Granted { link_wait_ms } => self.order_prefill(context, link_wait_ms),
+        SlotDecision::Full => self.slot_refused(context),
       },
       Some(home) => {
         self.asked_ms = context.now_ms;
-        context.act(Action::Send(home, PeerMessage::SeatAsk(ask)));
+        context.act(Action::Send(home, PeerMessage::SlotRequest(ask)));
         Transition(State::asking())
       }
       // No home lives: the engine itself still refuses when full.
@@ -72,7 +72,7 @@
     self.attempt += 1;
     let attempt = self.attempt_id(context);
     context.fleet.change(&endpoint, |endpoint| {
-      endpoint.own_seats += 1;
+      endpoint.own_slots += 1;
     });
     context
       .fleet
@@ -88,7 +88,7 @@
     Transition(State::calling())
   }
 
-  pub(super) fn seat_refused(&mut self, context: &mut Scene) -> Outcome<State> {
+  pub(super) fn slot_refused(&mut self, context: &mut Scene) -> Outcome<State> {
     if let Some(engine) = self.placement.as_ref().map(|place| place.decode.clone()) {
       let until_ms = context.now_ms + context.tuning().full_pause_ms;
       context
@@ -109,7 +109,7 @@
     };
     let attempt = self.attempt_id(context);
     if let Some(home) = context.home(&engine) {
-      context.act(Action::Send(home, PeerMessage::SeatReturn(attempt, engine)));
+      context.act(Action::Send(home, PeerMessage::SlotReturn(attempt, engine)));
     }
   }
 
@@ -123,7 +123,7 @@
     self.seat = Some(placement.decode.clone());
     let now_ms = context.now_ms;
     context.fleet.change(&placement.decode, |engine| {
-      engine.own_seats += 1;
+      engine.own_slots += 1;
       engine.note_sent(now_ms, 1);
     });
     context.fleet.change(&placement.prefill, |engine| {
--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -155,7 +155,7 @@
         })
         .collect(),
       ready: self.is_ready(),
-      seats_granted: scene.books.values().map(super::SeatBook::len).sum(),
+      seats_granted: scene.books.values().map(super::SlotTable::len).sum(),
       steward: self.timers.holds_lease(scene.now_ms),
       stopping: scene.stopping,
       waiting: self.waiting(),
@@ -180,7 +180,7 @@
           home,
           queue_tokens_ms: endpoint.prefill_free_at_ms().saturating_sub(now_ms),
           role: endpoint.role,
-          seats: endpoint.seats(),
+          seats: endpoint.slots(),
           state: if endpoint.is_live() {
             EndpointState::Live
           } else if endpoint.is_leaving() {
@@ -190,7 +190,7 @@
           } else {
             EndpointState::Suspect
           },
-          used_seats: endpoint.used_seats(),
+          used_seats: endpoint.used_slots(),
           name,
         })
       })
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,7 +1,7 @@
 //! The decisions, free of I/O: `handle(now, event) -> actions`.
 //!
 //! A request's way: [`Machine::handle`] takes an [`Arrival`], policy ranks it, a [`Lane`] holds it,
-//! `placement` chooses engines, the decode engine's home box reserves a seat in its [`SeatBook`],
+//! `placement` chooses engines, the decode engine's home box reserves a seat in its [`SlotTable`],
 //! and [`life::Life`] follows the orders to one of the [`RequestOutcome`]s.
 
 mod action;
@@ -27,7 +27,7 @@
 mod rank;
 mod retry_budget;
 mod scene;
-mod seat_book;
+mod slot_table;
 mod status;
 mod steward;
 mod timers;
@@ -57,15 +57,15 @@
   note::{EventKind, TimelineEvent},
   orders::{OrderKey, Orders},
   peer_message::{
-    Document, DocumentRevision, Heartbeat, LeavingEndpoint, PeerMessage, SeatAnswer, SeatAsk,
+    Document, DocumentRevision, Heartbeat, LeavingEndpoint, PeerMessage, SlotRequest, SlotResponse,
   },
   placement::{NoPermit, Placement},
   prefix_hints::{BLOCK_TOKENS, PrefixHints},
   rank::Rank,
   retry_budget::RetryBudget,
   scene::{Identity, Scene},
-  seat_book::{EngineView, SeatBook, SeatDecision},
+  slot_table::{EngineView, SlotDecision, SlotTable},
   status::{EndpointState, EndpointStatus, PeerStatus, Status},
   steward::{Candidate, Turn, TurnBounds, next_turn},
-  tuning::{PlacementMode, SeatMode, Tuning},
+  tuning::{PlacementMode, SlotMode, Tuning},
 };
--- a/src/decide/peer_handling.rs
+++ b/src/decide/peer_handling.rs
@@ -1,7 +1,7 @@
 //! What a box does on messages of its peers.
 
 use {
-  super::{Action, Document, EventKind, Heartbeat, Machine, PeerMessage, SeatAnswer, Sign, Step},
+  super::{Action, Document, EventKind, Heartbeat, Machine, PeerMessage, Sign, SlotResponse, Step},
   crate::ids::Name,
 };
 
@@ -9,10 +9,10 @@
   pub(super) fn peer(&mut self, from: Name, message: PeerMessage) {
     match message {
       PeerMessage::Heartbeat(heartbeat) => self.heartbeat(&from, &heartbeat),
-      PeerMessage::SeatAsk(ask) => self.scene.answer_ask(from, ask),
-      PeerMessage::SeatAnswer(answer) => self.seat_answered(from, answer),
-      PeerMessage::SeatReturn(attempt, engine) => self.scene.take_back(&attempt, &engine),
-      PeerMessage::SeatFreed(engine) => self.scene.reopen(&engine),
+      PeerMessage::SlotRequest(ask) => self.scene.answer_ask(from, ask),
+      PeerMessage::SlotResponse(answer) => self.slot_response(from, answer),
+      PeerMessage::SlotReturn(attempt, engine) => self.scene.take_back(&attempt, &engine),
+      PeerMessage::SlotFreed(engine) => self.scene.reopen(&engine),
       PeerMessage::DocumentsAfter(revision) => {
         let documents = self.scene.configuration.after(revision);
         self.send_documents(from, documents);
@@ -73,16 +73,16 @@
     }
   }
 
-  fn seat_answered(&mut self, from: Name, answer: SeatAnswer) {
+  fn slot_response(&mut self, from: Name, answer: SlotResponse) {
     if !self.is_asking(&answer.attempt) {
       if answer.granted {
         // Granted too late: nobody waits for it any more.
-        let message = PeerMessage::SeatReturn(answer.attempt, answer.engine);
+        let message = PeerMessage::SlotReturn(answer.attempt, answer.engine);
         self.scene.act(Action::Send(from, message));
       }
       return;
     }
-    let step = Step::Seat {
+    let step = Step::Slot {
       attempt: answer.attempt.clone(),
       granted: answer.granted,
       link_wait_ms: answer.link_wait_ms,
--- a/src/decide/peer_message.rs
+++ b/src/decide/peer_message.rs
@@ -54,7 +54,7 @@
 
 /// A box asks the home of a decode engine for a seat and a link window.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct SeatAsk {
+pub struct SlotRequest {
   /// The attempt.
   pub attempt: AttemptId,
   /// The decode engine.
@@ -69,7 +69,7 @@
 
 /// The home's answer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct SeatAnswer {
+pub struct SlotResponse {
   /// The attempt.
   pub attempt: AttemptId,
   /// The decode engine.
@@ -86,13 +86,13 @@
   /// A sign of life.
   Heartbeat(Heartbeat),
   /// Asks for a seat.
-  SeatAsk(SeatAsk),
+  SlotRequest(SlotRequest),
   /// Answers an ask.
-  SeatAnswer(SeatAnswer),
+  SlotResponse(SlotResponse),
   /// Gives a seat back.
-  SeatReturn(AttemptId, Name),
+  SlotReturn(AttemptId, Name),
   /// A seat is free again at an engine that refused the receiver.
-  SeatFreed(Name),
+  SlotFreed(Name),
   /// Asks for documents of higher revisions than this: enough for who has only fallen behind.
   DocumentsAfter(u64),
   /// Asks for documents newer than these: for who has missed one in between.
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -1,7 +1,7 @@
 //! Choosing engines by predicted time to the first token, or by one of the ways it is measured against.
 
 use {
-  super::{Endpoint, ModelWork, PlacementMode, PoolKey, Role, Scene, SeatMode},
+  super::{Endpoint, ModelWork, PlacementMode, PoolKey, Role, Scene, SlotMode},
   crate::ids::Name,
   rand::RngExt,
 };
@@ -31,8 +31,8 @@
 pub enum NoPermit {
   /// No live engine serves the model.
   NoEngine,
-  /// All decode seats are taken for now.
-  NoSeat,
+  /// All decode slots are taken for now.
+  NoSlot,
 }
 
 struct Reading {
@@ -77,16 +77,16 @@
       .find(|engine| {
         engine.spec.name != *full
           && engine.is_open(self.now_ms)
-          && engine.used_seats() < engine.seats()
+          && engine.used_slots() < engine.slots()
       })
       .map(|engine| engine.spec.name.clone())
   }
 
-  /// Least time to a first token that any engine could give now, without regard to seats.
+  /// Least time to a first token that any engine could give now, without regard to slots.
   pub(crate) fn least_first_token_ms(&mut self, work: &ModelWork) -> Option<u64> {
     let reading = match self.best_prefill(work, &[]) {
       Ok(reading) => reading,
-      Err(NoPermit::NoSeat) => return Some(self.tuning().token_ms),
+      Err(NoPermit::NoSlot) => return Some(self.tuning().token_ms),
       Err(NoPermit::NoEngine) => return None,
     };
     Some(reading.ready_in_ms + self.tuning().token_ms)
@@ -113,11 +113,11 @@
     if untried.peek().is_none() {
       return Err(NoPermit::NoEngine);
     }
-    let mode = SeatMode::LaggingLoad;
+    let mode = SlotMode::LaggingLoad;
     untried
-      .find(|endpoint| has_seat(endpoint, mode, self.now_ms, boxes))
+      .find(|endpoint| has_free_slot(endpoint, mode, self.now_ms, boxes))
       .map(|endpoint| endpoint.spec.name.clone())
-      .ok_or(NoPermit::NoSeat)
+      .ok_or(NoPermit::NoSlot)
   }
 
   fn best_prefill(&mut self, work: &ModelWork, tried: &[Name]) -> Result<Reading, NoPermit> {
@@ -139,7 +139,7 @@
       .into_iter()
       .filter_map(|name| self.read_by(name, work))
       .min_by_key(|reading| (tried.contains(&reading.engine), reading.ready_in_ms))
-      .ok_or(NoPermit::NoSeat)
+      .ok_or(NoPermit::NoSlot)
   }
 
   /// The least loaded engines, and those that probably have the prompt's prefix.
@@ -164,7 +164,7 @@
 
   fn read_by(&self, name: Name, work: &ModelWork) -> Option<Reading> {
     let engine = self.fleet.get(&name)?;
-    if !engine.is_open(self.now_ms) || engine.used_seats() >= engine.seats() {
+    if !engine.is_open(self.now_ms) || engine.used_slots() >= engine.slots() {
       return None;
     }
     let cached = match self.tuning().placement {
@@ -197,7 +197,7 @@
       PlacementMode::TwoChoices => Some(self.two_of(&key)),
     };
     let boxes = self.boxes_of(&key.hall);
-    let mode = self.tuning().seat_mode;
+    let mode = self.tuning().slot_mode;
     let now_ms = self.now_ms;
     if !self.tuning().reserve_before_prefill {
       let any = candidates.map_or_else(
@@ -216,18 +216,18 @@
       Some(names) => names
         .into_iter()
         .filter_map(|name| self.fleet.get(&name))
-        .filter(|engine| has_seat(engine, mode, now_ms, boxes))
+        .filter(|engine| has_free_slot(engine, mode, now_ms, boxes))
         .min_by_key(|engine| (tried.contains(&engine.spec.name), engine.pool_key())),
       None => self
         .fleet
         .pool(&key)
-        .filter(|engine| has_seat(engine, mode, now_ms, boxes))
+        .filter(|engine| has_free_slot(engine, mode, now_ms, boxes))
         .take(CANDIDATES)
         .min_by_key(|engine| tried.contains(&engine.spec.name)),
     };
     free
       .map(|engine| engine.spec.name.clone())
-      .ok_or(NoPermit::NoSeat)
+      .ok_or(NoPermit::NoSlot)
   }
 
   fn boxes_of(&self, hall: &Name) -> u32 {
@@ -268,14 +268,14 @@
   }
 }
 
-fn has_seat(endpoint: &Endpoint, mode: SeatMode, now_ms: u64, boxes: u32) -> bool {
+fn has_free_slot(endpoint: &Endpoint, mode: SlotMode, now_ms: u64, boxes: u32) -> bool {
   if !endpoint.is_open(now_ms) {
     return false;
   }
   match mode {
-    // The home counts on seats that end in time, so a full engine is still worth asking.
-    SeatMode::HomeGrants => true,
-    SeatMode::LaggingLoad => endpoint.used_seats() < endpoint.seats(),
-    SeatMode::FixedShares => endpoint.own_seats < (endpoint.seats() / boxes).max(1),
+    // The home counts on slots that end in time, so a full engine is still worth asking.
+    SlotMode::OwnerGrants => true,
+    SlotMode::LaggingLoad => endpoint.used_slots() < endpoint.slots(),
+    SlotMode::FixedShares => endpoint.own_slots < (endpoint.slots() / boxes).max(1),
   }
 }
--- a/src/decide/scene.rs
+++ b/src/decide/scene.rs
@@ -4,8 +4,8 @@
 use {
   super::{
     Action, ConfigurationView, EngineView, EventKind, Fleet, Membership, OrderKey, Orders,
-    PeerMessage, PrefixHints, RetryBudget, Role, SeatAnswer, SeatAsk, SeatBook, SeatDecision,
-    SeatMode, TimelineEvent, Tuning, rendezvous_order,
+    PeerMessage, PrefixHints, RetryBudget, Role, SlotDecision, SlotMode, SlotRequest, SlotResponse,
+    SlotTable, TimelineEvent, Tuning, rendezvous_order,
   },
   crate::ids::{AttemptId, Name},
   rand::SeedableRng,
@@ -34,7 +34,7 @@
   pub(crate) orders: Orders,
   pub(crate) hints: PrefixHints,
   pub(crate) budget: RetryBudget,
-  pub(crate) books: BTreeMap<Name, SeatBook>,
+  pub(crate) books: BTreeMap<Name, SlotTable>,
   pub(crate) configuration: Arc<ConfigurationView>,
   pub(crate) configured: bool,
   pub(crate) stopping: bool,
@@ -127,18 +127,18 @@
   }
 
   /// Answers an ask for a seat as the engine's home.
-  pub(crate) fn grant(&mut self, ask: &SeatAsk) -> SeatDecision {
+  pub(crate) fn grant(&mut self, ask: &SlotRequest) -> SlotDecision {
     let Some(engine) = self.fleet.get(&ask.engine) else {
-      return SeatDecision::Full;
+      return SlotDecision::Full;
     };
     if !engine.is_live() || engine.role != Some(Role::Decode) {
-      return SeatDecision::Full;
+      return SlotDecision::Full;
     }
     let view = EngineView {
-      certainty: self.tuning().seat_certainty,
+      certainty: self.tuning().slot_certainty,
       link_bytes_per_s: engine.spec.link_bytes_per_s,
-      reported_seats: engine.reported_seats(),
-      seats: engine.seats(),
+      reported_slots: engine.reported_slots(),
+      slots: engine.slots(),
     };
     let book = self.books.entry(ask.engine.clone()).or_default();
     book.ask(self.now_ms, ask, view)
@@ -156,7 +156,7 @@
     } else {
       self.act(Action::Send(
         waiting,
-        PeerMessage::SeatFreed(engine.clone()),
+        PeerMessage::SlotFreed(engine.clone()),
       ));
     }
   }
@@ -169,38 +169,38 @@
   }
 
   /// Gives a seat back, to whichever box is home now.
-  pub(crate) fn return_seat(&mut self, attempt: &AttemptId, engine: &Name) {
+  pub(crate) fn return_slot(&mut self, attempt: &AttemptId, engine: &Name) {
     self.fleet.change(engine, |engine| {
-      engine.own_seats = engine.own_seats.saturating_sub(1);
+      engine.own_slots = engine.own_slots.saturating_sub(1);
       engine.forget_sent(1);
     });
-    if self.tuning().seat_mode != SeatMode::HomeGrants {
+    if self.tuning().slot_mode != SlotMode::OwnerGrants {
       return;
     }
     match self.home(engine) {
       Some(home) if home == self.identity.name => self.take_back(attempt, engine),
       Some(home) => self.act(Action::Send(
         home,
-        PeerMessage::SeatReturn(attempt.clone(), engine.clone()),
+        PeerMessage::SlotReturn(attempt.clone(), engine.clone()),
       )),
       None => {}
     }
   }
 
   /// Answers a peer's ask.
-  pub(crate) fn answer_ask(&mut self, from: Name, ask: SeatAsk) {
+  pub(crate) fn answer_ask(&mut self, from: Name, ask: SlotRequest) {
     let decision = self.grant(&ask);
     let link_wait_ms = match decision {
-      SeatDecision::Granted { link_wait_ms } => link_wait_ms,
-      SeatDecision::Full => 0,
+      SlotDecision::Granted { link_wait_ms } => link_wait_ms,
+      SlotDecision::Full => 0,
     };
-    let answer = SeatAnswer {
+    let answer = SlotResponse {
       attempt: ask.attempt,
       engine: ask.engine,
-      granted: matches!(decision, SeatDecision::Granted { .. }),
+      granted: matches!(decision, SlotDecision::Granted { .. }),
       link_wait_ms,
     };
-    self.act(Action::Send(from, PeerMessage::SeatAnswer(answer)));
+    self.act(Action::Send(from, PeerMessage::SlotResponse(answer)));
   }
 }
 
--- a/src/decide/seat_book.rs
+++ b/src/decide/slot_table.rs
@@ -1,7 +1,7 @@
-//! What a home box has granted on one decode engine: seats, and windows of its link.
+//! What a home box has granted on one decode engine: slots, and windows of its link.
 
 use {
-  super::{LinkWindows, SeatAsk},
+  super::{LinkWindows, SlotRequest},
   crate::ids::{AttemptId, Name},
   std::collections::{BTreeMap, VecDeque},
 };
@@ -20,9 +20,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct EngineView {
   /// Seats that the engine has.
-  pub seats: u32,
+  pub slots: u32,
   /// Seats taken by its last report.
-  pub reported_seats: u32,
+  pub reported_slots: u32,
   /// Rate of its link.
   pub link_bytes_per_s: u64,
   /// From 0 (count on every expected end) to 1 (count on none).
@@ -31,7 +31,7 @@
 
 /// The home's decision on one ask.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum SeatDecision {
+pub enum SlotDecision {
   /// Reserved; the transfer has to wait so long beyond the time asked for.
   Granted {
     /// The wait.
@@ -43,26 +43,26 @@
 
 /// The grants on one decode engine. A hint that saves waste; the engine itself has the last word.
 #[derive(Clone, Debug, Default)]
-pub struct SeatBook {
+pub struct SlotTable {
   grants: BTreeMap<AttemptId, Grant>,
   windows: LinkWindows,
   refused: VecDeque<Name>,
 }
 
-impl SeatBook {
+impl SlotTable {
   /// Decides on an ask. The same attempt asked twice has one grant.
-  pub fn ask(&mut self, now_ms: u64, ask: &SeatAsk, view: EngineView) -> SeatDecision {
+  pub fn ask(&mut self, now_ms: u64, ask: &SlotRequest, view: EngineView) -> SlotDecision {
     self.expire(now_ms);
     self.grants.remove(&ask.attempt);
     let ready_at_ms = now_ms + ask.ready_in_ms;
     let held = u32::try_from(self.grants.len())
       .unwrap_or(u32::MAX)
-      .max(view.reported_seats);
+      .max(view.reported_slots);
     let ending = self.ending_by(ready_at_ms);
     let counted_on = (f64::from(ending) * (1.0 - view.certainty)).floor() as u32;
-    if held >= view.seats.saturating_add(counted_on) {
+    if held >= view.slots.saturating_add(counted_on) {
       self.remember_refused(&ask.attempt.box_name);
-      return SeatDecision::Full;
+      return SlotDecision::Full;
     }
     let take_ms = ask.kv_bytes * 1_000 / view.link_bytes_per_s.max(1);
     let link_wait_ms = self.windows.take(now_ms, ready_at_ms, take_ms) - ready_at_ms;
@@ -78,7 +78,7 @@
         ready_at_ms,
       },
     );
-    SeatDecision::Granted { link_wait_ms }
+    SlotDecision::Granted { link_wait_ms }
   }
 
   /// Takes a seat back; answers which box to tell that a seat is free.
--- a/src/decide/steward.rs
+++ b/src/decide/steward.rs
@@ -15,7 +15,7 @@
   /// How long it has had that role.
   pub stayed_ms: u64,
   /// Requests it holds; the least busy turns first.
-  pub used_seats: u32,
+  pub used_slots: u32,
 }
 
 /// One change of role.
@@ -41,7 +41,7 @@
 /// ```
 /// use rillford::{decide::{next_turn, Candidate, Role, TurnBounds}, policy::RoleSplit};
 /// let engine = |name: &str, role| Candidate {
-///   engine: name.into(), role, stayed_ms: 500_000, used_seats: 0,
+///   engine: name.into(), role, stayed_ms: 500_000, used_slots: 0,
 /// };
 /// let engines = [
 ///   engine("a", Role::Prefill), engine("b", Role::Decode),
@@ -74,7 +74,7 @@
   engines
     .iter()
     .filter(|engine| engine.role == from && engine.stayed_ms >= bounds.least_stay_ms)
-    .min_by_key(|engine| (engine.used_seats, engine.engine.clone()))
+    .min_by_key(|engine| (engine.used_slots, engine.engine.clone()))
     .map(|engine| Turn {
       engine: engine.engine.clone(),
       role: to,
--- a/src/decide/timers.rs
+++ b/src/decide/timers.rs
@@ -329,7 +329,7 @@
       seats_used: 0.0,
     };
     let mut used = 0;
-    let mut seats = 0;
+    let mut slots = 0;
     for engine in self.engines_of(model) {
       if engine.role == Some(Role::Prefill) {
         facts.prefill_engines += 1;
@@ -337,11 +337,11 @@
         facts.queue_tokens += queue_ms * engine.spec.prefill_tokens_per_s / 1_000;
       } else {
         facts.decode_engines += 1;
-        used += engine.used_seats();
-        seats += engine.seats();
+        used += engine.used_slots();
+        slots += engine.slots();
       }
     }
-    facts.seats_used = f64::from(used) / f64::from(seats.max(1));
+    facts.seats_used = f64::from(used) / f64::from(slots.max(1));
     facts
   }
 
@@ -354,7 +354,7 @@
           engine: engine.spec.name.clone(),
           role: engine.role?,
           stayed_ms: now_ms.saturating_sub(engine.role_since_ms),
-          used_seats: engine.used_seats(),
+          used_slots: engine.used_slots(),
         })
       })
       .collect()
--- a/src/decide/tuning.rs
+++ b/src/decide/tuning.rs
@@ -2,16 +2,17 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Who decides on the seats of a nearly full decode engine.
+/// Who decides on the slots of a nearly full decode engine.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum SeatMode {
-  /// The engine's home box reserves seats one by one.
+pub enum SlotMode {
+  /// The engine's home box reserves slots one by one.
   #[default]
-  HomeGrants,
+  #[serde(rename = "home_grants")]
+  OwnerGrants,
   /// Each box goes by the load it last heard of.
   LaggingLoad,
-  /// Each box owns an equal share of each engine's seats.
+  /// Each box owns an equal share of each engine's slots.
   FixedShares,
 }
 
@@ -32,20 +33,22 @@
 ///
 /// ```
 /// let tuning = rillford::decide::Tuning::default();
-/// assert!(tuning.seat_certainty <= 1.0);
+/// assert!(tuning.slot_certainty <= 1.0);
 /// ```
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tuning {
-  /// Who decides on seats.
-  pub seat_mode: SeatMode,
+  /// Who decides on slots.
+  #[serde(rename = "seat_mode")]
+  pub slot_mode: SlotMode,
   /// How engines are chosen.
   pub placement: PlacementMode,
   /// Whether a seat and a link window are reserved before prefill begins.
   pub reserve_before_prefill: bool,
-  /// From 0 (count on every expected end) to 1 (only seats that are free now): the knob
+  /// From 0 (count on every expected end) to 1 (only slots that are free now): the knob
   /// between goodput and wasted prefill.
-  pub seat_certainty: f64,
+  #[serde(rename = "seat_certainty")]
+  pub slot_certainty: f64,
   /// Whether requests predicted to be late are told "not run" at once.
   pub early_refusal: bool,
   /// Retries allowed, as a share of requests.
@@ -106,8 +109,8 @@
       retry_share: 0.1,
       role_dead_band: 0.15,
       role_least_stay_ms: 120_000,
-      seat_certainty: 0.5,
-      seat_mode: SeatMode::HomeGrants,
+      slot_certainty: 0.5,
+      slot_mode: SlotMode::OwnerGrants,
       token_ms: 30,
     }
   }
--- a/src/egress/desk.rs
+++ b/src/egress/desk.rs
@@ -433,8 +433,8 @@
         leaving: reply.leaving,
         queue_tokens: reply.queue_tokens,
         role: reply.role,
-        seats: reply.seats,
-        used_seats: reply.used_seats,
+        slots: reply.seats,
+        used_slots: reply.used_seats,
       };
       office.to_decide.send(Event::LoadReported(report)).await;
       if has_cache {
--- a/src/peers/frame.rs
+++ b/src/peers/frame.rs
@@ -44,7 +44,7 @@
 /// ```
 /// use rillford::{decide::PeerMessage, observe::Stamp, peers::{decode, encode, Frame}};
 /// let frame = Frame {
-///   from: "north-1".into(), stamp: Stamp(1), message: PeerMessage::SeatFreed("d-1".into()),
+///   from: "north-1".into(), stamp: Stamp(1), message: PeerMessage::SlotFreed("d-1".into()),
 /// };
 /// assert_eq!(decode(&encode(&frame).unwrap()).unwrap(), frame);
 /// ```
--- a/src/settings/types.rs
+++ b/src/settings/types.rs
@@ -239,7 +239,7 @@
       link_bytes_per_s: self.link_bytes_per_s,
       name: self.name.clone(),
       prefill_tokens_per_s: self.prefill_tokens_per_s,
-      seats: self.seats,
+      slots: self.seats,
     }
   }
 }
--- a/tests/contracts.rs
+++ b/tests/contracts.rs
@@ -148,7 +148,7 @@
 fn frame() -> Frame {
   Frame {
     from: "north-1".into(),
-    message: PeerMessage::SeatFreed("d-1".into()),
+    message: PeerMessage::SlotFreed("d-1".into()),
     stamp: Stamp(7),
   }
 }
--- a/tests/machine.rs
+++ b/tests/machine.rs
@@ -103,7 +103,7 @@
     link_bytes_per_s: 1_000_000_000,
     name: name.into(),
     prefill_tokens_per_s: 100_000,
-    seats: 4,
+    slots: 4,
   }
 }
 
@@ -161,8 +161,8 @@
         } else {
           Role::Decode
         }),
-        seats: 4,
-        used_seats: 0,
+        slots: 4,
+        used_slots: 0,
       }));
     }
   }
