--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -16,29 +16,29 @@
   pub(super) fn arrived(&mut self, arrival: Arrival) {
     let rank = self.rank(&arrival);
     self
-      .scene
-      .note(EventKind::RequestArrived, arrival.request.0, &rank.class);
+      .context
+      .record(EventKind::RequestArrived, arrival.request.0, &rank.class);
     if let Some(ending) = self.refusal(&arrival, &rank) {
       self.refuse(arrival.request, ending);
       return;
     }
-    self.scene.budget.earn();
+    self.context.budget.earn();
     *self
       .in_progress
       .entry(arrival.organisation.clone())
       .or_default() += 1;
     let request = arrival.request;
-    let life = Life::new(arrival, rank, self.scene.now_ms);
+    let life = Life::new(arrival, rank, self.context.now_ms);
     let claim = life.needs_claim();
     let waiting = life.waiting();
     let lane = life.lane().clone();
     let mut machine = life
       .uninitialized_state_machine()
-      .init_with_context(&mut self.scene);
+      .init_with_context(&mut self.context);
     if let Some(key) = claim {
-      machine.handle_with_context(&Step::AwaitClaim, &mut self.scene);
+      machine.handle_with_context(&Step::AwaitClaim, &mut self.context);
       self
-        .scene
+        .context
         .act(Action::Claim(request, waiting.organisation.clone(), key));
     } else {
       self.lanes.entry(lane).or_default().queue.push(waiting);
@@ -47,7 +47,7 @@
   }
 
   pub(super) fn rank(&mut self, arrival: &Arrival) -> Rank {
-    let Some(policy) = self.scene.configuration.policy.clone() else {
+    let Some(policy) = self.context.configuration.policy.clone() else {
       return Rank::plain();
     };
     let (subject, kind, prompt_tokens, max_tokens) = match &arrival.work {
@@ -69,8 +69,8 @@
       }
       Err(error) => {
         self
-          .scene
-          .note(EventKind::PolicyFailed, &arrival.task, error);
+          .context
+          .record(EventKind::PolicyFailed, &arrival.task, error);
         let last = self.good_ranks.get(&arrival.task).cloned();
         last.unwrap_or_else(Rank::plain)
       }
@@ -85,11 +85,11 @@
         retry_after_ms,
       })
     };
-    if !self.scene.configured {
+    if !self.context.configured {
       return not_run(NotRunReason::NotReady, ABSENT_RETRY_MS);
     }
     let organisation = &arrival.organisation;
-    let view = &self.scene.configuration;
+    let view = &self.context.configuration;
     let limit = view
       .organisations
       .get(organisation)
@@ -102,7 +102,7 @@
     let Some(predicted_ms) = self.predicted_ms(&arrival.work, rank) else {
       return not_run(NotRunReason::NoEndpoint, ABSENT_RETRY_MS);
     };
-    if self.scene.tuning().early_refusal && predicted_ms > allowed_ms {
+    if self.context.tuning().early_refusal && predicted_ms > allowed_ms {
       let retry_after_ms = (predicted_ms - allowed_ms).max(LEAST_RETRY_MS);
       return not_run(NotRunReason::TooLate, retry_after_ms);
     }
@@ -123,8 +123,8 @@
       .get(lane)
       .map_or(0, |lane| lane.wait_ms(rank.priority));
     let serving_ms = match work {
-      Work::Model(work) => self.scene.least_first_token_ms(work)?,
-      Work::Service(work) => match self.scene.place_call(&work.service, &[]) {
+      Work::Model(work) => self.context.least_first_token_ms(work)?,
+      Work::Service(work) => match self.context.place_call(&work.service, &[]) {
         Ok(_) | Err(NoPermit::NoSlot) => 0,
         Err(NoPermit::NoEngine) => return None,
       },
@@ -141,7 +141,7 @@
     let Some(full) = self
       .lanes
       .get(lane)
-      .filter(|lane| lane.queue.len() >= self.scene.tuning().queue_limit)
+      .filter(|lane| lane.queue.len() >= self.context.tuning().queue_limit)
     else {
       return true;
     };
@@ -164,9 +164,9 @@
   pub(super) fn refuse(&mut self, request: RequestId, ending: RequestOutcome) {
     if let RequestOutcome::NotRun { reason, .. } = ending {
       self
-        .scene
-        .note(EventKind::RequestNotRun, request.0, format!("{reason:?}"));
+        .context
+        .record(EventKind::RequestNotRun, request.0, format!("{reason:?}"));
     }
-    self.scene.act(Action::Complete(request, ending));
+    self.context.act(Action::Complete(request, ending));
   }
 }
--- a/src/decide/scene.rs
+++ b/src/decide/context.rs
@@ -25,7 +25,7 @@
 }
 
 /// What all requests of a box share.
-pub struct Scene {
+pub struct Context {
   pub(crate) identity: Identity,
   pub(crate) now_ms: u64,
   pub(crate) epoch_unix_ms: u64,
@@ -44,7 +44,7 @@
   actions: Vec<Action>,
 }
 
-impl Scene {
+impl Context {
   pub(crate) fn new(identity: Identity, fleet: Fleet, epoch_unix_ms: u64, seed: u64) -> Self {
     let configuration = Arc::new(ConfigurationView::default());
     let tuning = &configuration.tuning;
@@ -76,9 +76,9 @@
     self.actions.push(action);
   }
 
-  pub(crate) fn note(&mut self, kind: EventKind, subject: impl ToString, detail: impl ToString) {
-    let note = TimelineEvent::new(kind, subject.to_string(), detail.to_string());
-    self.act(Action::Record(note));
+  pub(crate) fn record(&mut self, kind: EventKind, subject: impl ToString, detail: impl ToString) {
+    let event = TimelineEvent::new(kind, subject.to_string(), detail.to_string());
+    self.act(Action::Record(event));
   }
 
   pub(crate) fn take_actions(&mut self) -> Vec<Action> {
@@ -99,7 +99,7 @@
   pub(crate) fn cancel(&mut self, attempt: &AttemptId, endpoint: &Name) {
     let key = order_key(attempt, endpoint);
     if self.orders.cancel(self.now_ms, &key) {
-      self.note(EventKind::CancelSent, attempt, endpoint);
+      self.record(EventKind::CancelSent, attempt, endpoint);
       self.act(Action::Cancel(attempt.clone(), endpoint.clone()));
     }
   }
--- a/src/decide/life.rs
+++ b/src/decide/life.rs
@@ -2,7 +2,7 @@
 
 use {
   super::{
-    Arrival, ClaimOutcome, Endpoint, EventKind, NoPermit, NotRunReason, Placement, Rank, Scene,
+    Arrival, ClaimOutcome, Context, Endpoint, EventKind, NoPermit, NotRunReason, Placement, Rank,
     StageOutcome, Waiting, Work,
   },
   crate::ids::{AttemptId, Name},
@@ -153,11 +153,11 @@
     now_ms >= self.deadline_ms + grace_ms
   }
 
-  fn attempt_id(&self, scene: &Scene) -> AttemptId {
+  fn attempt_id(&self, context: &Context) -> AttemptId {
     AttemptId {
       attempt: self.attempt,
-      box_name: scene.identity.name.clone(),
-      incarnation: scene.identity.incarnation,
+      box_name: context.identity.name.clone(),
+      incarnation: context.identity.incarnation,
       sequence: self.arrival.request.0,
     }
   }
@@ -166,8 +166,8 @@
     attempt.attempt == self.attempt
   }
 
-  fn left_ms(&self, scene: &Scene) -> u64 {
-    self.deadline_ms.saturating_sub(scene.now_ms)
+  fn left_ms(&self, context: &Context) -> u64 {
+    self.deadline_ms.saturating_sub(context.now_ms)
   }
 
   fn claim_wanted(&self) -> Option<Name> {
@@ -180,20 +180,20 @@
 impl Life {
   /// Its claim is being written.
   #[state(superstate = "unsent")]
-  fn claiming(&mut self, context: &mut Scene, event: &Step) -> Outcome<State> {
+  fn claiming(&mut self, context: &mut Context, event: &Step) -> Outcome<State> {
     match event {
       Step::Claim(ClaimOutcome::Held) => {
         self.claimed = true;
         self.requeue = true;
-        context.note(EventKind::ClaimHeld, self.arrival.request.0, "");
+        context.record(EventKind::ClaimHeld, self.arrival.request.0, "");
         Transition(State::queued())
       }
       Step::Claim(ClaimOutcome::Taken) => {
-        context.note(EventKind::ClaimTaken, self.arrival.request.0, "");
+        context.record(EventKind::ClaimTaken, self.arrival.request.0, "");
         self.not_run(context, NotRunReason::AlreadyClaimed, 0)
       }
       Step::Claim(ClaimOutcome::Unavailable) => {
-        context.note(EventKind::ClaimUnavailable, self.arrival.request.0, "");
+        context.record(EventKind::ClaimUnavailable, self.arrival.request.0, "");
         self.not_run(context, NotRunReason::ClaimUnavailable, CLAIM_RETRY_MS)
       }
       // A claim may have been written: its settling releases or keeps it.
@@ -204,7 +204,7 @@
 
   /// Its caller left while the claim was being written.
   #[state]
-  fn claim_unwanted(&mut self, context: &mut Scene, event: &Step) -> Outcome<State> {
+  fn claim_unwanted(&mut self, context: &mut Context, event: &Step) -> Outcome<State> {
     match event {
       Step::Claim(outcome) => {
         self.claimed = *outcome == ClaimOutcome::Held;
@@ -216,7 +216,7 @@
 
   /// It waits for a place.
   #[state(superstate = "unsent")]
-  fn queued(&mut self, context: &mut Scene, event: &Step) -> Outcome<State> {
+  fn queued(&mut self, context: &mut Context, event: &Step) -> Outcome<State> {
     match event {
       Step::AwaitClaim => Transition(State::claiming()),
       Step::Requeued => {
@@ -233,7 +233,7 @@
 
   /// A home was asked for a seat.
   #[state(superstate = "unsent")]
-  fn asking(&mut self, context: &mut Scene, event: &Step) -> Outcome<State> {
+  fn asking(&mut self, context: &mut Context, event: &Step) -> Outcome<State> {
     match event {
       Step::Slot {
         attempt,
@@ -260,7 +260,7 @@
 
   /// The prompt is being read.
   #[state(superstate = "sent")]
-  fn prefilling(&mut self, context: &mut Scene, event: &Step) -> Outcome<State> {
+  fn prefilling(&mut self, context: &mut Context, event: &Step) -> Outcome<State> {
     match event {
       Step::Stage {
         attempt,
@@ -280,7 +280,7 @@
 
   /// The KV cache is on its way.
   #[state(superstate = "sent")]
-  fn transferring(&mut self, context: &mut Scene, event: &Step) -> Outcome<State> {
+  fn transferring(&mut self, context: &mut Context, event: &Step) -> Outcome<State> {
     match event {
       Step::Stage {
         attempt,
@@ -298,7 +298,7 @@
 
   /// The answer is being written.
   #[state(superstate = "sent")]
-  fn decoding(&mut self, context: &mut Scene, event: &Step) -> Outcome<State> {
+  fn decoding(&mut self, context: &mut Context, event: &Step) -> Outcome<State> {
     match event {
       Step::Stage {
         attempt,
@@ -307,7 +307,7 @@
       } if self.is_current(attempt) => {
         self.streaming = true;
         context.fleet.change(endpoint, Endpoint::succeeded);
-        context.note(EventKind::FirstChunk, attempt, "");
+        context.record(EventKind::FirstChunk, attempt, "");
         Handled
       }
       Step::Stage {
@@ -321,7 +321,7 @@
 
   /// A plain service is at work.
   #[state(superstate = "sent")]
-  fn calling(&mut self, context: &mut Scene, event: &Step) -> Outcome<State> {
+  fn calling(&mut self, context: &mut Context, event: &Step) -> Outcome<State> {
     match event {
       Step::Stage {
         attempt,
@@ -349,7 +349,7 @@
 
   /// No order has left for the present attempt.
   #[superstate]
-  fn unsent(&mut self, context: &mut Scene, event: &Step) -> Outcome<State> {
+  fn unsent(&mut self, context: &mut Context, event: &Step) -> Outcome<State> {
     match event {
       Step::CallerDisconnected => self.abandoned(context),
       Step::Refuse(reason, retry_after_ms) => self.give_up(context, *reason, *retry_after_ms),
@@ -359,7 +359,7 @@
 
   /// An order of the present attempt has left.
   #[superstate]
-  fn sent(&mut self, context: &mut Scene, event: &Step) -> Outcome<State> {
+  fn sent(&mut self, context: &mut Context, event: &Step) -> Outcome<State> {
     match event {
       Step::CallerDisconnected => self.abandoned(context),
       Step::Stage {
--- a/src/decide/life/closing.rs
+++ b/src/decide/life/closing.rs
@@ -3,7 +3,9 @@
 use {
   super::{Life, State},
   crate::{
-    decide::{Action, Began, EventKind, NotRunReason, RequestOutcome, Scene, UnknownReason, Work},
+    decide::{
+      Action, Began, Context, EventKind, NotRunReason, RequestOutcome, UnknownReason, Work,
+    },
     ids::Name,
   },
   statig::prelude::*,
@@ -14,7 +16,11 @@
 
 impl Life {
   /// Nothing began: the request waits for its turn again, and no retry is spent.
-  pub(super) fn refused_as_full(&mut self, context: &mut Scene, endpoint: &Name) -> Outcome<State> {
+  pub(super) fn refused_as_full(
+    &mut self,
+    context: &mut Context,
+    endpoint: &Name,
+  ) -> Outcome<State> {
     let until_ms = context.now_ms + context.tuning().full_pause_ms;
     context
       .fleet
@@ -27,13 +33,13 @@
   /// An order failed: try again where that is allowed, or end.
   pub(super) fn failed(
     &mut self,
-    context: &mut Scene,
+    context: &mut Context,
     endpoint: &Name,
     began: Began,
     resumable: bool,
   ) -> Outcome<State> {
     let attempt = self.attempt_id(context);
-    context.note(EventKind::OrderFailed, &attempt, endpoint);
+    context.record(EventKind::OrderFailed, &attempt, endpoint);
     self.began |= began == Began::Perhaps;
     self.leave_attempt(context);
     self.tried.push(endpoint.clone());
@@ -54,7 +60,7 @@
       return self.end_failed(context, NotRunReason::NeverBegan, doubt);
     }
     if !context.budget.take() {
-      context.note(EventKind::RetryDenied, &attempt, "");
+      context.record(EventKind::RetryDenied, &attempt, "");
       return self.end_failed(context, NotRunReason::RetryBudget, doubt);
     }
     self.requeue = true;
@@ -74,7 +80,7 @@
 
   pub(super) fn end_failed(
     &mut self,
-    context: &mut Scene,
+    context: &mut Context,
     reason: NotRunReason,
     doubt: UnknownReason,
   ) -> Outcome<State> {
@@ -87,7 +93,7 @@
   /// Ends a request that waits: "not run" if nothing ever began, else "unknown".
   pub(super) fn give_up(
     &mut self,
-    context: &mut Scene,
+    context: &mut Context,
     reason: NotRunReason,
     retry_after_ms: u64,
   ) -> Outcome<State> {
@@ -104,13 +110,13 @@
 
   pub(super) fn not_run(
     &mut self,
-    context: &mut Scene,
+    context: &mut Context,
     reason: NotRunReason,
     retry_after_ms: u64,
   ) -> Outcome<State> {
     self.release_claim(context);
     let request = self.arrival.request;
-    context.note(EventKind::RequestNotRun, request.0, format!("{reason:?}"));
+    context.record(EventKind::RequestNotRun, request.0, format!("{reason:?}"));
     context.act(Action::Complete(
       request,
       RequestOutcome::NotRun {
@@ -121,9 +127,9 @@
     Transition(State::ended())
   }
 
-  pub(super) fn unknown(&mut self, context: &mut Scene, reason: UnknownReason) -> Outcome<State> {
+  pub(super) fn unknown(&mut self, context: &mut Context, reason: UnknownReason) -> Outcome<State> {
     let request = self.arrival.request;
-    context.note(EventKind::RequestUnknown, request.0, format!("{reason:?}"));
+    context.record(EventKind::RequestUnknown, request.0, format!("{reason:?}"));
     context.act(Action::Complete(
       request,
       RequestOutcome::Unknown { reason },
@@ -131,37 +137,37 @@
     Transition(State::ended())
   }
 
-  pub(super) fn answered(&mut self, context: &mut Scene) -> Outcome<State> {
+  pub(super) fn answered(&mut self, context: &mut Context) -> Outcome<State> {
     let attempt = self.attempt_id(context);
     if let Some(placement) = &self.placement {
       context.close(&attempt, &placement.decode);
     }
     self.release_slot(context);
     let request = self.arrival.request;
-    context.note(EventKind::RequestAnswered, request.0, &attempt);
+    context.record(EventKind::RequestAnswered, request.0, &attempt);
     context.act(Action::Complete(request, RequestOutcome::Answered));
     Transition(State::ended())
   }
 
-  pub(super) fn abandoned(&mut self, context: &mut Scene) -> Outcome<State> {
+  pub(super) fn abandoned(&mut self, context: &mut Context) -> Outcome<State> {
     self.leave_attempt(context);
     if !self.began && self.attempt == 0 {
       self.release_claim(context);
     }
     let request = self.arrival.request;
-    context.note(EventKind::RequestAbandoned, request.0, "");
+    context.record(EventKind::RequestAbandoned, request.0, "");
     context.act(Action::Complete(request, RequestOutcome::Abandoned));
     Transition(State::ended())
   }
 
-  pub(super) fn release_claim(&mut self, context: &mut Scene) {
+  pub(super) fn release_claim(&mut self, context: &mut Context) {
     if !std::mem::take(&mut self.claimed) {
       return;
     }
     let Some(key) = self.arrival.idempotency_key.clone() else {
       return;
     };
-    context.note(EventKind::ClaimReleased, self.arrival.request.0, "");
+    context.record(EventKind::ClaimReleased, self.arrival.request.0, "");
     context.act(Action::ReleaseClaim(
       self.arrival.request,
       self.arrival.organisation.clone(),
@@ -170,10 +176,10 @@
   }
 
   /// Cancels all that the present attempt may hold anywhere.
-  pub(super) fn leave_attempt(&mut self, context: &mut Scene) {
+  pub(super) fn leave_attempt(&mut self, context: &mut Context) {
     let attempt = self.attempt_id(context);
     if self.read_tokens > 0 {
-      context.note(EventKind::PrefillWasted, &attempt, self.read_tokens);
+      context.record(EventKind::PrefillWasted, &attempt, self.read_tokens);
       self.read_tokens = 0;
     }
     if let Some(placement) = self.placement.clone() {
@@ -183,7 +189,7 @@
     self.release_slot(context);
   }
 
-  pub(super) fn release_slot(&mut self, context: &mut Scene) {
+  pub(super) fn release_slot(&mut self, context: &mut Context) {
     let Some(engine) = self.seat.take() else {
       return;
     };
--- a/src/decide/life/moving.rs
+++ b/src/decide/life/moving.rs
@@ -4,7 +4,7 @@
   super::{Life, State},
   crate::{
     decide::{
-      Action, BLOCK_TOKENS, Began, DecodeCommand, Endpoint, EventKind, ImportCommand, Scene, Work,
+      Action, BLOCK_TOKENS, Began, Context, DecodeCommand, Endpoint, EventKind, ImportCommand, Work,
     },
     ids::Name,
   },
@@ -17,7 +17,7 @@
 impl Life {
   pub(super) fn prefilled(
     &mut self,
-    context: &mut Scene,
+    context: &mut Context,
     endpoint: &Name,
     prompt_tokens: u64,
     cached_tokens: u64,
@@ -34,17 +34,17 @@
       context.hints.saw(context.now_ms, endpoint, &work.prefix);
       work.prompt_tokens = prompt_tokens.max(1);
     }
-    context.note(EventKind::PrefillDone, &attempt, cached_tokens);
+    context.record(EventKind::PrefillDone, &attempt, cached_tokens);
     self.order_import(context)
   }
 
-  pub(super) fn order_import(&mut self, context: &mut Scene) -> Outcome<State> {
+  pub(super) fn order_import(&mut self, context: &mut Context) -> Outcome<State> {
     let Some(placement) = self.placement.clone() else {
       return Handled;
     };
     let attempt = self.attempt_id(context);
     context.open(&attempt, &placement.decode);
-    context.note(EventKind::TransferOrdered, &attempt, &placement.decode);
+    context.record(EventKind::TransferOrdered, &attempt, &placement.decode);
     context.act(Action::Import(ImportCommand {
       attempt,
       deadline_ms: self.left_ms(context),
@@ -59,7 +59,7 @@
 
   /// The decode engine was full at the end: another in the hall, or the same a little later, while
   /// the export lasts.
-  pub(super) fn decode_full(&mut self, context: &mut Scene) -> Outcome<State> {
+  pub(super) fn decode_full(&mut self, context: &mut Context) -> Outcome<State> {
     let attempt = self.attempt_id(context);
     let Some(full) = self.placement.as_ref().map(|place| place.decode.clone()) else {
       return Handled;
@@ -83,7 +83,7 @@
     self.order_import(context)
   }
 
-  pub(super) fn move_slot(&mut self, context: &mut Scene, other: Name) {
+  pub(super) fn move_slot(&mut self, context: &mut Context, other: Name) {
     self.release_slot(context);
     let now_ms = context.now_ms;
     context.fleet.change(&other, |engine| {
@@ -96,20 +96,20 @@
     }
   }
 
-  pub(super) fn order_decode(&mut self, context: &mut Scene) -> Outcome<State> {
+  pub(super) fn order_decode(&mut self, context: &mut Context) -> Outcome<State> {
     let Some(placement) = self.placement.clone() else {
       return Handled;
     };
     let attempt = self.attempt_id(context);
     context.close(&attempt, &placement.prefill);
     self.read_tokens = 0;
-    context.note(EventKind::TransferDone, &attempt, &placement.decode);
+    context.record(EventKind::TransferDone, &attempt, &placement.decode);
     let kind = if self.offset > 0 {
       EventKind::DecodeResumed
     } else {
       EventKind::DecodeOrdered
     };
-    context.note(kind, &attempt, &placement.decode);
+    context.record(kind, &attempt, &placement.decode);
     context.act(Action::Decode(DecodeCommand {
       attempt,
       engine: placement.decode,
--- a/src/decide/life/placing.rs
+++ b/src/decide/life/placing.rs
@@ -3,14 +3,14 @@
 use {
   super::{Life, Placed, State},
   crate::decide::{
-    Action, CallCommand, EventKind, NotRunReason, PeerMessage, PrefillCommand, Scene, SlotDecision,
-    SlotMode, SlotRequest, Work,
+    Action, CallCommand, Context, EventKind, NotRunReason, PeerMessage, PrefillCommand,
+    SlotDecision, SlotMode, SlotRequest, Work,
   },
   statig::prelude::*,
 };
 
 impl Life {
-  pub(super) fn place_model(&mut self, context: &mut Scene) -> Outcome<State> {
+  pub(super) fn place_model(&mut self, context: &mut Context) -> Outcome<State> {
     let Work::Model(work) = &self.arrival.work else {
       return Handled;
     };
@@ -59,7 +59,7 @@
     }
   }
 
-  pub(super) fn place_call(&mut self, context: &mut Scene) -> Outcome<State> {
+  pub(super) fn place_call(&mut self, context: &mut Context) -> Outcome<State> {
     let service = self.lane().clone();
     let endpoint = match context.place_call(&service, &self.tried) {
       Ok(endpoint) => endpoint,
@@ -79,7 +79,7 @@
       .change(&endpoint, |service| service.note_sent(context.now_ms, 1));
     self.seat = Some(endpoint.clone());
     self.endpoint = Some(endpoint.clone());
-    context.note(EventKind::ServiceCalled, &attempt, &endpoint);
+    context.record(EventKind::ServiceCalled, &attempt, &endpoint);
     context.act(Action::Call(CallCommand {
       attempt,
       deadline_ms: self.left_ms(context),
@@ -88,14 +88,14 @@
     Transition(State::calling())
   }
 
-  pub(super) fn slot_refused(&mut self, context: &mut Scene) -> Outcome<State> {
+  pub(super) fn slot_refused(&mut self, context: &mut Context) -> Outcome<State> {
     if let Some(engine) = self.placement.as_ref().map(|place| place.decode.clone()) {
       let until_ms = context.now_ms + context.tuning().full_pause_ms;
       context
         .fleet
         .change(&engine, |engine| engine.refused_until_ms = until_ms);
       let attempt = self.attempt_id(context);
-      context.note(EventKind::SeatRefused, attempt, engine);
+      context.record(EventKind::SeatRefused, attempt, engine);
     }
     // The ask was no try at an engine.
     self.requeue = true;
@@ -103,7 +103,7 @@
   }
 
   /// The home may have granted what this box no longer waits for.
-  pub(super) fn take_ask_back(&mut self, context: &mut Scene) {
+  pub(super) fn take_ask_back(&mut self, context: &mut Context) {
     let Some(engine) = self.placement.as_ref().map(|place| place.decode.clone()) else {
       return;
     };
@@ -113,7 +113,11 @@
     }
   }
 
-  pub(super) fn order_prefill(&mut self, context: &mut Scene, link_wait_ms: u64) -> Outcome<State> {
+  pub(super) fn order_prefill(
+    &mut self,
+    context: &mut Context,
+    link_wait_ms: u64,
+  ) -> Outcome<State> {
     let Some(placement) = self.placement.clone() else {
       return Handled;
     };
@@ -130,7 +134,7 @@
       engine.note_sent(now_ms, placement.uncached_tokens);
     });
     context.open(&attempt, &placement.prefill);
-    context.note(EventKind::PrefillOrdered, &attempt, &placement.prefill);
+    context.record(EventKind::PrefillOrdered, &attempt, &placement.prefill);
     context.act(Action::Prefill(PrefillCommand {
       attempt,
       deadline_ms: self.left_ms(context),
--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -2,12 +2,12 @@
 
 use {
   super::{
-    Action, BoxEntry, CancelAnswer, ConfigurationView, EndpointKind, EndpointSpec, EndpointState,
-    EndpointStatus, Event, EventKind, Fleet, HeldAttempt, Identity, Lane, LoadReport, NoPermit,
-    NotRunReason, PeerStatus, Placed, Rank, Role, Scene, Sign, StageOutcome, StageReport, Status,
-    Step,
+    Action, BoxEntry, CancelAnswer, ConfigurationView, Context, EndpointKind, EndpointSpec,
+    EndpointState, EndpointStatus, Event, EventKind, Fleet, HeldAttempt, Identity, Lane,
+    LoadReport, NoPermit, NotRunReason, PeerStatus, Placed, Rank, Role, Sign, StageOutcome,
+    StageReport, Status, Step,
+    context::order_key,
     life::{Life, State},
-    scene::order_key,
   },
   crate::{
     ids::{AttemptId, Name, RequestId},
@@ -43,7 +43,7 @@
 /// assert!(machine.handle(0, Event::Tick).is_empty());
 /// ```
 pub struct Machine {
-  pub(super) scene: Scene,
+  pub(super) context: Context,
   pub(super) timers: super::Timers,
   pub(super) requests: BTreeMap<RequestId, InitializedStateMachine<Life>>,
   pub(super) lanes: BTreeMap<Name, Lane>,
@@ -64,14 +64,14 @@
       lanes: BTreeMap::new(),
       last_event_ms: 0,
       requests: BTreeMap::new(),
-      scene: Scene::new(setup.identity, fleet, setup.epoch_unix_ms, setup.seed),
+      context: Context::new(setup.identity, fleet, setup.epoch_unix_ms, setup.seed),
       timers: super::Timers::default(),
     }
   }
 
   /// Takes in one event and answers with what is to be done.
   pub fn handle(&mut self, now_ms: u64, event: Event) -> Vec<Action> {
-    self.scene.now_ms = now_ms;
+    self.context.now_ms = now_ms;
     self.check_clock();
     // After its claim a request waits for the next event, so that a caller who left is heard first.
     let pump = !matches!(event, Event::ClaimSettled(..));
@@ -79,7 +79,7 @@
     if pump {
       self.pump();
     }
-    self.scene.take_actions()
+    self.context.take_actions()
   }
 
   fn dispatch(&mut self, event: Event) {
@@ -93,15 +93,18 @@
       }
       Event::LoadReported(report) => self.load_reported(&report),
       Event::EndpointBackoff(endpoint, wanted_ms) => {
-        let now_ms = self.scene.now_ms;
+        let now_ms = self.context.now_ms;
         self
-          .scene
+          .context
           .fleet
           .change(&endpoint, |endpoint| endpoint.pause(now_ms, wanted_ms));
       }
       Event::PollFailed(_) | Event::HoldExtensionFailed(_) => {}
       Event::CacheReported(engine, blocks) => {
-        self.scene.hints.saw(self.scene.now_ms, &engine, &blocks);
+        self
+          .context
+          .hints
+          .saw(self.context.now_ms, &engine, &blocks);
       }
       Event::AttemptsListed(engine, held) => self.listed(&engine, held),
       Event::HoldsExtended(engine) => self.holds_extended(&engine),
@@ -117,7 +120,7 @@
 
   /// Whether the box has a configuration and is not stopping.
   pub fn is_ready(&self) -> bool {
-    self.scene.configured && !self.scene.stopping
+    self.context.configured && !self.context.stopping
   }
 
   /// The number of requests in progress.
@@ -132,19 +135,19 @@
 
   /// Orders open or being cancelled.
   pub fn open_orders(&self) -> usize {
-    self.scene.orders.len()
+    self.context.orders.len()
   }
 
   /// What an operator can see.
   pub fn status(&mut self) -> Status {
     let endpoints = self.endpoint_statuses();
-    let scene = &self.scene;
+    let context = &self.context;
     Status {
-      configuration_digest: scene.configuration.digest(),
+      configuration_digest: context.configuration.digest(),
       endpoints,
       in_progress: self.in_progress(),
-      open_orders: scene.orders.len(),
-      peers: scene
+      open_orders: context.orders.len(),
+      peers: context
         .members
         .peers()
         .map(|peer| PeerStatus {
@@ -155,16 +158,16 @@
         })
         .collect(),
       ready: self.is_ready(),
-      seats_granted: scene.books.values().map(super::SlotTable::len).sum(),
-      steward: self.timers.holds_lease(scene.now_ms),
-      stopping: scene.stopping,
+      seats_granted: context.books.values().map(super::SlotTable::len).sum(),
+      steward: self.timers.holds_lease(context.now_ms),
+      stopping: context.stopping,
       waiting: self.waiting(),
     }
   }
 
   fn endpoint_statuses(&mut self) -> Vec<EndpointStatus> {
     let names = self
-      .scene
+      .context
       .fleet
       .iter()
       .map(|endpoint| endpoint.spec.name.clone())
@@ -172,9 +175,9 @@
     names
       .into_iter()
       .filter_map(|name| {
-        let home = self.scene.home(&name);
-        let now_ms = self.scene.now_ms;
-        let endpoint = self.scene.fleet.get(&name)?;
+        let home = self.context.home(&name);
+        let now_ms = self.context.now_ms;
+        let endpoint = self.context.fleet.get(&name)?;
         Some(EndpointStatus {
           hall: endpoint.spec.hall.clone(),
           home,
@@ -199,30 +202,30 @@
 
   /// After a pause the box suspects itself before it suspects others.
   fn check_clock(&mut self) {
-    let now_ms = self.scene.now_ms;
+    let now_ms = self.context.now_ms;
     let jump_ms = now_ms.saturating_sub(self.last_event_ms);
     let started = self.last_event_ms > 0;
     self.last_event_ms = now_ms;
-    if !started || jump_ms < self.scene.tuning().clock_jump_ms {
+    if !started || jump_ms < self.context.tuning().clock_jump_ms {
       return;
     }
-    self.scene.note(EventKind::ClockJumped, jump_ms, "");
-    self.scene.members.forgive(now_ms);
+    self.context.record(EventKind::ClockJumped, jump_ms, "");
+    self.context.members.forgive(now_ms);
     self.timers.drop_lease();
     self.give_up_lost_holds();
   }
 
   pub(super) fn clock(&self) -> Clock {
     Clock::at(
-      self.scene.epoch_unix_ms + self.scene.now_ms,
-      self.scene.configuration.utc_offset_minutes,
+      self.context.epoch_unix_ms + self.context.now_ms,
+      self.context.configuration.utc_offset_minutes,
     )
   }
 
   fn stage(&mut self, report: StageReport) {
     let request = report.attempt.request();
     if matches!(report.outcome, StageOutcome::Finished { .. }) {
-      self.scene.close(&report.attempt, &report.endpoint);
+      self.context.close(&report.attempt, &report.endpoint);
     }
     self.step(
       request,
@@ -240,7 +243,7 @@
       return;
     };
     let was_queued = *machine.state() == State::Queued {};
-    machine.handle_with_context(step, &mut self.scene);
+    machine.handle_with_context(step, &mut self.context);
     let is_queued = *machine.state() == State::Queued {};
     let ended = *machine.state() == State::Ended {};
     let life = machine.inner();
@@ -256,7 +259,7 @@
         .remove(waiting.priority, &waiting.organisation, request);
     }
     if requeue && is_queued {
-      machine.handle_with_context(&Step::Requeued, &mut self.scene);
+      machine.handle_with_context(&Step::Requeued, &mut self.context);
       self
         .lanes
         .entry(lane)
@@ -281,7 +284,7 @@
       .requests
       .get(&attempt.request())
       .is_some_and(|machine| *machine.state() == State::Asking {})
-      && attempt.incarnation == self.scene.identity.incarnation
+      && attempt.incarnation == self.context.identity.incarnation
   }
 
   /// Places as many waiting requests as there is room for.
@@ -315,13 +318,13 @@
       }
       return true;
     };
-    machine.handle_with_context(&Step::Place, &mut self.scene);
+    machine.handle_with_context(&Step::Place, &mut self.context);
     if let Placed::Waits(no_permit) = machine.inner().placed {
       return no_permit == NoPermit::NoEngine && self.end_without_engine(request);
     }
     if let Some(lane) = self.lanes.get_mut(lane_name) {
       lane.queue.pop();
-      lane.started(self.scene.now_ms);
+      lane.started(self.context.now_ms);
     }
     // The state has moved already: only its consequences are left.
     self.step(request, &Step::Tick);
@@ -338,8 +341,8 @@
 
   fn cancel_settled(&mut self, attempt: &AttemptId, endpoint: &Name, answer: CancelAnswer) {
     let key = order_key(attempt, endpoint);
-    if self.scene.orders.settled(&key, answer) {
-      self.scene.note(
+    if self.context.orders.settled(&key, answer) {
+      self.context.record(
         EventKind::CancelSettled,
         attempt,
         format!("{endpoint} {answer:?}"),
@@ -349,26 +352,26 @@
 
   fn load_reported(&mut self, report: &LoadReport) {
     let before = self
-      .scene
+      .context
       .fleet
       .get(&report.endpoint)
       .map(|known| known.incarnation);
     if before.is_some_and(|before| before > 0 && report.incarnation > before) {
-      self.scene.orders.forget_endpoint(&report.endpoint);
-      self.scene.books.remove(&report.endpoint);
-      self.scene.note(
+      self.context.orders.forget_endpoint(&report.endpoint);
+      self.context.books.remove(&report.endpoint);
+      self.context.record(
         EventKind::EndpointReturned,
         &report.endpoint,
         report.incarnation,
       );
     }
-    if self.scene.fleet.report(self.scene.now_ms, report) {
-      self.note_endpoint(&report.endpoint);
+    if self.context.fleet.report(self.context.now_ms, report) {
+      self.record_endpoint_state(&report.endpoint);
     }
   }
 
-  pub(super) fn note_endpoint(&mut self, name: &Name) {
-    let Some(endpoint) = self.scene.fleet.get(name) else {
+  pub(super) fn record_endpoint_state(&mut self, name: &Name) {
+    let Some(endpoint) = self.context.fleet.get(name) else {
       return;
     };
     let kind = if endpoint.is_live() {
@@ -378,7 +381,7 @@
     } else {
       EventKind::EndpointSuspect
     };
-    self.scene.note(kind, name, "");
+    self.context.record(kind, name, "");
   }
 
   /// As home of an engine: cancels what nobody holds on to any more.
@@ -389,25 +392,27 @@
       }
       let attempt = held.attempt;
       let key = order_key(&attempt, engine);
-      if self.scene.orders.is_open(&key) {
+      if self.context.orders.is_open(&key) {
         continue;
       }
-      self.scene.note(EventKind::OrphanSwept, &attempt, engine);
-      self.scene.open(&attempt, engine);
-      self.scene.cancel(&attempt, engine);
+      self
+        .context
+        .record(EventKind::OrphanSwept, &attempt, engine);
+      self.context.open(&attempt, engine);
+      self.context.cancel(&attempt, engine);
     }
   }
 
   fn is_orphan(&self, engine: &Name, held: &HeldAttempt) -> bool {
     let owner = &held.attempt.box_name;
-    let identity = &self.scene.identity;
+    let identity = &self.context.identity;
     if *owner == identity.name {
       let key = order_key(&held.attempt, engine);
       let ours = held.attempt.incarnation == identity.incarnation;
-      return !ours || held.hold_left_ms <= 0 && !self.scene.orders.is_open(&key);
+      return !ours || held.hold_left_ms <= 0 && !self.context.orders.is_open(&key);
     }
     let replaced = self
-      .scene
+      .context
       .members
       .peer(owner)
       .is_some_and(|peer| peer.incarnation > held.attempt.incarnation);
@@ -415,35 +420,35 @@
   }
 
   fn boxes(&mut self, entries: &[BoxEntry]) {
-    self.scene.members.list(self.scene.now_ms, entries);
-    self.scene.forget_homes();
+    self.context.members.list(self.context.now_ms, entries);
+    self.context.forget_homes();
   }
 
   fn configured(&mut self, view: Arc<ConfigurationView>) {
     self
-      .scene
+      .context
       .budget
       .set(view.tuning.retry_share, view.tuning.retry_burst);
-    let first = !self.scene.configured;
-    self.scene.configuration = view;
-    self.scene.configured = true;
-    let digest = self.scene.configuration.digest();
-    self.scene.note(
+    let first = !self.context.configured;
+    self.context.configuration = view;
+    self.context.configured = true;
+    let digest = self.context.configuration.digest();
+    self.context.record(
       EventKind::ConfigurationApplied,
       format!("{digest:016x}"),
       "",
     );
     if first {
       self
-        .scene
-        .note(EventKind::BoxReady, self.scene.identity.name.clone(), "");
+        .context
+        .record(EventKind::BoxReady, self.context.identity.name.clone(), "");
     }
   }
 
   fn drain(&mut self, name: &Name, leaving: bool) {
     let sign = if leaving {
       let incarnation = self
-        .scene
+        .context
         .fleet
         .get(name)
         .map_or(0, |known| known.incarnation);
@@ -451,24 +456,24 @@
     } else {
       Sign::Undrained
     };
-    if self.scene.fleet.sign(name, &sign) {
-      self.note_endpoint(name);
+    if self.context.fleet.sign(name, &sign) {
+      self.record_endpoint_state(name);
       self.timers.hurry();
     }
   }
 
   fn stop(&mut self) {
-    self.scene.stopping = true;
-    self.scene.forget_homes();
+    self.context.stopping = true;
+    self.context.forget_homes();
     self.timers.hurry();
     self
-      .scene
-      .note(EventKind::StopBegan, self.scene.identity.name.clone(), "");
+      .context
+      .record(EventKind::StopBegan, self.context.identity.name.clone(), "");
   }
 
   /// Tells "not run" to those that can't be served in time any more, and passes time on to asks.
   pub(super) fn expire_requests(&mut self) {
-    let now_ms = self.scene.now_ms;
+    let now_ms = self.context.now_ms;
     if now_ms < self.expired_ms + EXPIRY_PERIOD_MS {
       return;
     }
@@ -504,8 +509,8 @@
 
   /// Engines of this box's hall that serve a model.
   pub(super) fn engines_of(&self, model: &Name) -> impl Iterator<Item = &super::Endpoint> {
-    self.scene.fleet.iter().filter(move |endpoint| {
-      endpoint.spec.hall == self.scene.identity.hall
+    self.context.fleet.iter().filter(move |endpoint| {
+      endpoint.spec.hall == self.context.identity.hall
         && endpoint.is_live()
         && matches!(&endpoint.spec.kind, EndpointKind::Engine { models, .. } if models.contains(model))
         && matches!(endpoint.role, Some(Role::Prefill | Role::Decode))
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -8,6 +8,7 @@
 mod admission;
 mod arrival;
 mod configuration_view;
+mod context;
 mod ending;
 mod endpoint;
 mod event;
@@ -18,7 +19,6 @@
 mod link_windows;
 mod machine;
 mod membership;
-mod note;
 mod orders;
 mod peer_handling;
 mod peer_message;
@@ -26,10 +26,10 @@
 mod prefix_hints;
 mod rank;
 mod retry_budget;
-mod scene;
 mod slot_table;
 mod status;
 mod steward;
+mod timeline_event;
 mod timers;
 mod tuning;
 
@@ -41,6 +41,7 @@
   },
   arrival::{Arrival, ModelWork, ServiceWork, Work},
   configuration_view::{ConfigurationView, OrganisationLimits},
+  context::{Context, Identity},
   ending::{NotRunReason, RequestOutcome, UnknownReason},
   endpoint::{Endpoint, EndpointKind, EndpointLife, EndpointSpec, Sign},
   event::{
@@ -54,7 +55,6 @@
   link_windows::LinkWindows,
   machine::{Machine, Setup},
   membership::{FULL_MESH_BOXES, Membership, Peer, rendezvous_order},
-  note::{EventKind, TimelineEvent},
   orders::{OrderKey, Orders},
   peer_message::{
     Document, DocumentRevision, Heartbeat, LeavingEndpoint, PeerMessage, SlotRequest, SlotResponse,
@@ -63,9 +63,9 @@
   prefix_hints::{BLOCK_TOKENS, PrefixHints},
   rank::Rank,
   retry_budget::RetryBudget,
-  scene::{Identity, Scene},
   slot_table::{EngineView, SlotDecision, SlotTable},
   status::{EndpointState, EndpointStatus, PeerStatus, Status},
   steward::{Candidate, Turn, TurnBounds, next_turn},
+  timeline_event::{EventKind, TimelineEvent},
   tuning::{PlacementMode, SlotMode, Tuning},
 };
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -1,7 +1,7 @@
 //! Choosing engines by predicted time to the first token, or by one of the ways it is measured against.
 
 use {
-  super::{Endpoint, ModelWork, PlacementMode, PoolKey, Role, Scene, SlotMode},
+  super::{Context, Endpoint, ModelWork, PlacementMode, PoolKey, Role, SlotMode},
   crate::ids::Name,
   rand::RngExt,
 };
@@ -41,7 +41,7 @@
   uncached_tokens: u64,
 }
 
-impl Scene {
+impl Context {
   /// Chooses a prefill and a decode engine for a completion; engines that failed it are the last
   /// resort.
   pub(crate) fn place(&mut self, work: &ModelWork, tried: &[Name]) -> Result<Placement, NoPermit> {
--- a/src/decide/note.rs
+++ b/src/decide/timeline_event.rs
@@ -5,7 +5,7 @@
   std::sync::Arc,
 };
 
-macro_rules! notes {
+macro_rules! event_kinds {
   ($($(#[$meta:meta])* $name:ident = $number:literal, $text:literal;)*) => {
     /// The kinds of event.
     #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
@@ -28,7 +28,7 @@
   };
 }
 
-notes! {
+event_kinds! {
   BoxStarted = 100, "box started";
   BoxReady = 101, "box has a configuration and takes requests";
   StopBegan = 102, "planned stop began";
@@ -92,8 +92,8 @@
   ///
   /// ```
   /// use rillford::decide::{TimelineEvent, EventKind};
-  /// let note = TimelineEvent::new(EventKind::PeerLost, "north-2", "");
-  /// assert_eq!(note.kind.number(), 411);
+  /// let event = TimelineEvent::new(EventKind::PeerLost, "north-2", "");
+  /// assert_eq!(event.kind.number(), 411);
   /// ```
   pub fn new(kind: EventKind, subject: impl Into<Arc<str>>, detail: impl Into<Arc<str>>) -> Self {
     Self {
--- a/src/decide/timers.rs
+++ b/src/decide/timers.rs
@@ -66,7 +66,7 @@
 
 impl Machine {
   pub(super) fn tick(&mut self) {
-    let now_ms = self.scene.now_ms;
+    let now_ms = self.context.now_ms;
     self.expire_requests();
     self.send_cancels();
     if due(&mut self.timers.scan_ms, now_ms, SCAN_PERIOD_MS) {
@@ -75,21 +75,21 @@
     if due(
       &mut self.timers.poll_ms,
       now_ms,
-      self.scene.tuning().poll_ms,
+      self.context.tuning().poll_ms,
     ) {
       self.poll_loads();
     }
     if due(
       &mut self.timers.heartbeat_ms,
       now_ms,
-      self.scene.tuning().heartbeat_ms,
+      self.context.tuning().heartbeat_ms,
     ) {
       self.send_heartbeats();
     }
     if due(&mut self.timers.sweep_ms, now_ms, SWEEP_PERIOD_MS) {
       self.list_attempts();
     }
-    let extension_ms = self.scene.tuning().hold_ms / HOLD_EXTENSIONS;
+    let extension_ms = self.context.tuning().hold_ms / HOLD_EXTENSIONS;
     if due(&mut self.timers.holds_ms, now_ms, extension_ms) {
       self.give_up_lost_holds();
       self.extend_holds();
@@ -102,16 +102,16 @@
   }
 
   fn send_cancels(&mut self) {
-    for key in self.scene.orders.due(self.scene.now_ms) {
-      self.scene.act(Action::Cancel(key.attempt, key.endpoint));
+    for key in self.context.orders.due(self.context.now_ms) {
+      self.context.act(Action::Cancel(key.attempt, key.endpoint));
     }
   }
 
   fn scan_silence(&mut self) {
-    let now_ms = self.scene.now_ms;
-    let silence_ms = self.scene.tuning().endpoint_silence_ms;
+    let now_ms = self.context.now_ms;
+    let silence_ms = self.context.tuning().endpoint_silence_ms;
     let silent = self
-      .scene
+      .context
       .fleet
       .iter()
       .filter(|endpoint| {
@@ -120,27 +120,29 @@
       .map(|endpoint| endpoint.spec.name.clone())
       .collect::<Vec<_>>();
     for name in silent {
-      self.scene.fleet.sign(&name, &Sign::Silent);
-      self.note_endpoint(&name);
+      self.context.fleet.sign(&name, &Sign::Silent);
+      self.record_endpoint_state(&name);
     }
     let lost = self
-      .scene
+      .context
       .members
-      .expire(now_ms, self.scene.tuning().peer_silence_ms);
+      .expire(now_ms, self.context.tuning().peer_silence_ms);
     for peer in lost {
-      self.scene.forget_homes();
-      for book in self.scene.books.values_mut() {
+      self.context.forget_homes();
+      for book in self.context.books.values_mut() {
         book.drop_box(&peer.entry.name, peer.incarnation);
       }
-      self.scene.note(EventKind::PeerLost, peer.entry.name, "");
+      self
+        .context
+        .record(EventKind::PeerLost, peer.entry.name, "");
     }
   }
 
   /// The endpoints that this box is home of.
   fn homes_held(&mut self) -> Vec<Name> {
-    let hall = self.scene.identity.hall.clone();
+    let hall = self.context.identity.hall.clone();
     let names = self
-      .scene
+      .context
       .fleet
       .iter()
       .filter(|endpoint| endpoint.spec.hall == hall)
@@ -148,16 +150,16 @@
       .collect::<Vec<_>>();
     names
       .into_iter()
-      .filter(|name| self.scene.is_home(name))
+      .filter(|name| self.context.is_home(name))
       .collect()
   }
 
   fn poll_loads(&mut self) {
     let held = self.homes_held();
     let kept = held.iter().cloned().collect::<BTreeSet<_>>();
-    self.scene.books.retain(|engine, _| kept.contains(engine));
+    self.context.books.retain(|engine, _| kept.contains(engine));
     for endpoint in &held {
-      self.scene.act(Action::PollLoad(endpoint.clone()));
+      self.context.act(Action::PollLoad(endpoint.clone()));
     }
     self.timers.homes = held;
   }
@@ -166,7 +168,7 @@
   /// only each fourth, and in large halls without loads: a box's share of the network does not grow
   /// with the fleet.
   fn send_heartbeats(&mut self) {
-    let now_ms = self.scene.now_ms;
+    let now_ms = self.context.now_ms;
     self.timers.beats += 1;
     let is_full_beat = self.timers.beats.is_multiple_of(FULL_BEAT);
     let held = if is_full_beat || self.timers.homes.len() <= FEW_LOADS {
@@ -176,51 +178,51 @@
     };
     let loads = held
       .iter()
-      .filter_map(|name| self.scene.fleet.get(name))
+      .filter_map(|name| self.context.fleet.get(name))
       .filter(|endpoint| endpoint.is_live() || endpoint.is_leaving())
       .map(|endpoint| endpoint.relay(now_ms))
       .collect::<Vec<_>>();
     let heartbeat = Heartbeat {
-      configuration_digest: self.scene.configuration.digest(),
-      incarnation: self.scene.identity.incarnation,
-      latest_revision: self.scene.configuration.latest_revision(),
-      leaving: self.scene.stopping,
-      leaving_endpoints: self.scene.fleet.leaving(),
+      configuration_digest: self.context.configuration.digest(),
+      incarnation: self.context.identity.incarnation,
+      latest_revision: self.context.configuration.latest_revision(),
+      leaving: self.context.stopping,
+      leaving_endpoints: self.context.fleet.leaving(),
       loads,
     };
-    for peer in self.scene.members.hall_neighbours() {
+    for peer in self.context.members.hall_neighbours() {
       let message = PeerMessage::Heartbeat(heartbeat.clone());
-      self.scene.act(Action::Send(peer, message));
+      self.context.act(Action::Send(peer, message));
     }
     if !is_full_beat {
       return;
     }
     let mut heartbeat = heartbeat;
-    if !self.scene.members.is_full_mesh() {
+    if !self.context.members.is_full_mesh() {
       heartbeat.loads.clear();
     }
-    for peer in self.scene.members.far_neighbours() {
+    for peer in self.context.members.far_neighbours() {
       let message = PeerMessage::Heartbeat(heartbeat.clone());
-      self.scene.act(Action::Send(peer, message));
+      self.context.act(Action::Send(peer, message));
     }
   }
 
   fn list_attempts(&mut self) {
     for name in self.timers.homes.clone() {
       let is_engine = self
-        .scene
+        .context
         .fleet
         .get(&name)
         .is_some_and(|endpoint| matches!(endpoint.spec.kind, EndpointKind::Engine { .. }));
       if is_engine {
-        self.scene.act(Action::ListAttempts(name));
+        self.context.act(Action::ListAttempts(name));
       }
     }
   }
 
   fn extend_holds(&mut self) {
-    let now_ms = self.scene.now_ms;
-    let held = self.scene.orders.held();
+    let now_ms = self.context.now_ms;
+    let held = self.context.orders.held();
     self
       .timers
       .held_since_ms
@@ -231,18 +233,18 @@
         .held_since_ms
         .entry(engine.clone())
         .or_insert(now_ms);
-      self.scene.act(Action::ExtendHolds(HoldCommand {
+      self.context.act(Action::ExtendHolds(HoldCommand {
         attempts,
         engine,
-        hold_ms: self.scene.tuning().hold_ms,
+        hold_ms: self.context.tuning().hold_ms,
       }));
     }
   }
 
   /// A box that could not extend its holds for half their time treats its attempts as lost first.
   pub(super) fn give_up_lost_holds(&mut self) {
-    let now_ms = self.scene.now_ms;
-    let bound_ms = self.scene.tuning().hold_ms / 2;
+    let now_ms = self.context.now_ms;
+    let bound_ms = self.context.tuning().hold_ms / 2;
     let lost = self
       .timers
       .held_since_ms
@@ -250,18 +252,20 @@
       .filter(|(_, since_ms)| now_ms.saturating_sub(**since_ms) > bound_ms)
       .map(|(engine, _)| engine.clone())
       .collect::<Vec<_>>();
-    let mut held = self.scene.orders.held();
+    let mut held = self.context.orders.held();
     for engine in lost {
       self.timers.held_since_ms.insert(engine.clone(), now_ms);
       for attempt in held.remove(&engine).unwrap_or_default() {
-        self.scene.note(EventKind::HoldLost, &attempt, &engine);
-        self.scene.act(Action::AbortStream(attempt, engine.clone()));
+        self.context.record(EventKind::HoldLost, &attempt, &engine);
+        self
+          .context
+          .act(Action::AbortStream(attempt, engine.clone()));
       }
     }
   }
 
   pub(super) fn holds_extended(&mut self, engine: &Name) {
-    let now_ms = self.scene.now_ms;
+    let now_ms = self.context.now_ms;
     if let Some(since_ms) = self.timers.held_since_ms.get_mut(engine) {
       *since_ms = now_ms;
     }
@@ -269,7 +273,7 @@
 
   /// As steward of the hall: orders at most one engine of each model to change its role.
   fn order_roles(&mut self) {
-    let Some(policy) = self.scene.configuration.policy.clone() else {
+    let Some(policy) = self.context.configuration.policy.clone() else {
       return;
     };
     let models = self.models();
@@ -280,25 +284,25 @@
     let splits = match policy.shift(self.clock(), &pools) {
       Ok(splits) => splits,
       Err(error) => {
-        self.scene.note(EventKind::PolicyFailed, "shift", error);
+        self.context.record(EventKind::PolicyFailed, "shift", error);
         return;
       }
     };
     let bounds = TurnBounds {
-      dead_band: self.scene.tuning().role_dead_band,
-      least_stay_ms: self.scene.tuning().role_least_stay_ms,
+      dead_band: self.context.tuning().role_dead_band,
+      least_stay_ms: self.context.tuning().role_least_stay_ms,
     };
     for split in splits {
       let candidates = self.candidates(&split.model);
       let Some(turn) = next_turn(&candidates, &split, bounds) else {
         continue;
       };
-      self.scene.note(
+      self.context.record(
         EventKind::RoleOrdered,
         &turn.engine,
         format!("{:?}", turn.role),
       );
-      self.scene.act(Action::SetRole(RoleCommand {
+      self.context.act(Action::SetRole(RoleCommand {
         engine: turn.engine,
         fence: self.timers.fence,
         role: turn.role,
@@ -309,9 +313,9 @@
 
   fn models(&self) -> Vec<Name> {
     let mut models = BTreeSet::new();
-    for endpoint in self.scene.fleet.iter() {
+    for endpoint in self.context.fleet.iter() {
       if let EndpointKind::Engine { models: served, .. } = &endpoint.spec.kind
-        && endpoint.spec.hall == self.scene.identity.hall
+        && endpoint.spec.hall == self.context.identity.hall
       {
         models.extend(served.iter().cloned());
       }
@@ -320,7 +324,7 @@
   }
 
   fn pool_facts(&self, model: &Name) -> PoolStats {
-    let now_ms = self.scene.now_ms;
+    let now_ms = self.context.now_ms;
     let mut facts = PoolStats {
       decode_engines: 0,
       model: model.clone(),
@@ -346,7 +350,7 @@
   }
 
   fn candidates(&self, model: &Name) -> Vec<Candidate> {
-    let now_ms = self.scene.now_ms;
+    let now_ms = self.context.now_ms;
     self
       .engines_of(model)
       .filter_map(|engine| {
