--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -9,7 +9,6 @@
 mod arrival;
 mod configuration_view;
 mod context;
-mod ending;
 mod endpoint;
 mod event;
 mod fair_queue;
@@ -25,6 +24,7 @@
 mod placement;
 mod prefix_hints;
 mod rank;
+mod request_outcome;
 mod retry_budget;
 mod slot_table;
 mod status;
@@ -42,7 +42,6 @@
   arrival::{Arrival, ModelWork, ServiceWork, Work},
   configuration_view::{ConfigurationView, OrganisationLimits},
   context::{Context, Identity},
-  ending::{NotRunReason, RequestOutcome, UnknownReason},
   endpoint::{Endpoint, EndpointKind, EndpointLife, EndpointSpec, Sign},
   event::{
     Began, BoxEntry, CancelAnswer, ClaimOutcome, Event, HeldAttempt, LoadReport, Role,
@@ -62,6 +61,7 @@
   placement::{NoPermit, Placement},
   prefix_hints::{BLOCK_TOKENS, PrefixHints},
   rank::Rank,
+  request_outcome::{NotRunReason, RequestOutcome, UnknownReason},
   retry_budget::RetryBudget,
   slot_table::{EngineView, SlotDecision, SlotTable},
   status::{EndpointState, EndpointStatus, PeerStatus, Status},
