--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -2,8 +2,8 @@
 
 use {
   super::{
-    Action, Arrival, EventKind, Life, Machine, NoPermit, NotRunReason, Rank, RequestOutcome, Step,
-    Work, machine::ABSENT_RETRY_MS,
+    Action, Arrival, EventKind, Machine, NoPermit, NotRunReason, Rank, RequestEvent,
+    RequestMachine, RequestOutcome, Work, machine::ABSENT_RETRY_MS,
   },
   crate::{ids::RequestId, policy::RequestAttributes},
   statig::prelude::*,
@@ -28,15 +28,15 @@
       .entry(arrival.organisation.clone())
       .or_default() += 1;
     let request = arrival.request;
-    let life = Life::new(arrival, rank, self.context.now_ms);
-    let claim = life.needs_claim();
-    let waiting = life.waiting();
-    let lane = life.lane().clone();
-    let mut machine = life
+    let request_machine = RequestMachine::new(arrival, rank, self.context.now_ms);
+    let claim = request_machine.needs_claim();
+    let waiting = request_machine.waiting();
+    let lane = request_machine.lane().clone();
+    let mut machine = request_machine
       .uninitialized_state_machine()
       .init_with_context(&mut self.context);
     if let Some(key) = claim {
-      machine.handle_with_context(&Step::AwaitClaim, &mut self.context);
+      machine.handle_with_context(&RequestEvent::AwaitClaim, &mut self.context);
       self
         .context
         .act(Action::Claim(request, waiting.organisation.clone(), key));
@@ -154,9 +154,9 @@
       return false;
     }
     let retry_after_ms = full.wait_ms(least.priority).max(ABSENT_RETRY_MS);
-    self.step(
+    self.advance_request(
       least.request,
-      &Step::Refuse(NotRunReason::Shed, retry_after_ms),
+      &RequestEvent::Refuse(NotRunReason::Shed, retry_after_ms),
     );
     true
   }
--- a/src/decide/endpoint.rs
+++ b/src/decide/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint: what settings say of it, what it reported, and its life.
+//! One endpoint: what settings say of it, what it reported, and its request_machine.
 
 use {
   super::{LoadReport, Role},
@@ -52,7 +52,7 @@
   pub link_bytes_per_s: u64,
 }
 
-/// What moves an endpoint through its life.
+/// What moves an endpoint through its request_machine.
 #[derive(Clone, Debug)]
 pub enum Sign {
   /// It reported.
@@ -70,7 +70,7 @@
   Undrained,
 }
 
-/// The life of an endpoint: unseen, live, suspect, leaving.
+/// The request_machine of an endpoint: unseen, live, suspect, leaving.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointLife {
   incarnation: u64,
@@ -170,7 +170,7 @@
   pub failures_in_a_row: u32,
   /// Own attempts that hold a seat here.
   pub own_slots: u32,
-  life: InitializedStateMachine<EndpointLife>,
+  request_machine: InitializedStateMachine<EndpointLife>,
   report: LoadReport,
   sent: VecDeque<Sent>,
 }
@@ -196,7 +196,7 @@
       failures_in_a_row: 0,
       heard_ms: 0,
       incarnation: 0,
-      life: EndpointLife::default().uninitialized_state_machine().init(),
+      request_machine: EndpointLife::default().uninitialized_state_machine().init(),
       own_slots: 0,
       paused_until_ms: 0,
       refused_until_ms: 0,
@@ -229,16 +229,16 @@
     self.shunned_until_ms = 0;
   }
 
-  /// Moves the endpoint through its life; true when its state changed.
+  /// Moves the endpoint through its request_machine; true when its state changed.
   pub(crate) fn sign(&mut self, sign: &Sign) -> bool {
-    let before = self.life.state().clone();
-    self.life.handle(sign);
-    before != *self.life.state()
+    let before = self.request_machine.state().clone();
+    self.request_machine.handle(sign);
+    before != *self.request_machine.state()
   }
 
   /// Whether it may get new work.
   pub fn is_live(&self) -> bool {
-    *self.life.state() == State::Live {}
+    *self.request_machine.state() == State::Live {}
   }
 
   /// Whether it can be asked for anything now.
@@ -252,12 +252,12 @@
 
   /// Whether it is leaving.
   pub fn is_leaving(&self) -> bool {
-    *self.life.state() == State::Leaving {}
+    *self.request_machine.state() == State::Leaving {}
   }
 
   /// Whether nothing was ever heard of it.
   pub fn is_unseen(&self) -> bool {
-    *self.life.state() == State::Unseen {}
+    *self.request_machine.state() == State::Unseen {}
   }
 
   /// Takes in a report; one older than the last is dropped.
--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -72,7 +72,7 @@
     Some(changed)
   }
 
-  /// Moves an endpoint through its life; true when its state changed.
+  /// Moves an endpoint through its request_machine; true when its state changed.
   pub(crate) fn sign(&mut self, name: &Name, sign: &Sign) -> bool {
     self
       .change(name, |endpoint| endpoint.sign(sign))
--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -4,10 +4,10 @@
   super::{
     Action, BoxEntry, CancelAnswer, ConfigurationView, Context, EndpointKind, EndpointSpec,
     EndpointState, EndpointStatus, Event, EventKind, Fleet, HeldAttempt, Identity, Lane,
-    LoadReport, NoPermit, NotRunReason, PeerStatus, Placed, Rank, Role, Sign, StageOutcome,
-    StageReport, Status, Step,
+    LoadReport, NoPermit, NotRunReason, PeerStatus, Placed, Rank, RequestEvent, Role, Sign,
+    StageOutcome, StageReport, Status,
     context::order_key,
-    life::{Life, State},
+    request_machine::{RequestMachine, State},
   },
   crate::{
     ids::{AttemptId, Name, RequestId},
@@ -45,7 +45,7 @@
 pub struct Machine {
   pub(super) context: Context,
   pub(super) timers: super::Timers,
-  pub(super) requests: BTreeMap<RequestId, InitializedStateMachine<Life>>,
+  pub(super) requests: BTreeMap<RequestId, InitializedStateMachine<RequestMachine>>,
   pub(super) lanes: BTreeMap<Name, Lane>,
   pub(super) in_progress: BTreeMap<Name, usize>,
   pub(super) good_ranks: BTreeMap<Name, Rank>,
@@ -85,8 +85,12 @@
   fn dispatch(&mut self, event: Event) {
     match event {
       Event::Arrived(arrival) => self.arrived(arrival),
-      Event::CallerDisconnected(request) => self.step(request, &Step::CallerDisconnected),
-      Event::ClaimSettled(request, outcome) => self.step(request, &Step::Claim(outcome)),
+      Event::CallerDisconnected(request) => {
+        self.advance_request(request, &RequestEvent::CallerDisconnected)
+      }
+      Event::ClaimSettled(request, outcome) => {
+        self.advance_request(request, &RequestEvent::Claim(outcome))
+      }
       Event::Stage(report) => self.stage(report),
       Event::CancelSettled(attempt, endpoint, answer) => {
         self.cancel_settled(&attempt, &endpoint, answer);
@@ -227,9 +231,9 @@
     if matches!(report.outcome, StageOutcome::Finished { .. }) {
       self.context.close(&report.attempt, &report.endpoint);
     }
-    self.step(
+    self.advance_request(
       request,
-      &Step::Stage {
+      &RequestEvent::Stage {
         attempt: report.attempt,
         endpoint: report.endpoint,
         outcome: report.outcome,
@@ -238,7 +242,7 @@
   }
 
   /// Moves one request, and puts it where its new state belongs.
-  pub(super) fn step(&mut self, request: RequestId, step: &Step) {
+  pub(super) fn advance_request(&mut self, request: RequestId, step: &RequestEvent) {
     let Some(machine) = self.requests.get_mut(&request) else {
       return;
     };
@@ -246,10 +250,10 @@
     machine.handle_with_context(step, &mut self.context);
     let is_queued = *machine.state() == State::Queued {};
     let ended = *machine.state() == State::Ended {};
-    let life = machine.inner();
-    let waiting = life.waiting();
-    let lane = life.lane().clone();
-    let requeue = life.requeue;
+    let request_machine = machine.inner();
+    let waiting = request_machine.waiting();
+    let lane = request_machine.lane().clone();
+    let requeue = request_machine.requeue;
     if was_queued
       && !is_queued
       && let Some(lane) = self.lanes.get_mut(&lane)
@@ -259,7 +263,7 @@
         .remove(waiting.priority, &waiting.organisation, request);
     }
     if requeue && is_queued {
-      machine.handle_with_context(&Step::Requeued, &mut self.context);
+      machine.handle_with_context(&RequestEvent::Requeued, &mut self.context);
       self
         .lanes
         .entry(lane)
@@ -318,7 +322,7 @@
       }
       return true;
     };
-    machine.handle_with_context(&Step::Place, &mut self.context);
+    machine.handle_with_context(&RequestEvent::Place, &mut self.context);
     if let Placed::Waits(no_permit) = machine.inner().placed {
       return no_permit == NoPermit::NoEngine && self.end_without_engine(request);
     }
@@ -327,14 +331,14 @@
       lane.started(self.context.now_ms);
     }
     // The state has moved already: only its consequences are left.
-    self.step(request, &Step::Tick);
+    self.advance_request(request, &RequestEvent::Tick);
     true
   }
 
   fn end_without_engine(&mut self, request: RequestId) -> bool {
-    self.step(
+    self.advance_request(
       request,
-      &Step::Refuse(NotRunReason::NoEndpoint, ABSENT_RETRY_MS),
+      &RequestEvent::Refuse(NotRunReason::NoEndpoint, ABSENT_RETRY_MS),
     );
     true
   }
@@ -485,7 +489,7 @@
       .map(|(request, _)| *request)
       .collect::<Vec<_>>();
     for request in asking {
-      self.step(request, &Step::Tick);
+      self.advance_request(request, &RequestEvent::Tick);
     }
     let late = self
       .lanes
@@ -500,9 +504,9 @@
       })
       .collect::<Vec<_>>();
     for request in late {
-      self.step(
+      self.advance_request(
         request,
-        &Step::Refuse(NotRunReason::TooLate, ABSENT_RETRY_MS),
+        &RequestEvent::Refuse(NotRunReason::TooLate, ABSENT_RETRY_MS),
       );
     }
   }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A request's way: [`Machine::handle`] takes an [`Arrival`], policy ranks it, a [`Lane`] holds it,
 //! `placement` chooses engines, the decode engine's home box reserves a seat in its [`SlotTable`],
-//! and [`life::Life`] follows the orders to one of the [`RequestOutcome`]s.
+//! and [`request_machine::RequestMachine`] follows the orders to one of the [`RequestOutcome`]s.
 
 mod action;
 mod admission;
@@ -14,7 +14,6 @@
 mod fair_queue;
 mod fleet;
 mod lane;
-pub mod life;
 mod link_windows;
 mod machine;
 mod membership;
@@ -24,6 +23,7 @@
 mod placement;
 mod prefix_hints;
 mod rank;
+pub mod request_machine;
 mod request_outcome;
 mod retry_budget;
 mod slot_table;
@@ -50,7 +50,6 @@
   fair_queue::{FairQueue, Waiting},
   fleet::{Fleet, PoolKey},
   lane::Lane,
-  life::{Life, Placed, Step},
   link_windows::LinkWindows,
   machine::{Machine, Setup},
   membership::{FULL_MESH_BOXES, Membership, Peer, rendezvous_order},
@@ -61,6 +60,7 @@
   placement::{NoPermit, Placement},
   prefix_hints::{BLOCK_TOKENS, PrefixHints},
   rank::Rank,
+  request_machine::{Placed, RequestEvent, RequestMachine},
   request_outcome::{NotRunReason, RequestOutcome, UnknownReason},
   retry_budget::RetryBudget,
   slot_table::{EngineView, SlotDecision, SlotTable},
--- a/src/decide/peer_handling.rs
+++ b/src/decide/peer_handling.rs
@@ -1,7 +1,9 @@
 //! What a box does on messages of its peers.
 
 use {
-  super::{Action, Document, EventKind, Heartbeat, Machine, PeerMessage, Sign, SlotResponse, Step},
+  super::{
+    Action, Document, EventKind, Heartbeat, Machine, PeerMessage, RequestEvent, Sign, SlotResponse,
+  },
   crate::ids::Name,
 };
 
@@ -82,11 +84,11 @@
       }
       return;
     }
-    let step = Step::Slot {
+    let step = RequestEvent::Slot {
       attempt: answer.attempt.clone(),
       granted: answer.granted,
       link_wait_ms: answer.link_wait_ms,
     };
-    self.step(answer.attempt.request(), &step);
+    self.advance_request(answer.attempt.request(), &step);
   }
 }
--- a/src/decide/peer_message.rs
+++ b/src/decide/peer_message.rs
@@ -26,7 +26,7 @@
   pub text: Name,
 }
 
-/// A box's sign of life.
+/// A box's sign of request_machine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Heartbeat {
   /// The sender's start; higher is later.
@@ -83,7 +83,7 @@
 /// What one box tells another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum PeerMessage {
-  /// A sign of life.
+  /// A sign of request_machine.
   Heartbeat(Heartbeat),
   /// Asks for a seat.
   SlotRequest(SlotRequest),
--- a/src/decide/life.rs
+++ b/src/decide/request_machine.rs
@@ -1,4 +1,4 @@
-//! The life of one request, from its rank to one of its endings.
+//! The request_machine of one request, from its rank to one of its endings.
 
 use {
   super::{
@@ -14,13 +14,13 @@
 /// When to come back after the key-value service did not answer.
 const CLAIM_RETRY_MS: u64 = 2_000;
 
-mod closing;
-mod moving;
-mod placing;
+mod completion;
+mod dispatch;
+mod transfer;
 
 /// What moves a request on.
 #[derive(Clone, Debug)]
-pub enum Step {
+pub enum RequestEvent {
   /// Its claim was settled.
   Claim(ClaimOutcome),
   /// A claim has to be written first.
@@ -66,7 +66,7 @@
 
 /// One request.
 #[derive(Debug)]
-pub struct Life {
+pub struct RequestMachine {
   /// What ingress handed over.
   pub arrival: Arrival,
   /// What policy says of it.
@@ -95,7 +95,7 @@
   tried: Vec<Name>,
 }
 
-impl Life {
+impl RequestMachine {
   pub(crate) fn new(arrival: Arrival, rank: Rank, now_ms: u64) -> Self {
     let allowed_ms = arrival.deadline_ms.unwrap_or(rank.first_token_ms);
     Self {
@@ -177,36 +177,36 @@
 }
 
 #[state_machine(initial = "State::queued()", state(derive(Clone, Debug, PartialEq)))]
-impl Life {
+impl RequestMachine {
   /// Its claim is being written.
   #[state(superstate = "unsent")]
-  fn claiming(&mut self, context: &mut Context, event: &Step) -> Outcome<State> {
+  fn claiming(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
-      Step::Claim(ClaimOutcome::Held) => {
+      RequestEvent::Claim(ClaimOutcome::Held) => {
         self.claimed = true;
         self.requeue = true;
         context.record(EventKind::ClaimHeld, self.arrival.request.0, "");
         Transition(State::queued())
       }
-      Step::Claim(ClaimOutcome::Taken) => {
+      RequestEvent::Claim(ClaimOutcome::Taken) => {
         context.record(EventKind::ClaimTaken, self.arrival.request.0, "");
         self.not_run(context, NotRunReason::AlreadyClaimed, 0)
       }
-      Step::Claim(ClaimOutcome::Unavailable) => {
+      RequestEvent::Claim(ClaimOutcome::Unavailable) => {
         context.record(EventKind::ClaimUnavailable, self.arrival.request.0, "");
         self.not_run(context, NotRunReason::ClaimUnavailable, CLAIM_RETRY_MS)
       }
       // A claim may have been written: its settling releases or keeps it.
-      Step::CallerDisconnected => Transition(State::claim_unwanted()),
+      RequestEvent::CallerDisconnected => Transition(State::claim_unwanted()),
       _ => Super,
     }
   }
 
   /// Its caller left while the claim was being written.
   #[state]
-  fn claim_unwanted(&mut self, context: &mut Context, event: &Step) -> Outcome<State> {
+  fn claim_unwanted(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
-      Step::Claim(outcome) => {
+      RequestEvent::Claim(outcome) => {
         self.claimed = *outcome == ClaimOutcome::Held;
         self.abandoned(context)
       }
@@ -216,14 +216,14 @@
 
   /// It waits for a place.
   #[state(superstate = "unsent")]
-  fn queued(&mut self, context: &mut Context, event: &Step) -> Outcome<State> {
+  fn queued(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
-      Step::AwaitClaim => Transition(State::claiming()),
-      Step::Requeued => {
+      RequestEvent::AwaitClaim => Transition(State::claiming()),
+      RequestEvent::Requeued => {
         self.requeue = false;
         Handled
       }
-      Step::Place => match &self.arrival.work {
+      RequestEvent::Place => match &self.arrival.work {
         Work::Model(_) => self.place_model(context),
         Work::Service(_) => self.place_call(context),
       },
@@ -233,9 +233,9 @@
 
   /// A home was asked for a seat.
   #[state(superstate = "unsent")]
-  fn asking(&mut self, context: &mut Context, event: &Step) -> Outcome<State> {
+  fn asking(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
-      Step::Slot {
+      RequestEvent::Slot {
         attempt,
         granted,
         link_wait_ms,
@@ -246,11 +246,11 @@
           self.slot_refused(context)
         }
       }
-      Step::Tick if context.now_ms > self.asked_ms + context.tuning().ask_timeout_ms => {
+      RequestEvent::Tick if context.now_ms > self.asked_ms + context.tuning().ask_timeout_ms => {
         self.take_ask_back(context);
         self.slot_refused(context)
       }
-      Step::CallerDisconnected => {
+      RequestEvent::CallerDisconnected => {
         self.take_ask_back(context);
         self.abandoned(context)
       }
@@ -260,9 +260,9 @@
 
   /// The prompt is being read.
   #[state(superstate = "sent")]
-  fn prefilling(&mut self, context: &mut Context, event: &Step) -> Outcome<State> {
+  fn prefilling(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
-      Step::Stage {
+      RequestEvent::Stage {
         attempt,
         endpoint,
         outcome:
@@ -280,14 +280,14 @@
 
   /// The KV cache is on its way.
   #[state(superstate = "sent")]
-  fn transferring(&mut self, context: &mut Context, event: &Step) -> Outcome<State> {
+  fn transferring(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
-      Step::Stage {
+      RequestEvent::Stage {
         attempt,
         outcome: StageOutcome::Imported,
         ..
       } if self.is_current(attempt) => self.order_decode(context),
-      Step::Stage {
+      RequestEvent::Stage {
         attempt,
         outcome: StageOutcome::Full,
         ..
@@ -298,9 +298,9 @@
 
   /// The answer is being written.
   #[state(superstate = "sent")]
-  fn decoding(&mut self, context: &mut Context, event: &Step) -> Outcome<State> {
+  fn decoding(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
-      Step::Stage {
+      RequestEvent::Stage {
         attempt,
         endpoint,
         outcome: StageOutcome::FirstChunk,
@@ -310,7 +310,7 @@
         context.record(EventKind::FirstChunk, attempt, "");
         Handled
       }
-      Step::Stage {
+      RequestEvent::Stage {
         attempt,
         outcome: StageOutcome::Finished { .. },
         ..
@@ -321,9 +321,9 @@
 
   /// A plain service is at work.
   #[state(superstate = "sent")]
-  fn calling(&mut self, context: &mut Context, event: &Step) -> Outcome<State> {
+  fn calling(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
-      Step::Stage {
+      RequestEvent::Stage {
         attempt,
         outcome: StageOutcome::FirstChunk,
         ..
@@ -332,7 +332,7 @@
         self.began = true;
         Handled
       }
-      Step::Stage {
+      RequestEvent::Stage {
         attempt,
         outcome: StageOutcome::Finished { .. },
         ..
@@ -349,20 +349,22 @@
 
   /// No order has left for the present attempt.
   #[superstate]
-  fn unsent(&mut self, context: &mut Context, event: &Step) -> Outcome<State> {
+  fn unsent(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
-      Step::CallerDisconnected => self.abandoned(context),
-      Step::Refuse(reason, retry_after_ms) => self.give_up(context, *reason, *retry_after_ms),
+      RequestEvent::CallerDisconnected => self.abandoned(context),
+      RequestEvent::Refuse(reason, retry_after_ms) => {
+        self.give_up(context, *reason, *retry_after_ms)
+      }
       _ => Handled,
     }
   }
 
   /// An order of the present attempt has left.
   #[superstate]
-  fn sent(&mut self, context: &mut Context, event: &Step) -> Outcome<State> {
+  fn sent(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
-      Step::CallerDisconnected => self.abandoned(context),
-      Step::Stage {
+      RequestEvent::CallerDisconnected => self.abandoned(context),
+      RequestEvent::Stage {
         attempt,
         endpoint,
         outcome: StageOutcome::Full,
@@ -370,7 +372,7 @@
         context.close(attempt, endpoint);
         self.refused_as_full(context, endpoint)
       }
-      Step::Stage {
+      RequestEvent::Stage {
         attempt,
         endpoint,
         outcome:
@@ -388,7 +390,7 @@
   }
 }
 
-impl Life {
+impl RequestMachine {
   /// Begins with the claim where one is needed.
   pub(crate) fn needs_claim(&self) -> Option<Name> {
     if self.claimed {
--- a/src/decide/life/closing.rs
+++ b/src/decide/request_machine/completion.rs
@@ -1,7 +1,7 @@
 //! Retries, endings, and letting go of all that an attempt holds.
 
 use {
-  super::{Life, State},
+  super::{RequestMachine, State},
   crate::{
     decide::{
       Action, Began, Context, EventKind, NotRunReason, RequestOutcome, UnknownReason, Work,
@@ -14,7 +14,7 @@
 /// When to come back after nothing could be begun.
 const BUSY_RETRY_MS: u64 = 1_000;
 
-impl Life {
+impl RequestMachine {
   /// Nothing began: the request waits for its turn again, and no retry is spent.
   pub(super) fn refused_as_full(
     &mut self,
--- a/src/decide/life/placing.rs
+++ b/src/decide/request_machine/dispatch.rs
@@ -1,7 +1,7 @@
 //! Placing a request: engines, a seat, the order to read its prompt.
 
 use {
-  super::{Life, Placed, State},
+  super::{Placed, RequestMachine, State},
   crate::decide::{
     Action, CallCommand, Context, EventKind, NotRunReason, PeerMessage, PrefillCommand,
     SlotDecision, SlotMode, SlotRequest, Work,
@@ -9,7 +9,7 @@
   statig::prelude::*,
 };
 
-impl Life {
+impl RequestMachine {
   pub(super) fn place_model(&mut self, context: &mut Context) -> Outcome<State> {
     let Work::Model(work) = &self.arrival.work else {
       return Handled;
--- a/src/decide/life/moving.rs
+++ b/src/decide/request_machine/transfer.rs
@@ -1,7 +1,7 @@
 //! From a prompt that has been read to an answer that is being written.
 
 use {
-  super::{Life, State},
+  super::{RequestMachine, State},
   crate::{
     decide::{
       Action, BLOCK_TOKENS, Began, Context, DecodeCommand, Endpoint, EventKind, ImportCommand, Work,
@@ -14,7 +14,7 @@
 /// Time after which a full decode engine is tried again while the export lasts.
 const FULL_AGAIN_MS: u64 = 60;
 
-impl Life {
+impl RequestMachine {
   pub(super) fn prefilled(
     &mut self,
     context: &mut Context,
