--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -2,7 +2,7 @@
 
 use {
   super::{
-    Action, Arrival, EventKind, Machine, NoPermit, NotRunReason, Rank, RequestEvent,
+    Action, Arrival, EventKind, Machine, NotRunReason, PlacementError, Rank, RequestEvent,
     RequestMachine, RequestOutcome, Work, machine::ABSENT_RETRY_MS,
   },
   crate::{ids::RequestId, policy::RequestAttributes},
@@ -125,8 +125,8 @@
     let serving_ms = match work {
       Work::Model(work) => self.context.least_first_token_ms(work)?,
       Work::Service(work) => match self.context.place_call(&work.service, &[]) {
-        Ok(_) | Err(NoPermit::NoSlot) => 0,
-        Err(NoPermit::NoEngine) => return None,
+        Ok(_) | Err(PlacementError::NoSlot) => 0,
+        Err(PlacementError::NoEngine) => return None,
       },
     };
     Some(wait_ms + serving_ms)
--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -4,8 +4,8 @@
   super::{
     Action, BoxEntry, CancelAnswer, ConfigurationView, Context, EndpointKind, EndpointSpec,
     EndpointState, EndpointStatus, Event, EventKind, Fleet, HeldAttempt, Identity, Lane,
-    LoadReport, NoPermit, NotRunReason, PeerStatus, Placed, Rank, RequestEvent, Role, Sign,
-    StageOutcome, StageReport, Status,
+    LoadReport, NotRunReason, PeerStatus, PlacementError, PlacementResult, Rank, RequestEvent,
+    Role, Sign, StageOutcome, StageReport, Status,
     context::order_key,
     request_machine::{RequestMachine, State},
   },
@@ -323,8 +323,8 @@
       return true;
     };
     machine.handle_with_context(&RequestEvent::Place, &mut self.context);
-    if let Placed::Waits(no_permit) = machine.inner().placed {
-      return no_permit == NoPermit::NoEngine && self.end_without_engine(request);
+    if let PlacementResult::Waiting(error) = machine.inner().placed {
+      return error == PlacementError::NoEngine && self.end_without_engine(request);
     }
     if let Some(lane) = self.lanes.get_mut(lane_name) {
       lane.queue.pop();
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -57,10 +57,10 @@
   peer_message::{
     Document, DocumentRevision, Heartbeat, LeavingEndpoint, PeerMessage, SlotRequest, SlotResponse,
   },
-  placement::{NoPermit, Placement},
+  placement::{Placement, PlacementError},
   prefix_hints::{BLOCK_TOKENS, PrefixHints},
   rank::Rank,
-  request_machine::{Placed, RequestEvent, RequestMachine},
+  request_machine::{PlacementResult, RequestEvent, RequestMachine},
   request_outcome::{NotRunReason, RequestOutcome, UnknownReason},
   retry_budget::RetryBudget,
   slot_table::{EngineView, SlotDecision, SlotTable},
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -28,7 +28,7 @@
 
 /// Why no engines could be chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum NoPermit {
+pub enum PlacementError {
   /// No live engine serves the model.
   NoEngine,
   /// All decode slots are taken for now.
@@ -44,10 +44,14 @@
 impl Context {
   /// Chooses a prefill and a decode engine for a completion; engines that failed it are the last
   /// resort.
-  pub(crate) fn place(&mut self, work: &ModelWork, tried: &[Name]) -> Result<Placement, NoPermit> {
+  pub(crate) fn place(
+    &mut self,
+    work: &ModelWork,
+    tried: &[Name],
+  ) -> Result<Placement, PlacementError> {
     let reading = self.best_prefill(work, tried)?;
     let decode = self.best_decode(work, tried)?;
-    let engine = self.fleet.get(&decode).ok_or(NoPermit::NoEngine)?;
+    let engine = self.fleet.get(&decode).ok_or(PlacementError::NoEngine)?;
     let transfer_ms = engine.transfer_ms(work.prompt_tokens);
     Ok(Placement {
       decode,
@@ -86,18 +90,22 @@
   pub(crate) fn least_first_token_ms(&mut self, work: &ModelWork) -> Option<u64> {
     let reading = match self.best_prefill(work, &[]) {
       Ok(reading) => reading,
-      Err(NoPermit::NoSlot) => return Some(self.tuning().token_ms),
-      Err(NoPermit::NoEngine) => return None,
+      Err(PlacementError::NoSlot) => return Some(self.tuning().token_ms),
+      Err(PlacementError::NoEngine) => return None,
     };
     Some(reading.ready_in_ms + self.tuning().token_ms)
   }
 
   /// Chooses an instance of a plain service with a free place.
-  pub(crate) fn place_call(&mut self, service: &Name, tried: &[Name]) -> Result<Name, NoPermit> {
+  pub(crate) fn place_call(
+    &mut self,
+    service: &Name,
+    tried: &[Name],
+  ) -> Result<Name, PlacementError> {
     let hall = self
       .fleet
       .serving_hall(&self.identity.hall, service, None)
-      .ok_or(NoPermit::NoEngine)?;
+      .ok_or(PlacementError::NoEngine)?;
     let key = PoolKey {
       hall,
       role: None,
@@ -111,20 +119,20 @@
       .take(CANDIDATES)
       .peekable();
     if untried.peek().is_none() {
-      return Err(NoPermit::NoEngine);
+      return Err(PlacementError::NoEngine);
     }
     let mode = SlotMode::LaggingLoad;
     untried
       .find(|endpoint| has_free_slot(endpoint, mode, self.now_ms, boxes))
       .map(|endpoint| endpoint.spec.name.clone())
-      .ok_or(NoPermit::NoSlot)
+      .ok_or(PlacementError::NoSlot)
   }
 
-  fn best_prefill(&mut self, work: &ModelWork, tried: &[Name]) -> Result<Reading, NoPermit> {
+  fn best_prefill(&mut self, work: &ModelWork, tried: &[Name]) -> Result<Reading, PlacementError> {
     let hall = self
       .fleet
       .serving_hall(&self.identity.hall, &work.model, Some(Role::Prefill))
-      .ok_or(NoPermit::NoEngine)?;
+      .ok_or(PlacementError::NoEngine)?;
     let key = PoolKey {
       hall,
       role: Some(Role::Prefill),
@@ -139,7 +147,7 @@
       .into_iter()
       .filter_map(|name| self.read_by(name, work))
       .min_by_key(|reading| (tried.contains(&reading.engine), reading.ready_in_ms))
-      .ok_or(NoPermit::NoSlot)
+      .ok_or(PlacementError::NoSlot)
   }
 
   /// The least loaded engines, and those that probably have the prompt's prefix.
@@ -180,12 +188,12 @@
     })
   }
 
-  fn best_decode(&mut self, work: &ModelWork, tried: &[Name]) -> Result<Name, NoPermit> {
+  fn best_decode(&mut self, work: &ModelWork, tried: &[Name]) -> Result<Name, PlacementError> {
     let role = Some(Role::Decode);
     let hall = self
       .fleet
       .serving_hall(&self.identity.hall, &work.model, role)
-      .ok_or(NoPermit::NoEngine)?;
+      .ok_or(PlacementError::NoEngine)?;
     let key = PoolKey {
       hall,
       role,
@@ -210,7 +218,7 @@
         },
         |names| names.into_iter().next(),
       );
-      return any.ok_or(NoPermit::NoEngine);
+      return any.ok_or(PlacementError::NoEngine);
     }
     let free = match candidates {
       Some(names) => names
@@ -227,7 +235,7 @@
     };
     free
       .map(|engine| engine.spec.name.clone())
-      .ok_or(NoPermit::NoSlot)
+      .ok_or(PlacementError::NoSlot)
   }
 
   fn boxes_of(&self, hall: &Name) -> u32 {
--- a/src/decide/request_machine.rs
+++ b/src/decide/request_machine.rs
@@ -2,8 +2,8 @@
 
 use {
   super::{
-    Arrival, ClaimOutcome, Context, Endpoint, EventKind, NoPermit, NotRunReason, Placement, Rank,
-    StageOutcome, Waiting, Work,
+    Arrival, ClaimOutcome, Context, Endpoint, EventKind, NotRunReason, Placement, PlacementError,
+    Rank, StageOutcome, Waiting, Work,
   },
   crate::ids::{AttemptId, Name},
   statig::prelude::*,
@@ -57,11 +57,11 @@
 
 /// How the last try to place the request went.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Placed {
+pub enum PlacementResult {
   /// It left the queue.
-  Moved,
+  Dequeued,
   /// It has to wait.
-  Waits(NoPermit),
+  Waiting(PlacementError),
 }
 
 /// One request.
@@ -76,7 +76,7 @@
   /// When its first byte must come.
   pub deadline_ms: u64,
   /// How the last try to place it went.
-  pub placed: Placed,
+  pub placed: PlacementResult,
   /// Whether it wants to be put back before the others of its organisation.
   pub requeue: bool,
   attempt: u32,
@@ -109,7 +109,7 @@
       failures: 0,
       link_wait_ms: 0,
       offset: 0,
-      placed: Placed::Waits(NoPermit::NoSlot),
+      placed: PlacementResult::Waiting(PlacementError::NoSlot),
       placement: None,
       prefilled_ms: 0,
       read_tokens: 0,
--- a/src/decide/request_machine/dispatch.rs
+++ b/src/decide/request_machine/dispatch.rs
@@ -1,7 +1,7 @@
 //! Placing a request: engines, a seat, the order to read its prompt.
 
 use {
-  super::{Placed, RequestMachine, State},
+  super::{PlacementResult, RequestMachine, State},
   crate::decide::{
     Action, CallCommand, Context, EventKind, NotRunReason, PeerMessage, PrefillCommand,
     SlotDecision, SlotMode, SlotRequest, Work,
@@ -16,19 +16,19 @@
     };
     let placement = match context.place(work, &self.tried) {
       Ok(placement) => placement,
-      Err(no_permit) => {
-        self.placed = Placed::Waits(no_permit);
+      Err(error) => {
+        self.placed = PlacementResult::Waiting(error);
         return Handled;
       }
     };
     let late = placement.first_token_in_ms > self.left_ms(context);
     if late && !self.began && context.tuning().early_refusal {
-      self.placed = Placed::Moved;
+      self.placed = PlacementResult::Dequeued;
       let retry_after_ms = placement.ready_in_ms;
       return self.give_up(context, NotRunReason::TooLate, retry_after_ms);
     }
     let max_tokens = work.max_tokens;
-    self.placed = Placed::Moved;
+    self.placed = PlacementResult::Dequeued;
     self.attempt += 1;
     self.link_wait_ms = 0;
     let reserve = context.tuning().reserve_before_prefill;
@@ -63,12 +63,12 @@
     let service = self.lane().clone();
     let endpoint = match context.place_call(&service, &self.tried) {
       Ok(endpoint) => endpoint,
-      Err(no_permit) => {
-        self.placed = Placed::Waits(no_permit);
+      Err(error) => {
+        self.placed = PlacementResult::Waiting(error);
         return Handled;
       }
     };
-    self.placed = Placed::Moved;
+    self.placed = PlacementResult::Dequeued;
     self.attempt += 1;
     let attempt = self.attempt_id(context);
     context.fleet.change(&endpoint, |endpoint| {
