--- a/src/decide/fair_queue.rs
+++ b/src/decide/fair_queue.rs
@@ -1,4 +1,4 @@
-//! Waiting requests of one lane: strict priority, and deficit round robin over organisations within one.
+//! QueueEntry requests of one lane: strict priority, and deficit round robin over organisations within one.
 
 use {
   crate::ids::{Name, RequestId},
@@ -12,7 +12,7 @@
 
 /// A request that waits.
 #[derive(Clone, Debug)]
-pub struct Waiting {
+pub struct QueueEntry {
   /// The request.
   pub request: RequestId,
   /// Whose it is.
@@ -30,12 +30,12 @@
 #[derive(Default)]
 struct Level {
   turns: VecDeque<Name>,
-  queues: BTreeMap<Name, VecDeque<Waiting>>,
+  queues: BTreeMap<Name, VecDeque<QueueEntry>>,
   deficits: BTreeMap<Name, i64>,
 }
 
 impl Level {
-  fn push(&mut self, waiting: Waiting, front: bool) {
+  fn push(&mut self, waiting: QueueEntry, front: bool) {
     let organisation = waiting.organisation.clone();
     let queue = self.queues.entry(organisation.clone()).or_default();
     if queue.is_empty() {
@@ -70,13 +70,13 @@
     }
   }
 
-  fn peek(&mut self) -> Option<&Waiting> {
+  fn peek(&mut self) -> Option<&QueueEntry> {
     self.settle();
     let organisation = self.turns.front()?;
     self.queues.get(organisation)?.front()
   }
 
-  fn pop(&mut self) -> Option<Waiting> {
+  fn pop(&mut self) -> Option<QueueEntry> {
     self.settle();
     let organisation = self.turns.front()?.clone();
     let waiting = self.queues.get_mut(&organisation)?.pop_front()?;
@@ -105,7 +105,7 @@
     removed
   }
 
-  fn iter(&self) -> impl Iterator<Item = &Waiting> {
+  fn iter(&self) -> impl Iterator<Item = &QueueEntry> {
     self.queues.values().flatten()
   }
 }
@@ -113,9 +113,9 @@
 /// The requests of one lane that wait for a place.
 ///
 /// ```
-/// use rillford::{decide::{FairQueue, Waiting}, ids::RequestId};
+/// use rillford::{decide::{FairQueue, QueueEntry}, ids::RequestId};
 /// let mut queue = FairQueue::default();
-/// let waiting = |request, priority| Waiting {
+/// let waiting = |request, priority| QueueEntry {
 ///   request: RequestId(request), organisation: "a".into(), priority,
 ///   may_wait: false, weight: 1.0, cost_tokens: 10,
 /// };
@@ -141,26 +141,26 @@
   }
 
   /// Puts a request behind those of its organisation.
-  pub fn push(&mut self, waiting: Waiting) {
+  pub fn push(&mut self, waiting: QueueEntry) {
     self.length += 1;
     let level = self.levels.entry(Reverse(waiting.priority)).or_default();
     level.push(waiting, false);
   }
 
   /// Puts a request back before those of its organisation.
-  pub fn push_front(&mut self, waiting: Waiting) {
+  pub fn push_front(&mut self, waiting: QueueEntry) {
     self.length += 1;
     let level = self.levels.entry(Reverse(waiting.priority)).or_default();
     level.push(waiting, true);
   }
 
   /// The next request.
-  pub fn peek(&mut self) -> Option<&Waiting> {
+  pub fn peek(&mut self) -> Option<&QueueEntry> {
     self.levels.values_mut().find_map(Level::peek)
   }
 
   /// Takes the next request.
-  pub fn pop(&mut self) -> Option<Waiting> {
+  pub fn pop(&mut self) -> Option<QueueEntry> {
     let waiting = self.levels.values_mut().find_map(Level::pop)?;
     self.shrink(waiting.priority);
     Some(waiting)
@@ -178,7 +178,7 @@
   }
 
   /// The request to be shed first: may wait, lowest priority, then lowest weight, then youngest.
-  pub fn least(&self) -> Option<Waiting> {
+  pub fn least(&self) -> Option<QueueEntry> {
     self
       .levels
       .values()
@@ -206,7 +206,7 @@
   }
 
   /// All that wait.
-  pub fn iter(&self) -> impl Iterator<Item = &Waiting> {
+  pub fn iter(&self) -> impl Iterator<Item = &QueueEntry> {
     self.levels.values().flat_map(Level::iter)
   }
 
--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -3,8 +3,8 @@
 use {
   super::{
     Action, BoxEntry, CancelAnswer, ConfigurationView, Context, EndpointKind, EndpointSpec,
-    EndpointState, EndpointStatus, Event, EventKind, Fleet, HeldAttempt, Identity, Lane,
-    LoadReport, NotRunReason, PeerStatus, PlacementError, PlacementResult, Rank, RequestEvent,
+    EndpointState, EndpointStatus, Event, EventKind, Fleet, HeldAttempt, Identity, LoadReport,
+    NotRunReason, PeerStatus, PlacementError, PlacementResult, Rank, RequestEvent, RequestQueue,
     Role, Sign, StageOutcome, StageReport, Status,
     context::order_key,
     request_machine::{RequestMachine, State},
@@ -46,7 +46,7 @@
   pub(super) context: Context,
   pub(super) timers: super::Timers,
   pub(super) requests: BTreeMap<RequestId, InitializedStateMachine<RequestMachine>>,
-  pub(super) lanes: BTreeMap<Name, Lane>,
+  pub(super) lanes: BTreeMap<Name, RequestQueue>,
   pub(super) in_progress: BTreeMap<Name, usize>,
   pub(super) good_ranks: BTreeMap<Name, Rank>,
   last_event_ms: u64,
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,6 +1,6 @@
 //! The decisions, free of I/O: `handle(now, event) -> actions`.
 //!
-//! A request's way: [`Machine::handle`] takes an [`Arrival`], policy ranks it, a [`Lane`] holds it,
+//! A request's way: [`Machine::handle`] takes an [`Arrival`], policy ranks it, a [`RequestQueue`] holds it,
 //! `placement` chooses engines, the decode engine's home box reserves a seat in its [`SlotTable`],
 //! and [`request_machine::RequestMachine`] follows the orders to one of the [`RequestOutcome`]s.
 
@@ -13,7 +13,6 @@
 mod event;
 mod fair_queue;
 mod fleet;
-mod lane;
 mod link_windows;
 mod machine;
 mod membership;
@@ -25,6 +24,7 @@
 mod rank;
 pub mod request_machine;
 mod request_outcome;
+mod request_queue;
 mod retry_budget;
 mod slot_table;
 mod status;
@@ -47,9 +47,8 @@
     Began, BoxEntry, CancelAnswer, ClaimOutcome, Event, HeldAttempt, LoadReport, Role,
     StageOutcome, StageReport,
   },
-  fair_queue::{FairQueue, Waiting},
+  fair_queue::{FairQueue, QueueEntry},
   fleet::{Fleet, PoolKey},
-  lane::Lane,
   link_windows::LinkWindows,
   machine::{Machine, Setup},
   membership::{FULL_MESH_BOXES, Membership, Peer, rendezvous_order},
@@ -62,6 +61,7 @@
   rank::Rank,
   request_machine::{PlacementResult, RequestEvent, RequestMachine},
   request_outcome::{NotRunReason, RequestOutcome, UnknownReason},
+  request_queue::RequestQueue,
   retry_budget::RetryBudget,
   slot_table::{EngineView, SlotDecision, SlotTable},
   status::{EndpointState, EndpointStatus, PeerStatus, Status},
--- a/src/decide/request_machine.rs
+++ b/src/decide/request_machine.rs
@@ -3,7 +3,7 @@
 use {
   super::{
     Arrival, ClaimOutcome, Context, Endpoint, EventKind, NotRunReason, Placement, PlacementError,
-    Rank, StageOutcome, Waiting, Work,
+    QueueEntry, Rank, StageOutcome, Work,
   },
   crate::ids::{AttemptId, Name},
   statig::prelude::*,
@@ -131,12 +131,12 @@
   }
 
   /// How it stands in the queue.
-  pub(crate) fn waiting(&self) -> Waiting {
+  pub(crate) fn waiting(&self) -> QueueEntry {
     let cost_tokens = match &self.arrival.work {
       Work::Model(work) => work.prompt_tokens + work.max_tokens,
       Work::Service(_) => 1,
     };
-    Waiting {
+    QueueEntry {
       cost_tokens,
       may_wait: self.rank.may_wait,
       organisation: self.arrival.organisation.clone(),
--- a/src/decide/lane.rs
+++ b/src/decide/request_queue.rs
@@ -6,14 +6,14 @@
 
 /// The requests that wait for one model or one plain service.
 #[derive(Default)]
-pub struct Lane {
+pub struct RequestQueue {
   /// Those that wait.
   pub queue: FairQueue,
   last_start_ms: u64,
   interval_ms: f64,
 }
 
-impl Lane {
+impl RequestQueue {
   /// A request left the queue for an endpoint. Only starts out of a queue say how fast it drains.
   pub fn started(&mut self, now_ms: u64) {
     let interval_ms = now_ms.saturating_sub(self.last_start_ms) as f64;
