--- a/src/decide/endpoint.rs
+++ b/src/decide/endpoint.rs
@@ -54,7 +54,7 @@
 
 /// What moves an endpoint through its request_machine.
 #[derive(Clone, Debug)]
-pub enum Sign {
+pub enum EndpointEvent {
   /// It reported.
   Reported {
     /// Its start.
@@ -72,53 +72,53 @@
 
 /// The request_machine of an endpoint: unseen, live, suspect, leaving.
 #[derive(Clone, Debug, Default)]
-pub struct EndpointLife {
+pub struct EndpointLifecycle {
   incarnation: u64,
 }
 
 #[state_machine(initial = "State::unseen()", state(derive(Clone, Debug, PartialEq)))]
-impl EndpointLife {
+impl EndpointLifecycle {
   #[state]
-  fn unseen(&mut self, event: &Sign) -> Outcome<State> {
+  fn unseen(&mut self, event: &EndpointEvent) -> Outcome<State> {
     self.usual(event)
   }
 
   #[state]
-  fn live(&mut self, event: &Sign) -> Outcome<State> {
+  fn live(&mut self, event: &EndpointEvent) -> Outcome<State> {
     self.usual(event)
   }
 
   #[state]
-  fn suspect(&mut self, event: &Sign) -> Outcome<State> {
+  fn suspect(&mut self, event: &EndpointEvent) -> Outcome<State> {
     self.usual(event)
   }
 
   /// Leaving holds until a new incarnation reports, or an operator takes the endpoint back.
   #[state]
-  fn leaving(&mut self, event: &Sign) -> Outcome<State> {
+  fn leaving(&mut self, event: &EndpointEvent) -> Outcome<State> {
     match event {
-      Sign::Reported {
+      EndpointEvent::Reported {
         incarnation,
         leaving: false,
       } if *incarnation > self.incarnation => {
         self.incarnation = *incarnation;
         Transition(State::live())
       }
-      Sign::Leaving(incarnation) => {
+      EndpointEvent::Leaving(incarnation) => {
         self.incarnation = self.incarnation.max(*incarnation);
         Handled
       }
-      Sign::Undrained => Transition(State::suspect()),
+      EndpointEvent::Undrained => Transition(State::suspect()),
       _ => Handled,
     }
   }
 }
 
-impl EndpointLife {
-  fn usual(&mut self, event: &Sign) -> Outcome<State> {
+impl EndpointLifecycle {
+  fn usual(&mut self, event: &EndpointEvent) -> Outcome<State> {
     match event {
-      Sign::Reported { incarnation, .. } if *incarnation < self.incarnation => Handled,
-      Sign::Reported {
+      EndpointEvent::Reported { incarnation, .. } if *incarnation < self.incarnation => Handled,
+      EndpointEvent::Reported {
         incarnation,
         leaving,
       } => {
@@ -129,8 +129,8 @@
           Transition(State::live())
         }
       }
-      Sign::Silent => Transition(State::suspect()),
-      Sign::Leaving(incarnation) if *incarnation >= self.incarnation => {
+      EndpointEvent::Silent => Transition(State::suspect()),
+      EndpointEvent::Leaving(incarnation) if *incarnation >= self.incarnation => {
         self.incarnation = *incarnation;
         Transition(State::leaving())
       }
@@ -170,7 +170,7 @@
   pub failures_in_a_row: u32,
   /// Own attempts that hold a seat here.
   pub own_slots: u32,
-  request_machine: InitializedStateMachine<EndpointLife>,
+  request_machine: InitializedStateMachine<EndpointLifecycle>,
   report: LoadReport,
   sent: VecDeque<Sent>,
 }
@@ -196,7 +196,9 @@
       failures_in_a_row: 0,
       heard_ms: 0,
       incarnation: 0,
-      request_machine: EndpointLife::default().uninitialized_state_machine().init(),
+      request_machine: EndpointLifecycle::default()
+        .uninitialized_state_machine()
+        .init(),
       own_slots: 0,
       paused_until_ms: 0,
       refused_until_ms: 0,
@@ -230,7 +232,7 @@
   }
 
   /// Moves the endpoint through its request_machine; true when its state changed.
-  pub(crate) fn sign(&mut self, sign: &Sign) -> bool {
+  pub(crate) fn sign(&mut self, sign: &EndpointEvent) -> bool {
     let before = self.request_machine.state().clone();
     self.request_machine.handle(sign);
     before != *self.request_machine.state()
--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -1,7 +1,7 @@
 //! All endpoints, in pools that are kept in order of load.
 
 use {
-  super::{Endpoint, EndpointKind, EndpointSpec, LeavingEndpoint, LoadReport, Role, Sign},
+  super::{Endpoint, EndpointEvent, EndpointKind, EndpointSpec, LeavingEndpoint, LoadReport, Role},
   crate::ids::Name,
   std::collections::{BTreeMap, BTreeSet},
 };
@@ -73,7 +73,7 @@
   }
 
   /// Moves an endpoint through its request_machine; true when its state changed.
-  pub(crate) fn sign(&mut self, name: &Name, sign: &Sign) -> bool {
+  pub(crate) fn sign(&mut self, name: &Name, sign: &EndpointEvent) -> bool {
     self
       .change(name, |endpoint| endpoint.sign(sign))
       .unwrap_or(false)
@@ -81,7 +81,7 @@
 
   /// Takes in a load report; true when the endpoint's state changed.
   pub(crate) fn report(&mut self, now_ms: u64, report: &LoadReport) -> bool {
-    let sign = Sign::Reported {
+    let sign = EndpointEvent::Reported {
       incarnation: report.incarnation,
       leaving: report.leaving,
     };
--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -2,10 +2,10 @@
 
 use {
   super::{
-    Action, BoxEntry, CancelAnswer, ConfigurationView, Context, EndpointKind, EndpointSpec,
-    EndpointState, EndpointStatus, Event, EventKind, Fleet, HeldAttempt, Identity, LoadReport,
-    NotRunReason, PeerStatus, PlacementError, PlacementResult, Rank, RequestEvent, RequestQueue,
-    Role, Sign, StageOutcome, StageReport, Status,
+    Action, BoxEntry, CancelAnswer, ConfigurationView, Context, EndpointEvent, EndpointKind,
+    EndpointSpec, EndpointState, EndpointStatus, Event, EventKind, Fleet, HeldAttempt, Identity,
+    LoadReport, NotRunReason, PeerStatus, PlacementError, PlacementResult, Rank, RequestEvent,
+    RequestQueue, Role, StageOutcome, StageReport, Status,
     context::order_key,
     request_machine::{RequestMachine, State},
   },
@@ -456,9 +456,9 @@
         .fleet
         .get(name)
         .map_or(0, |known| known.incarnation);
-      Sign::Leaving(incarnation)
+      EndpointEvent::Leaving(incarnation)
     } else {
-      Sign::Undrained
+      EndpointEvent::Undrained
     };
     if self.context.fleet.sign(name, &sign) {
       self.record_endpoint_state(name);
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -42,7 +42,7 @@
   arrival::{Arrival, ModelWork, ServiceWork, Work},
   configuration_view::{ConfigurationView, OrganisationLimits},
   context::{Context, Identity},
-  endpoint::{Endpoint, EndpointKind, EndpointLife, EndpointSpec, Sign},
+  endpoint::{Endpoint, EndpointEvent, EndpointKind, EndpointLifecycle, EndpointSpec},
   event::{
     Began, BoxEntry, CancelAnswer, ClaimOutcome, Event, HeldAttempt, LoadReport, Role,
     StageOutcome, StageReport,
--- a/src/decide/peer_handling.rs
+++ b/src/decide/peer_handling.rs
@@ -2,7 +2,8 @@
 
 use {
   super::{
-    Action, Document, EventKind, Heartbeat, Machine, PeerMessage, RequestEvent, Sign, SlotResponse,
+    Action, Document, EndpointEvent, EventKind, Heartbeat, Machine, PeerMessage, RequestEvent,
+    SlotResponse,
   },
   crate::ids::Name,
 };
@@ -39,7 +40,7 @@
       self.context.record(EventKind::PeerLive, from, "");
     }
     for leaving in &heartbeat.leaving_endpoints {
-      let sign = Sign::Leaving(leaving.incarnation);
+      let sign = EndpointEvent::Leaving(leaving.incarnation);
       if self.context.fleet.sign(&leaving.endpoint, &sign) {
         self.record_endpoint_state(&leaving.endpoint);
       }
--- a/src/decide/timers.rs
+++ b/src/decide/timers.rs
@@ -2,8 +2,8 @@
 
 use {
   super::{
-    Action, Candidate, EndpointKind, EventKind, Heartbeat, HoldCommand, Machine, PeerMessage, Role,
-    RoleCommand, Sign, TurnBounds, next_turn,
+    Action, Candidate, EndpointEvent, EndpointKind, EventKind, Heartbeat, HoldCommand, Machine,
+    PeerMessage, Role, RoleCommand, TurnBounds, next_turn,
   },
   crate::{ids::Name, policy::PoolStats},
   std::collections::{BTreeMap, BTreeSet},
@@ -120,7 +120,7 @@
       .map(|endpoint| endpoint.spec.name.clone())
       .collect::<Vec<_>>();
     for name in silent {
-      self.context.fleet.sign(&name, &Sign::Silent);
+      self.context.fleet.sign(&name, &EndpointEvent::Silent);
       self.record_endpoint_state(&name);
     }
     let lost = self
