--- a/src/decide/context.rs
+++ b/src/decide/context.rs
@@ -3,7 +3,7 @@
 
 use {
   super::{
-    Action, ConfigurationView, EngineView, EventKind, Fleet, Membership, OrderKey, Orders,
+    Action, CommandKey, ConfigurationView, EngineView, EventKind, Fleet, Membership, OpenCommands,
     PeerMessage, PrefixHints, RetryBudget, Role, SlotDecision, SlotMode, SlotRequest, SlotResponse,
     SlotTable, TimelineEvent, Tuning, rendezvous_order,
   },
@@ -31,7 +31,7 @@
   pub(crate) epoch_unix_ms: u64,
   pub(crate) fleet: Fleet,
   pub(crate) members: Membership,
-  pub(crate) orders: Orders,
+  pub(crate) open_commands: OpenCommands,
   pub(crate) hints: PrefixHints,
   pub(crate) budget: RetryBudget,
   pub(crate) books: BTreeMap<Name, SlotTable>,
@@ -60,7 +60,7 @@
       homes: BTreeMap::new(),
       members: Membership::new(identity.name.clone(), identity.hall.clone()),
       now_ms: 0,
-      orders: Orders::default(),
+      open_commands: OpenCommands::default(),
       random: ChaCha8Rng::seed_from_u64(seed),
       stopping: false,
       turn: 0,
@@ -87,18 +87,18 @@
 
   /// Remembers that an order leaves for an endpoint.
   pub(crate) fn open(&mut self, attempt: &AttemptId, endpoint: &Name) {
-    self.orders.opened(order_key(attempt, endpoint));
+    self.open_commands.opened(command_key(attempt, endpoint));
   }
 
   /// The endpoint holds nothing for the order any more.
   pub(crate) fn close(&mut self, attempt: &AttemptId, endpoint: &Name) {
-    self.orders.closed(&order_key(attempt, endpoint));
+    self.open_commands.closed(&command_key(attempt, endpoint));
   }
 
   /// Cancels an order if it is still open.
   pub(crate) fn cancel(&mut self, attempt: &AttemptId, endpoint: &Name) {
-    let key = order_key(attempt, endpoint);
-    if self.orders.cancel(self.now_ms, &key) {
+    let key = command_key(attempt, endpoint);
+    if self.open_commands.cancel(self.now_ms, &key) {
       self.record(EventKind::CancelSent, attempt, endpoint);
       self.act(Action::Cancel(attempt.clone(), endpoint.clone()));
     }
@@ -204,8 +204,8 @@
   }
 }
 
-pub(crate) fn order_key(attempt: &AttemptId, endpoint: &Name) -> OrderKey {
-  OrderKey {
+pub(crate) fn command_key(attempt: &AttemptId, endpoint: &Name) -> CommandKey {
+  CommandKey {
     attempt: attempt.clone(),
     endpoint: endpoint.clone(),
   }
--- a/src/decide/endpoint.rs
+++ b/src/decide/endpoint.rs
@@ -166,7 +166,7 @@
   pub shunned_until_ms: u64,
   /// It turned an order away and wanted none until then.
   pub paused_until_ms: u64,
-  /// Orders that failed here since one came to something.
+  /// OpenCommands that failed here since one came to something.
   pub failures_in_a_row: u32,
   /// Own attempts that hold a seat here.
   pub own_slots: u32,
--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -6,7 +6,7 @@
     EndpointSpec, EndpointState, EndpointStatus, Event, EventKind, Fleet, HeldAttempt, Identity,
     LoadReport, NotRunReason, PeerStatus, PlacementError, PlacementResult, Rank, RequestEvent,
     RequestQueue, Role, StageOutcome, StageReport, Status,
-    context::order_key,
+    context::command_key,
     request_machine::{RequestMachine, State},
   },
   crate::{
@@ -137,9 +137,9 @@
     self.lanes.values().map(|lane| lane.queue.len()).sum()
   }
 
-  /// Orders open or being cancelled.
+  /// OpenCommands open or being cancelled.
   pub fn open_orders(&self) -> usize {
-    self.context.orders.len()
+    self.context.open_commands.len()
   }
 
   /// What an operator can see.
@@ -150,7 +150,7 @@
       configuration_digest: context.configuration.digest(),
       endpoints,
       in_progress: self.in_progress(),
-      open_orders: context.orders.len(),
+      open_orders: context.open_commands.len(),
       peers: context
         .members
         .peers()
@@ -344,8 +344,8 @@
   }
 
   fn cancel_settled(&mut self, attempt: &AttemptId, endpoint: &Name, answer: CancelAnswer) {
-    let key = order_key(attempt, endpoint);
-    if self.context.orders.settled(&key, answer) {
+    let key = command_key(attempt, endpoint);
+    if self.context.open_commands.settled(&key, answer) {
       self.context.record(
         EventKind::CancelSettled,
         attempt,
@@ -361,7 +361,7 @@
       .get(&report.endpoint)
       .map(|known| known.incarnation);
     if before.is_some_and(|before| before > 0 && report.incarnation > before) {
-      self.context.orders.forget_endpoint(&report.endpoint);
+      self.context.open_commands.forget_endpoint(&report.endpoint);
       self.context.books.remove(&report.endpoint);
       self.context.record(
         EventKind::EndpointReturned,
@@ -395,8 +395,8 @@
         continue;
       }
       let attempt = held.attempt;
-      let key = order_key(&attempt, engine);
-      if self.context.orders.is_open(&key) {
+      let key = command_key(&attempt, engine);
+      if self.context.open_commands.is_open(&key) {
         continue;
       }
       self
@@ -411,9 +411,9 @@
     let owner = &held.attempt.box_name;
     let identity = &self.context.identity;
     if *owner == identity.name {
-      let key = order_key(&held.attempt, engine);
+      let key = command_key(&held.attempt, engine);
       let ours = held.attempt.incarnation == identity.incarnation;
-      return !ours || held.hold_left_ms <= 0 && !self.context.orders.is_open(&key);
+      return !ours || held.hold_left_ms <= 0 && !self.context.open_commands.is_open(&key);
     }
     let replaced = self
       .context
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -16,7 +16,7 @@
 mod link_windows;
 mod machine;
 mod membership;
-mod orders;
+mod open_commands;
 mod peer_handling;
 mod peer_message;
 mod placement;
@@ -52,7 +52,7 @@
   link_windows::LinkWindows,
   machine::{Machine, Setup},
   membership::{FULL_MESH_BOXES, Membership, Peer, rendezvous_order},
-  orders::{OrderKey, Orders},
+  open_commands::{CommandKey, OpenCommands},
   peer_message::{
     Document, DocumentRevision, Heartbeat, LeavingEndpoint, PeerMessage, SlotRequest, SlotResponse,
   },
--- a/src/decide/orders.rs
+++ b/src/decide/open_commands.rs
@@ -1,4 +1,4 @@
-//! Orders that an endpoint may still hold memory for, and cancels until they are acknowledged.
+//! OpenCommands that an endpoint may still hold memory for, and cancels until they are acknowledged.
 
 use {
   super::CancelAnswer,
@@ -17,7 +17,7 @@
 
 /// One order at one endpoint.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct OrderKey {
+pub struct CommandKey {
   /// The endpoint.
   pub endpoint: Name,
   /// The attempt.
@@ -26,25 +26,25 @@
 
 /// All orders that have left and whose end is not known.
 #[derive(Clone, Debug, Default)]
-pub struct Orders {
-  open: BTreeMap<OrderKey, Option<Cancelling>>,
+pub struct OpenCommands {
+  open: BTreeMap<CommandKey, Option<Cancelling>>,
 }
 
-impl Orders {
+impl OpenCommands {
   /// An order leaves.
-  pub fn opened(&mut self, key: OrderKey) {
+  pub fn opened(&mut self, key: CommandKey) {
     self.open.insert(key, None);
   }
 
   /// The endpoint holds nothing for the order any more; a cancel under way goes on until acknowledged.
-  pub fn closed(&mut self, key: &OrderKey) {
+  pub fn closed(&mut self, key: &CommandKey) {
     if matches!(self.open.get(key), Some(None)) {
       self.open.remove(key);
     }
   }
 
   /// Begins to cancel; true when this is news.
-  pub fn cancel(&mut self, now_ms: u64, key: &OrderKey) -> bool {
+  pub fn cancel(&mut self, now_ms: u64, key: &CommandKey) -> bool {
     match self.open.get_mut(key) {
       Some(state @ None) => {
         *state = Some(Cancelling {
@@ -58,7 +58,7 @@
   }
 
   /// An endpoint answered a cancel; true when the order is settled by it.
-  pub fn settled(&mut self, key: &OrderKey, answer: CancelAnswer) -> bool {
+  pub fn settled(&mut self, key: &CommandKey, answer: CancelAnswer) -> bool {
     if answer == CancelAnswer::Unreachable {
       return false;
     }
@@ -72,7 +72,7 @@
   }
 
   /// The cancels that are to be sent again now.
-  pub fn due(&mut self, now_ms: u64) -> Vec<OrderKey> {
+  pub fn due(&mut self, now_ms: u64) -> Vec<CommandKey> {
     let mut due = Vec::new();
     for (key, state) in &mut self.open {
       let Some(cancelling) = state else { continue };
@@ -108,7 +108,7 @@
   }
 
   /// Whether the order is open and not being cancelled.
-  pub fn is_open(&self, key: &OrderKey) -> bool {
+  pub fn is_open(&self, key: &CommandKey) -> bool {
     matches!(self.open.get(key), Some(None))
   }
 
--- a/src/decide/status.rs
+++ b/src/decide/status.rs
@@ -65,7 +65,7 @@
   pub in_progress: usize,
   /// Requests that wait.
   pub waiting: usize,
-  /// Orders open or being cancelled at endpoints.
+  /// OpenCommands open or being cancelled at endpoints.
   pub open_orders: usize,
   /// Seats granted as home.
   pub seats_granted: usize,
--- a/src/decide/timers.rs
+++ b/src/decide/timers.rs
@@ -102,7 +102,7 @@
   }
 
   fn send_cancels(&mut self) {
-    for key in self.context.orders.due(self.context.now_ms) {
+    for key in self.context.open_commands.due(self.context.now_ms) {
       self.context.act(Action::Cancel(key.attempt, key.endpoint));
     }
   }
@@ -222,7 +222,7 @@
 
   fn extend_holds(&mut self) {
     let now_ms = self.context.now_ms;
-    let held = self.context.orders.held();
+    let held = self.context.open_commands.held();
     self
       .timers
       .held_since_ms
@@ -252,7 +252,7 @@
       .filter(|(_, since_ms)| now_ms.saturating_sub(**since_ms) > bound_ms)
       .map(|(engine, _)| engine.clone())
       .collect::<Vec<_>>();
-    let mut held = self.context.orders.held();
+    let mut held = self.context.open_commands.held();
     for engine in lost {
       self.timers.held_since_ms.insert(engine.clone(), now_ms);
       for attempt in held.remove(&engine).unwrap_or_default() {
