--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -26,9 +26,9 @@
 mod request_outcome;
 mod request_queue;
 mod retry_budget;
+mod role_switch;
 mod slot_table;
 mod status;
-mod steward;
 mod timeline_event;
 mod timers;
 mod tuning;
@@ -63,9 +63,9 @@
   request_outcome::{NotRunReason, RequestOutcome, UnknownReason},
   request_queue::RequestQueue,
   retry_budget::RetryBudget,
+  role_switch::{Candidate, RoleSwitch, RoleSwitchLimits, next_role_switch},
   slot_table::{EngineView, SlotDecision, SlotTable},
   status::{EndpointState, EndpointStatus, PeerStatus, Status},
-  steward::{Candidate, Turn, TurnBounds, next_turn},
   timeline_event::{EventKind, TimelineEvent},
   tuning::{PlacementMode, SlotMode, Tuning},
 };
--- a/src/decide/steward.rs
+++ b/src/decide/role_switch.rs
@@ -20,7 +20,7 @@
 
 /// One change of role.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Turn {
+pub struct RoleSwitch {
   /// The engine.
   pub engine: Name,
   /// The role it is to take.
@@ -29,7 +29,7 @@
 
 /// Bounds on changes of role.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TurnBounds {
+pub struct RoleSwitchLimits {
   /// Difference between wanted and present share that is left alone.
   pub dead_band: f64,
   /// Least time in a role.
@@ -39,7 +39,7 @@
 /// The one engine of a model that is to turn now, if any. Each role keeps at least one engine.
 ///
 /// ```
-/// use rillford::{decide::{next_turn, Candidate, Role, TurnBounds}, policy::RoleSplit};
+/// use rillford::{decide::{next_role_switch, Candidate, Role, RoleSwitchLimits}, policy::RoleSplit};
 /// let engine = |name: &str, role| Candidate {
 ///   engine: name.into(), role, stayed_ms: 500_000, used_slots: 0,
 /// };
@@ -48,10 +48,14 @@
 ///   engine("c", Role::Decode), engine("d", Role::Decode),
 /// ];
 /// let split = RoleSplit { model: "m".into(), prefill_share: 0.5 };
-/// let bounds = TurnBounds { dead_band: 0.1, least_stay_ms: 60_000 };
-/// assert_eq!(next_turn(&engines, &split, bounds).unwrap().engine, "b".into());
+/// let bounds = RoleSwitchLimits { dead_band: 0.1, least_stay_ms: 60_000 };
+/// assert_eq!(next_role_switch(&engines, &split, bounds).unwrap().engine, "b".into());
 /// ```
-pub fn next_turn(engines: &[Candidate], split: &RoleSplit, bounds: TurnBounds) -> Option<Turn> {
+pub fn next_role_switch(
+  engines: &[Candidate],
+  split: &RoleSplit,
+  bounds: RoleSwitchLimits,
+) -> Option<RoleSwitch> {
   let total = engines.len();
   if total < 2 {
     return None;
@@ -75,7 +79,7 @@
     .iter()
     .filter(|engine| engine.role == from && engine.stayed_ms >= bounds.least_stay_ms)
     .min_by_key(|engine| (engine.used_slots, engine.engine.clone()))
-    .map(|engine| Turn {
+    .map(|engine| RoleSwitch {
       engine: engine.engine.clone(),
       role: to,
     })
--- a/src/decide/timers.rs
+++ b/src/decide/timers.rs
@@ -3,7 +3,7 @@
 use {
   super::{
     Action, Candidate, EndpointEvent, EndpointKind, EventKind, Heartbeat, HoldCommand, Machine,
-    PeerMessage, Role, RoleCommand, TurnBounds, next_turn,
+    PeerMessage, Role, RoleCommand, RoleSwitchLimits, next_role_switch,
   },
   crate::{ids::Name, policy::PoolStats},
   std::collections::{BTreeMap, BTreeSet},
@@ -288,13 +288,13 @@
         return;
       }
     };
-    let bounds = TurnBounds {
+    let bounds = RoleSwitchLimits {
       dead_band: self.context.tuning().role_dead_band,
       least_stay_ms: self.context.tuning().role_least_stay_ms,
     };
     for split in splits {
       let candidates = self.candidates(&split.model);
-      let Some(turn) = next_turn(&candidates, &split, bounds) else {
+      let Some(turn) = next_role_switch(&candidates, &split, bounds) else {
         continue;
       };
       self.context.record(
