--- a/src/decide/endpoint.rs
+++ b/src/decide/endpoint.rs
@@ -8,10 +8,10 @@
   std::collections::VecDeque,
 };
 
-const FIRST_SHUN_MS: u64 = 1_000;
-const MOST_SHUN_DOUBLINGS: u32 = 4;
+const FIRST_BACKOFF_MS: u64 = 1_000;
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 /// The longest pause that is kept at one word: an endpoint that asks for hours by mistake is asked again after this.
-const MOST_PAUSE_MS: u64 = 5 * 60 * 1_000;
+const MAX_REQUESTED_BACKOFF_MS: u64 = 5 * 60 * 1_000;
 
 /// What an endpoint is.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -80,17 +80,17 @@
 impl EndpointLifecycle {
   #[state]
   fn unseen(&mut self, event: &EndpointEvent) -> Outcome<State> {
-    self.usual(event)
+    self.handle_common(event)
   }
 
   #[state]
   fn live(&mut self, event: &EndpointEvent) -> Outcome<State> {
-    self.usual(event)
+    self.handle_common(event)
   }
 
   #[state]
   fn suspect(&mut self, event: &EndpointEvent) -> Outcome<State> {
-    self.usual(event)
+    self.handle_common(event)
   }
 
   /// Leaving holds until a new incarnation reports, or an operator takes the endpoint back.
@@ -115,7 +115,7 @@
 }
 
 impl EndpointLifecycle {
-  fn usual(&mut self, event: &EndpointEvent) -> Outcome<State> {
+  fn handle_common(&mut self, event: &EndpointEvent) -> Outcome<State> {
     match event {
       EndpointEvent::Reported { incarnation, .. } if *incarnation < self.incarnation => Handled,
       EndpointEvent::Reported {
@@ -159,15 +159,15 @@
   /// When its last report was made.
   pub reported_ms: u64,
   /// When anything was last heard of it.
-  pub heard_ms: u64,
+  pub last_contact_ms: u64,
   /// It was full: no seat is asked for here until then, or until its home says sooner.
-  pub refused_until_ms: u64,
+  pub full_until_ms: u64,
   /// An order failed here: it gets no work until then.
-  pub shunned_until_ms: u64,
+  pub failure_backoff_until_ms: u64,
   /// It turned an order away and wanted none until then.
-  pub paused_until_ms: u64,
+  pub requested_backoff_until_ms: u64,
   /// OpenCommands that failed here since one came to something.
-  pub failures_in_a_row: u32,
+  pub consecutive_failures: u32,
   /// Own attempts that hold a seat here.
   pub own_slots: u32,
   request_machine: InitializedStateMachine<EndpointLifecycle>,
@@ -193,48 +193,48 @@
       used_slots: 0,
     };
     Self {
-      failures_in_a_row: 0,
-      heard_ms: 0,
+      consecutive_failures: 0,
+      last_contact_ms: 0,
       incarnation: 0,
       request_machine: EndpointLifecycle::default()
         .uninitialized_state_machine()
         .init(),
       own_slots: 0,
-      paused_until_ms: 0,
-      refused_until_ms: 0,
+      requested_backoff_until_ms: 0,
+      full_until_ms: 0,
       report,
       reported_ms: 0,
       role,
       role_since_ms: 0,
-      shunned_until_ms: 0,
+      failure_backoff_until_ms: 0,
       sent: VecDeque::new(),
       spec,
     }
   }
 
   /// An order failed here: it is shunned, each time for longer.
-  pub(crate) fn failed(&mut self, now_ms: u64) {
-    let doublings = self.failures_in_a_row.min(MOST_SHUN_DOUBLINGS);
-    self.shunned_until_ms = now_ms + (FIRST_SHUN_MS << doublings);
-    self.failures_in_a_row += 1;
+  pub(crate) fn record_failure(&mut self, now_ms: u64) {
+    let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
+    self.failure_backoff_until_ms = now_ms + (FIRST_BACKOFF_MS << doublings);
+    self.consecutive_failures += 1;
   }
 
   /// It wants no orders for a while; of several pauses the one that ends last counts.
-  pub(crate) fn pause(&mut self, now_ms: u64, wanted_ms: u64) {
-    let until_ms = now_ms + wanted_ms.min(MOST_PAUSE_MS);
-    self.paused_until_ms = self.paused_until_ms.max(until_ms);
+  pub(crate) fn request_backoff(&mut self, now_ms: u64, wanted_ms: u64) {
+    let until_ms = now_ms + wanted_ms.min(MAX_REQUESTED_BACKOFF_MS);
+    self.requested_backoff_until_ms = self.requested_backoff_until_ms.max(until_ms);
   }
 
   /// An order came to something here.
-  pub(crate) fn succeeded(&mut self) {
-    self.failures_in_a_row = 0;
-    self.shunned_until_ms = 0;
+  pub(crate) fn record_success(&mut self) {
+    self.consecutive_failures = 0;
+    self.failure_backoff_until_ms = 0;
   }
 
   /// Moves the endpoint through its request_machine; true when its state changed.
-  pub(crate) fn sign(&mut self, sign: &EndpointEvent) -> bool {
+  pub(crate) fn apply_event(&mut self, event: &EndpointEvent) -> bool {
     let before = self.request_machine.state().clone();
-    self.request_machine.handle(sign);
+    self.request_machine.handle(event);
     before != *self.request_machine.state()
   }
 
@@ -244,12 +244,12 @@
   }
 
   /// Whether it can be asked for anything now.
-  pub fn is_open(&self, now_ms: u64) -> bool {
-    let closed_until_ms = self
-      .refused_until_ms
-      .max(self.shunned_until_ms)
-      .max(self.paused_until_ms);
-    closed_until_ms <= now_ms
+  pub fn is_available(&self, now_ms: u64) -> bool {
+    let unavailable_until_ms = self
+      .full_until_ms
+      .max(self.failure_backoff_until_ms)
+      .max(self.requested_backoff_until_ms);
+    unavailable_until_ms <= now_ms
   }
 
   /// Whether it is leaving.
@@ -263,7 +263,7 @@
   }
 
   /// Takes in a report; one older than the last is dropped.
-  pub(crate) fn take(&mut self, now_ms: u64, report: &LoadReport) -> bool {
+  pub(crate) fn apply_report(&mut self, now_ms: u64, report: &LoadReport) -> bool {
     let made_ms = now_ms.saturating_sub(report.age_ms);
     if made_ms < self.reported_ms || report.incarnation < self.incarnation {
       return false;
@@ -274,7 +274,7 @@
     }
     self.incarnation = report.incarnation;
     self.reported_ms = made_ms;
-    self.heard_ms = now_ms;
+    self.last_contact_ms = now_ms;
     self.report = report.clone();
     while self.sent.front().is_some_and(|sent| sent.at_ms < made_ms) {
       self.sent.pop_front();
@@ -283,7 +283,7 @@
   }
 
   /// Remembers work sent here, until a report can show it.
-  pub(crate) fn note_sent(&mut self, now_ms: u64, amount: u64) {
+  pub(crate) fn record_sent(&mut self, now_ms: u64, amount: u64) {
     self.sent.push_back(Sent {
       amount,
       at_ms: now_ms,
@@ -291,14 +291,14 @@
   }
 
   /// Forgets one unit of sent work that was taken back.
-  pub(crate) fn forget_sent(&mut self, amount: u64) {
+  pub(crate) fn remove_sent(&mut self, amount: u64) {
     if let Some(place) = self.sent.iter().rposition(|sent| sent.amount == amount) {
       self.sent.remove(place);
     }
   }
 
   /// The last report, as it can be relayed now.
-  pub(crate) fn relay(&self, now_ms: u64) -> LoadReport {
+  pub(crate) fn relayed_report(&self, now_ms: u64) -> LoadReport {
     LoadReport {
       age_ms: now_ms.saturating_sub(self.reported_ms),
       leaving: self.is_leaving(),
@@ -325,11 +325,11 @@
   /// Time at which a prefill engine is expected to have read all that waits.
   pub fn prefill_free_at_ms(&self) -> u64 {
     let tokens = self.report.queue_tokens + self.sent.iter().map(|sent| sent.amount).sum::<u64>();
-    self.reported_ms + self.read_ms(tokens)
+    self.reported_ms + self.prefill_ms(tokens)
   }
 
   /// Time to read so many tokens.
-  pub fn read_ms(&self, tokens: u64) -> u64 {
+  pub fn prefill_ms(&self, tokens: u64) -> u64 {
     tokens * 1_000 / self.spec.prefill_tokens_per_s.max(1)
   }
 
@@ -339,7 +339,7 @@
   }
 
   /// The order in which endpoints of one pool are tried: least first.
-  pub(crate) fn pool_key(&self) -> u64 {
+  pub(crate) fn load_key(&self) -> u64 {
     match self.role {
       Some(Role::Prefill) => self.prefill_free_at_ms(),
       Some(Role::Decode) | None => {
--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -73,21 +73,21 @@
   }
 
   /// Moves an endpoint through its request_machine; true when its state changed.
-  pub(crate) fn sign(&mut self, name: &Name, sign: &EndpointEvent) -> bool {
+  pub(crate) fn apply_event(&mut self, name: &Name, event: &EndpointEvent) -> bool {
     self
-      .change(name, |endpoint| endpoint.sign(sign))
+      .change(name, |endpoint| endpoint.apply_event(event))
       .unwrap_or(false)
   }
 
   /// Takes in a load report; true when the endpoint's state changed.
   pub(crate) fn report(&mut self, now_ms: u64, report: &LoadReport) -> bool {
-    let sign = EndpointEvent::Reported {
+    let event = EndpointEvent::Reported {
       incarnation: report.incarnation,
       leaving: report.leaving,
     };
     self
       .change(&report.endpoint, |endpoint| {
-        endpoint.take(now_ms, report) && endpoint.sign(&sign)
+        endpoint.apply_report(now_ms, report) && endpoint.apply_event(&event)
       })
       .unwrap_or(false)
   }
@@ -157,7 +157,7 @@
     }
     let entry = PoolEntry {
       index,
-      key: endpoint.pool_key(),
+      key: endpoint.load_key(),
     };
     let places = Self::places_of(endpoint);
     self.keys[index] = entry.key;
--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -98,10 +98,9 @@
       Event::LoadReported(report) => self.load_reported(&report),
       Event::EndpointBackoff(endpoint, wanted_ms) => {
         let now_ms = self.context.now_ms;
-        self
-          .context
-          .fleet
-          .change(&endpoint, |endpoint| endpoint.pause(now_ms, wanted_ms));
+        self.context.fleet.change(&endpoint, |endpoint| {
+          endpoint.request_backoff(now_ms, wanted_ms)
+        });
       }
       Event::PollFailed(_) | Event::HoldExtensionFailed(_) => {}
       Event::CacheReported(engine, blocks) => {
@@ -450,7 +449,7 @@
   }
 
   fn drain(&mut self, name: &Name, leaving: bool) {
-    let sign = if leaving {
+    let event = if leaving {
       let incarnation = self
         .context
         .fleet
@@ -460,7 +459,7 @@
     } else {
       EndpointEvent::Undrained
     };
-    if self.context.fleet.sign(name, &sign) {
+    if self.context.fleet.apply_event(name, &event) {
       self.record_endpoint_state(name);
       self.timers.hurry();
     }
--- a/src/decide/membership.rs
+++ b/src/decide/membership.rs
@@ -18,7 +18,7 @@
   /// Its start, from its heartbeats; 0 before the first.
   pub incarnation: u64,
   /// When it was last heard.
-  pub heard_ms: u64,
+  pub last_contact_ms: u64,
   /// Whether it says that it is stopping.
   pub leaving: bool,
   /// Whether it counts as alive.
@@ -54,7 +54,7 @@
         .entry(entry.name.clone())
         .or_insert_with(|| Peer {
           entry: entry.clone(),
-          heard_ms: now_ms,
+          last_contact_ms: now_ms,
           incarnation: 0,
           leaving: entry.leaving,
           live: true,
@@ -98,7 +98,7 @@
     }
     let news = !peer.live;
     peer.incarnation = heartbeat.incarnation;
-    peer.heard_ms = now_ms;
+    peer.last_contact_ms = now_ms;
     peer.leaving = heartbeat.leaving;
     peer.live = true;
     news
@@ -110,7 +110,7 @@
     let mut lost = Vec::new();
     for peer in self.peers.values_mut() {
       let expected = self.expected.contains(&peer.entry.name);
-      if peer.live && expected && now_ms.saturating_sub(peer.heard_ms) > silence_ms {
+      if peer.live && expected && now_ms.saturating_sub(peer.last_contact_ms) > silence_ms {
         peer.live = false;
         lost.push(peer.clone());
       }
@@ -121,7 +121,7 @@
   /// The own clock jumped: peers get a full silence again before they count as dead.
   pub fn forgive(&mut self, now_ms: u64) {
     for peer in self.peers.values_mut() {
-      peer.heard_ms = now_ms;
+      peer.last_contact_ms = now_ms;
     }
   }
 
--- a/src/decide/peer_handling.rs
+++ b/src/decide/peer_handling.rs
@@ -40,8 +40,8 @@
       self.context.record(EventKind::PeerLive, from, "");
     }
     for leaving in &heartbeat.leaving_endpoints {
-      let sign = EndpointEvent::Leaving(leaving.incarnation);
-      if self.context.fleet.sign(&leaving.endpoint, &sign) {
+      let event = EndpointEvent::Leaving(leaving.incarnation);
+      if self.context.fleet.apply_event(&leaving.endpoint, &event) {
         self.record_endpoint_state(&leaving.endpoint);
       }
     }
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -80,7 +80,7 @@
       .take(CANDIDATES)
       .find(|engine| {
         engine.spec.name != *full
-          && engine.is_open(self.now_ms)
+          && engine.is_available(self.now_ms)
           && engine.used_slots() < engine.slots()
       })
       .map(|engine| engine.spec.name.clone())
@@ -155,7 +155,7 @@
     let mut names = self
       .fleet
       .pool(key)
-      .filter(|engine| engine.is_open(self.now_ms))
+      .filter(|engine| engine.is_available(self.now_ms))
       .take(CANDIDATES)
       .map(|engine| engine.spec.name.clone())
       .collect::<Vec<_>>();
@@ -172,7 +172,7 @@
 
   fn read_by(&self, name: Name, work: &ModelWork) -> Option<Reading> {
     let engine = self.fleet.get(&name)?;
-    if !engine.is_open(self.now_ms) || engine.used_slots() >= engine.slots() {
+    if !engine.is_available(self.now_ms) || engine.used_slots() >= engine.slots() {
       return None;
     }
     let cached = match self.tuning().placement {
@@ -182,7 +182,7 @@
     let uncached_tokens = work.prompt_tokens.saturating_sub(cached).max(1);
     let queue_ms = engine.prefill_free_at_ms().saturating_sub(self.now_ms);
     Some(Reading {
-      ready_in_ms: queue_ms + engine.read_ms(uncached_tokens),
+      ready_in_ms: queue_ms + engine.prefill_ms(uncached_tokens),
       uncached_tokens,
       engine: name,
     })
@@ -225,7 +225,7 @@
         .into_iter()
         .filter_map(|name| self.fleet.get(&name))
         .filter(|engine| has_free_slot(engine, mode, now_ms, boxes))
-        .min_by_key(|engine| (tried.contains(&engine.spec.name), engine.pool_key())),
+        .min_by_key(|engine| (tried.contains(&engine.spec.name), engine.load_key())),
       None => self
         .fleet
         .pool(&key)
@@ -277,7 +277,7 @@
 }
 
 fn has_free_slot(endpoint: &Endpoint, mode: SlotMode, now_ms: u64, boxes: u32) -> bool {
-  if !endpoint.is_open(now_ms) {
+  if !endpoint.is_available(now_ms) {
     return false;
   }
   match mode {
--- a/src/decide/request_machine/completion.rs
+++ b/src/decide/request_machine/completion.rs
@@ -24,7 +24,7 @@
     let until_ms = context.now_ms + context.tuning().full_pause_ms;
     context
       .fleet
-      .change(endpoint, |endpoint| endpoint.refused_until_ms = until_ms);
+      .change(endpoint, |endpoint| endpoint.full_until_ms = until_ms);
     self.leave_attempt(context);
     self.requeue = true;
     Transition(State::queued())
@@ -47,7 +47,7 @@
     let now_ms = context.now_ms;
     context
       .fleet
-      .change(endpoint, |endpoint| endpoint.failed(now_ms));
+      .change(endpoint, |endpoint| endpoint.record_failure(now_ms));
     let doubt = if self.streaming {
       UnknownReason::AnswerBroken
     } else {
@@ -199,7 +199,7 @@
     } else {
       context.fleet.change(&engine, |service| {
         service.own_slots = service.own_slots.saturating_sub(1);
-        service.forget_sent(1);
+        service.remove_sent(1);
       });
     }
   }
--- a/src/decide/request_machine/dispatch.rs
+++ b/src/decide/request_machine/dispatch.rs
@@ -76,7 +76,7 @@
     });
     context
       .fleet
-      .change(&endpoint, |service| service.note_sent(context.now_ms, 1));
+      .change(&endpoint, |service| service.record_sent(context.now_ms, 1));
     self.seat = Some(endpoint.clone());
     self.endpoint = Some(endpoint.clone());
     context.record(EventKind::ServiceCalled, &attempt, &endpoint);
@@ -93,7 +93,7 @@
       let until_ms = context.now_ms + context.tuning().full_pause_ms;
       context
         .fleet
-        .change(&engine, |engine| engine.refused_until_ms = until_ms);
+        .change(&engine, |engine| engine.full_until_ms = until_ms);
       let attempt = self.attempt_id(context);
       context.record(EventKind::SeatRefused, attempt, engine);
     }
@@ -128,10 +128,10 @@
     let now_ms = context.now_ms;
     context.fleet.change(&placement.decode, |engine| {
       engine.own_slots += 1;
-      engine.note_sent(now_ms, 1);
+      engine.record_sent(now_ms, 1);
     });
     context.fleet.change(&placement.prefill, |engine| {
-      engine.note_sent(now_ms, placement.uncached_tokens);
+      engine.record_sent(now_ms, placement.uncached_tokens);
     });
     context.open(&attempt, &placement.prefill);
     context.record(EventKind::PrefillOrdered, &attempt, &placement.prefill);
--- a/src/decide/timers.rs
+++ b/src/decide/timers.rs
@@ -115,12 +115,15 @@
       .fleet
       .iter()
       .filter(|endpoint| {
-        endpoint.is_live() && now_ms.saturating_sub(endpoint.heard_ms) > silence_ms
+        endpoint.is_live() && now_ms.saturating_sub(endpoint.last_contact_ms) > silence_ms
       })
       .map(|endpoint| endpoint.spec.name.clone())
       .collect::<Vec<_>>();
     for name in silent {
-      self.context.fleet.sign(&name, &EndpointEvent::Silent);
+      self
+        .context
+        .fleet
+        .apply_event(&name, &EndpointEvent::Silent);
       self.record_endpoint_state(&name);
     }
     let lost = self
@@ -180,7 +183,7 @@
       .iter()
       .filter_map(|name| self.context.fleet.get(name))
       .filter(|endpoint| endpoint.is_live() || endpoint.is_leaving())
-      .map(|endpoint| endpoint.relay(now_ms))
+      .map(|endpoint| endpoint.relayed_report(now_ms))
       .collect::<Vec<_>>();
     let heartbeat = Heartbeat {
       configuration_digest: self.context.configuration.digest(),
