--- a/src/decide/context.rs
+++ b/src/decide/context.rs
@@ -163,12 +163,12 @@
 
   /// An engine that refused may be asked again.
   pub(crate) fn reopen(&mut self, engine: &Name) {
-    self.fleet.change(engine, |engine| engine.full_until_ms = 0);
+    self.fleet.update(engine, |engine| engine.full_until_ms = 0);
   }
 
   /// Gives a seat back, to whichever box is home now.
   pub(crate) fn return_slot(&mut self, attempt: &AttemptId, engine: &Name) {
-    self.fleet.change(engine, |engine| {
+    self.fleet.update(engine, |engine| {
       engine.own_slots = engine.own_slots.saturating_sub(1);
       engine.remove_sent(1);
     });
--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -28,8 +28,8 @@
   endpoints: Vec<Endpoint>,
   by_name: BTreeMap<Name, usize>,
   pools: BTreeMap<PoolKey, BTreeSet<PoolEntry>>,
-  places: Vec<Vec<PoolKey>>,
-  keys: Vec<u64>,
+  pool_keys: Vec<Vec<PoolKey>>,
+  load_keys: Vec<u64>,
 }
 
 impl Fleet {
@@ -43,8 +43,8 @@
       .collect();
     Self {
       by_name,
-      keys: vec![0; endpoints.len()],
-      places: vec![Vec::new(); endpoints.len()],
+      load_keys: vec![0; endpoints.len()],
+      pool_keys: vec![Vec::new(); endpoints.len()],
       pools: BTreeMap::new(),
       endpoints,
     }
@@ -60,33 +60,33 @@
     self.endpoints.iter()
   }
 
-  /// Changes an endpoint and puts it back in its place in the pools.
-  pub(crate) fn change<T>(
+  /// Changes an endpoint and puts it back in its pool_key in the pools.
+  pub(crate) fn update<T>(
     &mut self,
     name: &Name,
-    change: impl FnOnce(&mut Endpoint) -> T,
+    update: impl FnOnce(&mut Endpoint) -> T,
   ) -> Option<T> {
     let index = *self.by_name.get(name)?;
-    let changed = change(&mut self.endpoints[index]);
-    self.replace(index);
-    Some(changed)
+    let result = update(&mut self.endpoints[index]);
+    self.reindex(index);
+    Some(result)
   }
 
   /// Moves an endpoint through its request_machine; true when its state changed.
   pub(crate) fn apply_event(&mut self, name: &Name, event: &EndpointEvent) -> bool {
     self
-      .change(name, |endpoint| endpoint.apply_event(event))
+      .update(name, |endpoint| endpoint.apply_event(event))
       .unwrap_or(false)
   }
 
   /// Takes in a load report; true when the endpoint's state changed.
-  pub(crate) fn report(&mut self, now_ms: u64, report: &LoadReport) -> bool {
+  pub(crate) fn apply_report(&mut self, now_ms: u64, report: &LoadReport) -> bool {
     let event = EndpointEvent::Reported {
       incarnation: report.incarnation,
       leaving: report.leaving,
     };
     self
-      .change(&report.endpoint, |endpoint| {
+      .update(&report.endpoint, |endpoint| {
         endpoint.apply_report(now_ms, report) && endpoint.apply_event(&event)
       })
       .unwrap_or(false)
@@ -130,7 +130,7 @@
   }
 
   /// Endpoints known to be leaving.
-  pub(crate) fn leaving(&self) -> Vec<LeavingEndpoint> {
+  pub(crate) fn leaving_endpoints(&self) -> Vec<LeavingEndpoint> {
     self
       .iter()
       .filter(|endpoint| endpoint.is_leaving())
@@ -141,13 +141,13 @@
       .collect()
   }
 
-  fn replace(&mut self, index: usize) {
+  fn reindex(&mut self, index: usize) {
     let old = PoolEntry {
       index,
-      key: self.keys[index],
+      key: self.load_keys[index],
     };
-    for place in std::mem::take(&mut self.places[index]) {
-      if let Some(pool) = self.pools.get_mut(&place) {
+    for pool_key in std::mem::take(&mut self.pool_keys[index]) {
+      if let Some(pool) = self.pools.get_mut(&pool_key) {
         pool.remove(&old);
       }
     }
@@ -159,15 +159,19 @@
       index,
       key: endpoint.load_key(),
     };
-    let places = Self::places_of(endpoint);
-    self.keys[index] = entry.key;
-    for place in &places {
-      self.pools.entry(place.clone()).or_default().insert(entry);
+    let pool_keys = Self::pool_keys_of(endpoint);
+    self.load_keys[index] = entry.key;
+    for pool_key in &pool_keys {
+      self
+        .pools
+        .entry(pool_key.clone())
+        .or_default()
+        .insert(entry);
     }
-    self.places[index] = places;
+    self.pool_keys[index] = pool_keys;
   }
 
-  fn places_of(endpoint: &Endpoint) -> Vec<PoolKey> {
+  fn pool_keys_of(endpoint: &Endpoint) -> Vec<PoolKey> {
     let subjects = match &endpoint.spec.kind {
       EndpointKind::Engine { models, .. } => models.clone(),
       EndpointKind::Service { service } => vec![service.clone()],
--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -98,7 +98,7 @@
       Event::LoadReported(report) => self.load_reported(&report),
       Event::EndpointBackoff(endpoint, wanted_ms) => {
         let now_ms = self.context.now_ms;
-        self.context.fleet.change(&endpoint, |endpoint| {
+        self.context.fleet.update(&endpoint, |endpoint| {
           endpoint.request_backoff(now_ms, wanted_ms)
         });
       }
@@ -368,7 +368,7 @@
         report.incarnation,
       );
     }
-    if self.context.fleet.report(self.context.now_ms, report) {
+    if self.context.fleet.apply_report(self.context.now_ms, report) {
       self.record_endpoint_state(&report.endpoint);
     }
   }
--- a/src/decide/peer_handling.rs
+++ b/src/decide/peer_handling.rs
@@ -46,7 +46,7 @@
       }
     }
     for load in &heartbeat.loads {
-      if self.context.fleet.report(now_ms, load) {
+      if self.context.fleet.apply_report(now_ms, load) {
         self.record_endpoint_state(&load.endpoint);
       }
     }
--- a/src/decide/request_machine.rs
+++ b/src/decide/request_machine.rs
@@ -306,7 +306,7 @@
         outcome: StageOutcome::FirstChunk,
       } if self.is_current(attempt) => {
         self.streaming = true;
-        context.fleet.change(endpoint, Endpoint::record_success);
+        context.fleet.update(endpoint, Endpoint::record_success);
         context.record(EventKind::FirstChunk, attempt, "");
         Handled
       }
--- a/src/decide/request_machine/completion.rs
+++ b/src/decide/request_machine/completion.rs
@@ -24,7 +24,7 @@
     let until_ms = context.now_ms + context.tuning().full_pause_ms;
     context
       .fleet
-      .change(endpoint, |endpoint| endpoint.full_until_ms = until_ms);
+      .update(endpoint, |endpoint| endpoint.full_until_ms = until_ms);
     self.leave_attempt(context);
     self.requeue = true;
     Transition(State::queued())
@@ -47,7 +47,7 @@
     let now_ms = context.now_ms;
     context
       .fleet
-      .change(endpoint, |endpoint| endpoint.record_failure(now_ms));
+      .update(endpoint, |endpoint| endpoint.record_failure(now_ms));
     let doubt = if self.streaming {
       UnknownReason::AnswerBroken
     } else {
@@ -197,7 +197,7 @@
     if self.placement.is_some() {
       context.return_slot(&attempt, &engine);
     } else {
-      context.fleet.change(&engine, |service| {
+      context.fleet.update(&engine, |service| {
         service.own_slots = service.own_slots.saturating_sub(1);
         service.remove_sent(1);
       });
--- a/src/decide/request_machine/dispatch.rs
+++ b/src/decide/request_machine/dispatch.rs
@@ -71,12 +71,12 @@
     self.placed = PlacementResult::Dequeued;
     self.attempt += 1;
     let attempt = self.attempt_id(context);
-    context.fleet.change(&endpoint, |endpoint| {
+    context.fleet.update(&endpoint, |endpoint| {
       endpoint.own_slots += 1;
     });
     context
       .fleet
-      .change(&endpoint, |service| service.record_sent(context.now_ms, 1));
+      .update(&endpoint, |service| service.record_sent(context.now_ms, 1));
     self.seat = Some(endpoint.clone());
     self.endpoint = Some(endpoint.clone());
     context.record(EventKind::ServiceCalled, &attempt, &endpoint);
@@ -93,7 +93,7 @@
       let until_ms = context.now_ms + context.tuning().full_pause_ms;
       context
         .fleet
-        .change(&engine, |engine| engine.full_until_ms = until_ms);
+        .update(&engine, |engine| engine.full_until_ms = until_ms);
       let attempt = self.attempt_id(context);
       context.record(EventKind::SeatRefused, attempt, engine);
     }
@@ -126,11 +126,11 @@
     self.read_tokens = 0;
     self.seat = Some(placement.decode.clone());
     let now_ms = context.now_ms;
-    context.fleet.change(&placement.decode, |engine| {
+    context.fleet.update(&placement.decode, |engine| {
       engine.own_slots += 1;
       engine.record_sent(now_ms, 1);
     });
-    context.fleet.change(&placement.prefill, |engine| {
+    context.fleet.update(&placement.prefill, |engine| {
       engine.record_sent(now_ms, placement.uncached_tokens);
     });
     context.open(&attempt, &placement.prefill);
--- a/src/decide/request_machine/transfer.rs
+++ b/src/decide/request_machine/transfer.rs
@@ -23,7 +23,7 @@
     cached_tokens: u64,
   ) -> Outcome<State> {
     self.began = true;
-    context.fleet.change(endpoint, Endpoint::record_success);
+    context.fleet.update(endpoint, Endpoint::record_success);
     self.read_tokens = prompt_tokens.saturating_sub(cached_tokens);
     self.prefilled_ms = context.now_ms;
     let attempt = self.attempt_id(context);
@@ -68,7 +68,7 @@
     let until_ms = context.now_ms + FULL_AGAIN_MS;
     context
       .fleet
-      .change(&full, |engine| engine.full_until_ms = until_ms);
+      .update(&full, |engine| engine.full_until_ms = until_ms);
     let lasts_until_ms = self.prefilled_ms + context.tuning().export_keep_ms;
     if context.now_ms + FULL_AGAIN_MS >= lasts_until_ms {
       return self.failed(context, &full, Began::Perhaps, true);
@@ -86,7 +86,7 @@
   pub(super) fn move_slot(&mut self, context: &mut Context, other: Name) {
     self.release_slot(context);
     let now_ms = context.now_ms;
-    context.fleet.change(&other, |engine| {
+    context.fleet.update(&other, |engine| {
       engine.own_slots += 1;
       engine.record_sent(now_ms, 1);
     });
--- a/src/decide/timers.rs
+++ b/src/decide/timers.rs
@@ -190,7 +190,7 @@
       incarnation: self.context.identity.incarnation,
       latest_revision: self.context.configuration.latest_revision(),
       leaving: self.context.stopping,
-      leaving_endpoints: self.context.fleet.leaving(),
+      leaving_endpoints: self.context.fleet.leaving_endpoints(),
       loads,
     };
     for peer in self.context.members.hall_neighbours() {
