--- a/src/decide/context.rs
+++ b/src/decide/context.rs
@@ -34,13 +34,13 @@
   pub(crate) open_commands: OpenCommands,
   pub(crate) hints: PrefixHints,
   pub(crate) budget: RetryBudget,
-  pub(crate) books: BTreeMap<Name, SlotTable>,
+  pub(crate) slot_tables: BTreeMap<Name, SlotTable>,
   pub(crate) configuration: Arc<ConfigurationView>,
   pub(crate) configured: bool,
   pub(crate) stopping: bool,
   pub(crate) random: ChaCha8Rng,
   pub(crate) turn: usize,
-  homes: BTreeMap<Name, Option<Name>>,
+  owners: BTreeMap<Name, Option<Name>>,
   actions: Vec<Action>,
 }
 
@@ -50,14 +50,14 @@
     let tuning = &configuration.tuning;
     Self {
       actions: Vec::new(),
-      books: BTreeMap::new(),
+      slot_tables: BTreeMap::new(),
       budget: RetryBudget::new(tuning.retry_share, tuning.retry_burst),
       configuration: configuration.clone(),
       configured: false,
       epoch_unix_ms,
       fleet,
       hints: PrefixHints::default(),
-      homes: BTreeMap::new(),
+      owners: BTreeMap::new(),
       members: Membership::new(identity.name.clone(), identity.hall.clone()),
       now_ms: 0,
       open_commands: OpenCommands::default(),
@@ -104,31 +104,31 @@
     }
   }
 
-  /// The home box of an endpoint, if any box of its hall lives.
-  pub(crate) fn home(&mut self, endpoint: &Name) -> Option<Name> {
-    if let Some(home) = self.homes.get(endpoint) {
-      return home.clone();
+  /// The owner box of an endpoint, if any box of its hall lives.
+  pub(crate) fn owner(&mut self, endpoint: &Name) -> Option<Name> {
+    if let Some(owner) = self.owners.get(endpoint) {
+      return owner.clone();
     }
     let hall = self.fleet.get(endpoint)?.spec.hall.clone();
     let candidates = self.members.candidates(&hall, self.stopping);
-    let home = rendezvous_order(endpoint, &candidates).into_iter().next();
-    self.homes.insert(endpoint.clone(), home.clone());
-    home
+    let owner = rendezvous_order(endpoint, &candidates).into_iter().next();
+    self.owners.insert(endpoint.clone(), owner.clone());
+    owner
   }
 
-  /// Whether this box is home of an endpoint.
-  pub(crate) fn is_home(&mut self, endpoint: &Name) -> bool {
-    self.home(endpoint).as_ref() == Some(&self.identity.name)
+  /// Whether this box is owner of an endpoint.
+  pub(crate) fn is_owner(&mut self, endpoint: &Name) -> bool {
+    self.owner(endpoint).as_ref() == Some(&self.identity.name)
   }
 
   /// Homes are worked out anew after the set of live boxes changed.
-  pub(crate) fn forget_homes(&mut self) {
-    self.homes.clear();
+  pub(crate) fn clear_owners(&mut self) {
+    self.owners.clear();
   }
 
-  /// Answers an ask for a seat as the engine's home.
-  pub(crate) fn grant(&mut self, ask: &SlotRequest) -> SlotDecision {
-    let Some(engine) = self.fleet.get(&ask.engine) else {
+  /// Answers an ask for a seat as the engine's owner.
+  pub(crate) fn grant_slot(&mut self, request: &SlotRequest) -> SlotDecision {
+    let Some(engine) = self.fleet.get(&request.engine) else {
       return SlotDecision::Full;
     };
     if !engine.is_live() || engine.role != Some(Role::Decode) {
@@ -140,19 +140,19 @@
       reported_slots: engine.reported_slots(),
       slots: engine.slots(),
     };
-    let book = self.books.entry(ask.engine.clone()).or_default();
-    book.ask(self.now_ms, ask, view)
+    let table = self.slot_tables.entry(request.engine.clone()).or_default();
+    table.request_slot(self.now_ms, request, view)
   }
 
-  /// Takes a seat back as the engine's home, and tells a box that waits.
-  pub(crate) fn take_back(&mut self, attempt: &AttemptId, engine: &Name) {
+  /// Takes a seat back as the engine's owner, and tells a box that waits.
+  pub(crate) fn release_granted_slot(&mut self, attempt: &AttemptId, engine: &Name) {
     let waiting = self
-      .books
+      .slot_tables
       .get_mut(engine)
-      .and_then(|book| book.give_back(attempt));
+      .and_then(|table| table.release(attempt));
     let Some(waiting) = waiting else { return };
     if waiting == self.identity.name {
-      self.reopen(engine);
+      self.mark_available(engine);
     } else {
       self.act(Action::Send(
         waiting,
@@ -162,11 +162,11 @@
   }
 
   /// An engine that refused may be asked again.
-  pub(crate) fn reopen(&mut self, engine: &Name) {
+  pub(crate) fn mark_available(&mut self, engine: &Name) {
     self.fleet.update(engine, |engine| engine.full_until_ms = 0);
   }
 
-  /// Gives a seat back, to whichever box is home now.
+  /// Gives a seat back, to whichever box is owner now.
   pub(crate) fn return_slot(&mut self, attempt: &AttemptId, engine: &Name) {
     self.fleet.update(engine, |engine| {
       engine.own_slots = engine.own_slots.saturating_sub(1);
@@ -175,10 +175,10 @@
     if self.tuning().slot_mode != SlotMode::OwnerGrants {
       return;
     }
-    match self.home(engine) {
-      Some(home) if home == self.identity.name => self.take_back(attempt, engine),
-      Some(home) => self.act(Action::Send(
-        home,
+    match self.owner(engine) {
+      Some(owner) if owner == self.identity.name => self.release_granted_slot(attempt, engine),
+      Some(owner) => self.act(Action::Send(
+        owner,
         PeerMessage::SlotReturn(attempt.clone(), engine.clone()),
       )),
       None => {}
@@ -186,19 +186,19 @@
   }
 
   /// Answers a peer's ask.
-  pub(crate) fn answer_ask(&mut self, from: Name, ask: SlotRequest) {
-    let decision = self.grant(&ask);
+  pub(crate) fn handle_slot_request(&mut self, from: Name, request: SlotRequest) {
+    let decision = self.grant_slot(&request);
     let link_wait_ms = match decision {
       SlotDecision::Granted { link_wait_ms } => link_wait_ms,
       SlotDecision::Full => 0,
     };
-    let answer = SlotResponse {
-      attempt: ask.attempt,
-      engine: ask.engine,
+    let response = SlotResponse {
+      attempt: request.attempt,
+      engine: request.engine,
       granted: matches!(decision, SlotDecision::Granted { .. }),
       link_wait_ms,
     };
-    self.act(Action::Send(from, PeerMessage::SlotResponse(answer)));
+    self.act(Action::Send(from, PeerMessage::SlotResponse(response)));
   }
 }
 
--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -161,7 +161,11 @@
         })
         .collect(),
       ready: self.is_ready(),
-      seats_granted: context.books.values().map(super::SlotTable::len).sum(),
+      seats_granted: context
+        .slot_tables
+        .values()
+        .map(super::SlotTable::len)
+        .sum(),
       steward: self.timers.holds_lease(context.now_ms),
       stopping: context.stopping,
       waiting: self.waiting(),
@@ -178,12 +182,12 @@
     names
       .into_iter()
       .filter_map(|name| {
-        let home = self.context.home(&name);
+        let owner = self.context.owner(&name);
         let now_ms = self.context.now_ms;
         let endpoint = self.context.fleet.get(&name)?;
         Some(EndpointStatus {
           hall: endpoint.spec.hall.clone(),
-          home,
+          home: owner,
           queue_tokens_ms: endpoint.prefill_free_at_ms().saturating_sub(now_ms),
           role: endpoint.role,
           seats: endpoint.slots(),
@@ -361,7 +365,7 @@
       .map(|known| known.incarnation);
     if before.is_some_and(|before| before > 0 && report.incarnation > before) {
       self.context.open_commands.forget_endpoint(&report.endpoint);
-      self.context.books.remove(&report.endpoint);
+      self.context.slot_tables.remove(&report.endpoint);
       self.context.record(
         EventKind::EndpointReturned,
         &report.endpoint,
@@ -424,7 +428,7 @@
 
   fn boxes(&mut self, entries: &[BoxEntry]) {
     self.context.members.list(self.context.now_ms, entries);
-    self.context.forget_homes();
+    self.context.clear_owners();
   }
 
   fn configured(&mut self, view: Arc<ConfigurationView>) {
@@ -467,7 +471,7 @@
 
   fn stop(&mut self) {
     self.context.stopping = true;
-    self.context.forget_homes();
+    self.context.clear_owners();
     self.timers.hurry();
     self
       .context
--- a/src/decide/peer_handling.rs
+++ b/src/decide/peer_handling.rs
@@ -12,10 +12,12 @@
   pub(super) fn peer(&mut self, from: Name, message: PeerMessage) {
     match message {
       PeerMessage::Heartbeat(heartbeat) => self.heartbeat(&from, &heartbeat),
-      PeerMessage::SlotRequest(ask) => self.context.answer_ask(from, ask),
-      PeerMessage::SlotResponse(answer) => self.slot_response(from, answer),
-      PeerMessage::SlotReturn(attempt, engine) => self.context.take_back(&attempt, &engine),
-      PeerMessage::SlotFreed(engine) => self.context.reopen(&engine),
+      PeerMessage::SlotRequest(request) => self.context.handle_slot_request(from, request),
+      PeerMessage::SlotResponse(response) => self.handle_slot_response(from, response),
+      PeerMessage::SlotReturn(attempt, engine) => {
+        self.context.release_granted_slot(&attempt, &engine)
+      }
+      PeerMessage::SlotFreed(engine) => self.context.mark_available(&engine),
       PeerMessage::DocumentsAfter(revision) => {
         let documents = self.context.configuration.after(revision);
         self.send_documents(from, documents);
@@ -34,7 +36,7 @@
     let before = self.context.members.peer(from).map(|peer| peer.leaving);
     let came_alive = self.context.members.heard(now_ms, from, heartbeat);
     if came_alive || before != Some(heartbeat.leaving) {
-      self.context.forget_homes();
+      self.context.clear_owners();
     }
     if came_alive {
       self.context.record(EventKind::PeerLive, from, "");
@@ -76,20 +78,20 @@
     }
   }
 
-  fn slot_response(&mut self, from: Name, answer: SlotResponse) {
-    if !self.is_asking(&answer.attempt) {
-      if answer.granted {
+  fn handle_slot_response(&mut self, from: Name, response: SlotResponse) {
+    if !self.is_asking(&response.attempt) {
+      if response.granted {
         // Granted too late: nobody waits for it any more.
-        let message = PeerMessage::SlotReturn(answer.attempt, answer.engine);
+        let message = PeerMessage::SlotReturn(response.attempt, response.engine);
         self.context.act(Action::Send(from, message));
       }
       return;
     }
     let step = RequestEvent::Slot {
-      attempt: answer.attempt.clone(),
-      granted: answer.granted,
-      link_wait_ms: answer.link_wait_ms,
+      attempt: response.attempt.clone(),
+      granted: response.granted,
+      link_wait_ms: response.link_wait_ms,
     };
-    self.advance_request(answer.attempt.request(), &step);
+    self.advance_request(response.attempt.request(), &step);
   }
 }
--- a/src/decide/request_machine.rs
+++ b/src/decide/request_machine.rs
@@ -247,11 +247,11 @@
         }
       }
       RequestEvent::Tick if context.now_ms > self.asked_ms + context.tuning().ask_timeout_ms => {
-        self.take_ask_back(context);
+        self.withdraw_slot_request(context);
         self.slot_refused(context)
       }
       RequestEvent::CallerDisconnected => {
-        self.take_ask_back(context);
+        self.withdraw_slot_request(context);
         self.abandoned(context)
       }
       _ => Super,
--- a/src/decide/request_machine/dispatch.rs
+++ b/src/decide/request_machine/dispatch.rs
@@ -32,8 +32,8 @@
     self.attempt += 1;
     self.link_wait_ms = 0;
     let reserve = context.tuning().reserve_before_prefill;
-    let home = context.home(&placement.decode);
-    let ask = SlotRequest {
+    let owner = context.owner(&placement.decode);
+    let request = SlotRequest {
       attempt: self.attempt_id(context),
       engine: placement.decode.clone(),
       hold_ms: max_tokens * context.tuning().token_ms,
@@ -44,17 +44,17 @@
     if !reserve || context.tuning().slot_mode != SlotMode::OwnerGrants {
       return self.order_prefill(context, 0);
     }
-    match home {
-      Some(home) if home == context.identity.name => match context.grant(&ask) {
+    match owner {
+      Some(owner) if owner == context.identity.name => match context.grant_slot(&request) {
         SlotDecision::Granted { link_wait_ms } => self.order_prefill(context, link_wait_ms),
         SlotDecision::Full => self.slot_refused(context),
       },
-      Some(home) => {
+      Some(owner) => {
         self.asked_ms = context.now_ms;
-        context.act(Action::Send(home, PeerMessage::SlotRequest(ask)));
+        context.act(Action::Send(owner, PeerMessage::SlotRequest(request)));
         Transition(State::asking())
       }
-      // No home lives: the engine itself still refuses when full.
+      // No owner lives: the engine itself still refuses when full.
       None => self.order_prefill(context, 0),
     }
   }
@@ -102,14 +102,17 @@
     Transition(State::queued())
   }
 
-  /// The home may have granted what this box no longer waits for.
-  pub(super) fn take_ask_back(&mut self, context: &mut Context) {
+  /// The owner may have granted what this box no longer waits for.
+  pub(super) fn withdraw_slot_request(&mut self, context: &mut Context) {
     let Some(engine) = self.placement.as_ref().map(|place| place.decode.clone()) else {
       return;
     };
     let attempt = self.attempt_id(context);
-    if let Some(home) = context.home(&engine) {
-      context.act(Action::Send(home, PeerMessage::SlotReturn(attempt, engine)));
+    if let Some(owner) = context.owner(&engine) {
+      context.act(Action::Send(
+        owner,
+        PeerMessage::SlotReturn(attempt, engine),
+      ));
     }
   }
 
--- a/src/decide/slot_table.rs
+++ b/src/decide/slot_table.rs
@@ -6,17 +6,17 @@
   std::collections::{BTreeMap, VecDeque},
 };
 
-const LOST_RETURN_FACTOR: u64 = 3;
+const LOST_RELEASE_FACTOR: u64 = 3;
 const RESERVATION_SLACK_MS: u64 = 2_000;
 
 #[derive(Clone, Debug)]
 struct Grant {
   ready_at_ms: u64,
-  ends_at_ms: u64,
-  lapses_at_ms: u64,
+  expected_end_ms: u64,
+  expires_at_ms: u64,
 }
 
-/// What the home knows of the engine at the time of an ask.
+/// What the home knows of the engine at the time of an request.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineView {
   /// Seats that the engine has.
@@ -29,7 +29,7 @@
   pub certainty: f64,
 }
 
-/// The home's decision on one ask.
+/// The home's decision on one request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SlotDecision {
   /// Reserved; the transfer has to wait so long beyond the time asked for.
@@ -46,35 +46,40 @@
 pub struct SlotTable {
   grants: BTreeMap<AttemptId, Grant>,
   windows: LinkWindows,
-  refused: VecDeque<Name>,
+  rejected: VecDeque<Name>,
 }
 
 impl SlotTable {
-  /// Decides on an ask. The same attempt asked twice has one grant.
-  pub fn ask(&mut self, now_ms: u64, ask: &SlotRequest, view: EngineView) -> SlotDecision {
+  /// Decides on an request. The same attempt asked twice has one grant.
+  pub fn request_slot(
+    &mut self,
+    now_ms: u64,
+    request: &SlotRequest,
+    engine: EngineView,
+  ) -> SlotDecision {
     self.expire(now_ms);
-    self.grants.remove(&ask.attempt);
-    let ready_at_ms = now_ms + ask.ready_in_ms;
+    self.grants.remove(&request.attempt);
+    let ready_at_ms = now_ms + request.ready_in_ms;
     let held = u32::try_from(self.grants.len())
       .unwrap_or(u32::MAX)
-      .max(view.reported_slots);
-    let ending = self.ending_by(ready_at_ms);
-    let counted_on = (f64::from(ending) * (1.0 - view.certainty)).floor() as u32;
-    if held >= view.slots.saturating_add(counted_on) {
-      self.remember_refused(&ask.attempt.box_name);
+      .max(engine.reported_slots);
+    let ending = self.count_ending_by(ready_at_ms);
+    let expected_free = (f64::from(ending) * (1.0 - engine.certainty)).floor() as u32;
+    if held >= engine.slots.saturating_add(expected_free) {
+      self.record_rejected(&request.attempt.box_name);
       return SlotDecision::Full;
     }
-    let take_ms = ask.kv_bytes * 1_000 / view.link_bytes_per_s.max(1);
-    let link_wait_ms = self.windows.take(now_ms, ready_at_ms, take_ms) - ready_at_ms;
-    let ends_at_ms = ready_at_ms + link_wait_ms + ask.hold_ms;
+    let transfer_ms = request.kv_bytes * 1_000 / engine.link_bytes_per_s.max(1);
+    let link_wait_ms = self.windows.reserve(now_ms, ready_at_ms, transfer_ms) - ready_at_ms;
+    let expected_end_ms = ready_at_ms + link_wait_ms + request.hold_ms;
     self.grants.insert(
-      ask.attempt.clone(),
+      request.attempt.clone(),
       Grant {
-        ends_at_ms,
-        lapses_at_ms: ready_at_ms
+        expected_end_ms,
+        expires_at_ms: ready_at_ms
           + link_wait_ms
           + RESERVATION_SLACK_MS
-          + ask.hold_ms * LOST_RETURN_FACTOR,
+          + request.hold_ms * LOST_RELEASE_FACTOR,
         ready_at_ms,
       },
     );
@@ -82,17 +87,17 @@
   }
 
   /// Takes a seat back; answers which box to tell that a seat is free.
-  pub fn give_back(&mut self, attempt: &AttemptId) -> Option<Name> {
+  pub fn release(&mut self, attempt: &AttemptId) -> Option<Name> {
     self.grants.remove(attempt)?;
-    self.refused.pop_front()
+    self.rejected.pop_front()
   }
 
   /// Drops the grants of a box that is gone.
-  pub fn drop_box(&mut self, box_name: &Name, incarnation: u64) {
+  pub fn remove_box(&mut self, box_name: &Name, incarnation: u64) {
     self
       .grants
       .retain(|attempt, _| attempt.box_name != *box_name || attempt.incarnation > incarnation);
-    self.refused.retain(|name| name != box_name);
+    self.rejected.retain(|name| name != box_name);
   }
 
   /// The number of grants.
@@ -107,21 +112,21 @@
 
   /// Grants that lapsed without a return are dropped.
   pub fn expire(&mut self, now_ms: u64) {
-    self.grants.retain(|_, grant| grant.lapses_at_ms > now_ms);
+    self.grants.retain(|_, grant| grant.expires_at_ms > now_ms);
   }
 
-  fn ending_by(&self, time_ms: u64) -> u32 {
+  fn count_ending_by(&self, time_ms: u64) -> u32 {
     let ending = self
       .grants
       .values()
-      .filter(|grant| grant.ends_at_ms <= time_ms && grant.ready_at_ms <= time_ms)
+      .filter(|grant| grant.expected_end_ms <= time_ms && grant.ready_at_ms <= time_ms)
       .count();
     u32::try_from(ending).unwrap_or(u32::MAX)
   }
 
-  fn remember_refused(&mut self, box_name: &Name) {
-    if !self.refused.contains(box_name) {
-      self.refused.push_back(box_name.clone());
+  fn record_rejected(&mut self, box_name: &Name) {
+    if !self.rejected.contains(box_name) {
+      self.rejected.push_back(box_name.clone());
     }
   }
 }
--- a/src/decide/timers.rs
+++ b/src/decide/timers.rs
@@ -24,7 +24,7 @@
   heartbeat_ms: u64,
   beats: u64,
   /// The endpoints that this box is home of, as of the last poll.
-  homes: Vec<Name>,
+  owned_endpoints: Vec<Name>,
   poll_ms: u64,
   scan_ms: u64,
   sweep_ms: u64,
@@ -131,9 +131,9 @@
       .members
       .expire(now_ms, self.context.tuning().peer_silence_ms);
     for peer in lost {
-      self.context.forget_homes();
-      for book in self.context.books.values_mut() {
-        book.drop_box(&peer.entry.name, peer.incarnation);
+      self.context.clear_owners();
+      for table in self.context.slot_tables.values_mut() {
+        table.remove_box(&peer.entry.name, peer.incarnation);
       }
       self
         .context
@@ -142,7 +142,7 @@
   }
 
   /// The endpoints that this box is home of.
-  fn homes_held(&mut self) -> Vec<Name> {
+  fn find_owned_endpoints(&mut self) -> Vec<Name> {
     let hall = self.context.identity.hall.clone();
     let names = self
       .context
@@ -153,18 +153,21 @@
       .collect::<Vec<_>>();
     names
       .into_iter()
-      .filter(|name| self.context.is_home(name))
+      .filter(|name| self.context.is_owner(name))
       .collect()
   }
 
   fn poll_loads(&mut self) {
-    let held = self.homes_held();
+    let held = self.find_owned_endpoints();
     let kept = held.iter().cloned().collect::<BTreeSet<_>>();
-    self.context.books.retain(|engine, _| kept.contains(engine));
+    self
+      .context
+      .slot_tables
+      .retain(|engine, _| kept.contains(engine));
     for endpoint in &held {
       self.context.act(Action::PollLoad(endpoint.clone()));
     }
-    self.timers.homes = held;
+    self.timers.owned_endpoints = held;
   }
 
   /// Loads go along with each heartbeat while they are few, else with each fourth; other halls hear
@@ -174,8 +177,8 @@
     let now_ms = self.context.now_ms;
     self.timers.beats += 1;
     let is_full_beat = self.timers.beats.is_multiple_of(FULL_BEAT);
-    let held = if is_full_beat || self.timers.homes.len() <= FEW_LOADS {
-      self.timers.homes.clone()
+    let held = if is_full_beat || self.timers.owned_endpoints.len() <= FEW_LOADS {
+      self.timers.owned_endpoints.clone()
     } else {
       Vec::new()
     };
@@ -211,7 +214,7 @@
   }
 
   fn list_attempts(&mut self) {
-    for name in self.timers.homes.clone() {
+    for name in self.timers.owned_endpoints.clone() {
       let is_engine = self
         .context
         .fleet
