--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -39,7 +39,7 @@
       machine.handle_with_context(&RequestEvent::AwaitClaim, &mut self.context);
       self
         .context
-        .act(Action::Claim(request, waiting.organisation.clone(), key));
+        .emit(Action::Claim(request, waiting.organisation.clone(), key));
     } else {
       self.lanes.entry(lane).or_default().queue.push(waiting);
     }
@@ -167,6 +167,6 @@
         .context
         .record(EventKind::RequestNotRun, request.0, format!("{reason:?}"));
     }
-    self.context.act(Action::Complete(request, ending));
+    self.context.emit(Action::Complete(request, ending));
   }
 }
--- a/src/decide/context.rs
+++ b/src/decide/context.rs
@@ -72,13 +72,13 @@
     &self.configuration.tuning
   }
 
-  pub(crate) fn act(&mut self, action: Action) {
+  pub(crate) fn emit(&mut self, action: Action) {
     self.actions.push(action);
   }
 
   pub(crate) fn record(&mut self, kind: EventKind, subject: impl ToString, detail: impl ToString) {
     let event = TimelineEvent::new(kind, subject.to_string(), detail.to_string());
-    self.act(Action::Record(event));
+    self.emit(Action::Record(event));
   }
 
   pub(crate) fn take_actions(&mut self) -> Vec<Action> {
@@ -86,21 +86,21 @@
   }
 
   /// Remembers that an order leaves for an endpoint.
-  pub(crate) fn open(&mut self, attempt: &AttemptId, endpoint: &Name) {
-    self.open_commands.opened(command_key(attempt, endpoint));
+  pub(crate) fn open_command(&mut self, attempt: &AttemptId, endpoint: &Name) {
+    self.open_commands.open(command_key(attempt, endpoint));
   }
 
   /// The endpoint holds nothing for the order any more.
-  pub(crate) fn close(&mut self, attempt: &AttemptId, endpoint: &Name) {
-    self.open_commands.closed(&command_key(attempt, endpoint));
+  pub(crate) fn close_command(&mut self, attempt: &AttemptId, endpoint: &Name) {
+    self.open_commands.close(&command_key(attempt, endpoint));
   }
 
   /// Cancels an order if it is still open.
-  pub(crate) fn cancel(&mut self, attempt: &AttemptId, endpoint: &Name) {
+  pub(crate) fn cancel_command(&mut self, attempt: &AttemptId, endpoint: &Name) {
     let key = command_key(attempt, endpoint);
     if self.open_commands.cancel(self.now_ms, &key) {
       self.record(EventKind::CancelSent, attempt, endpoint);
-      self.act(Action::Cancel(attempt.clone(), endpoint.clone()));
+      self.emit(Action::Cancel(attempt.clone(), endpoint.clone()));
     }
   }
 
@@ -154,7 +154,7 @@
     if waiting == self.identity.name {
       self.mark_available(engine);
     } else {
-      self.act(Action::Send(
+      self.emit(Action::Send(
         waiting,
         PeerMessage::SlotFreed(engine.clone()),
       ));
@@ -177,7 +177,7 @@
     }
     match self.owner(engine) {
       Some(owner) if owner == self.identity.name => self.release_granted_slot(attempt, engine),
-      Some(owner) => self.act(Action::Send(
+      Some(owner) => self.emit(Action::Send(
         owner,
         PeerMessage::SlotReturn(attempt.clone(), engine.clone()),
       )),
@@ -198,7 +198,7 @@
       granted: matches!(decision, SlotDecision::Granted { .. }),
       link_wait_ms,
     };
-    self.act(Action::Send(from, PeerMessage::SlotResponse(response)));
+    self.emit(Action::Send(from, PeerMessage::SlotResponse(response)));
   }
 }
 
--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -232,7 +232,9 @@
   fn stage(&mut self, report: StageReport) {
     let request = report.attempt.request();
     if matches!(report.outcome, StageOutcome::Finished { .. }) {
-      self.context.close(&report.attempt, &report.endpoint);
+      self
+        .context
+        .close_command(&report.attempt, &report.endpoint);
     }
     self.advance_request(
       request,
@@ -348,7 +350,7 @@
 
   fn cancel_settled(&mut self, attempt: &AttemptId, endpoint: &Name, answer: CancelAnswer) {
     let key = command_key(attempt, endpoint);
-    if self.context.open_commands.settled(&key, answer) {
+    if self.context.open_commands.settle(&key, answer) {
       self.context.record(
         EventKind::CancelSettled,
         attempt,
@@ -364,7 +366,7 @@
       .get(&report.endpoint)
       .map(|known| known.incarnation);
     if before.is_some_and(|before| before > 0 && report.incarnation > before) {
-      self.context.open_commands.forget_endpoint(&report.endpoint);
+      self.context.open_commands.remove_endpoint(&report.endpoint);
       self.context.slot_tables.remove(&report.endpoint);
       self.context.record(
         EventKind::EndpointReturned,
@@ -405,8 +407,8 @@
       self
         .context
         .record(EventKind::OrphanSwept, &attempt, engine);
-      self.context.open(&attempt, engine);
-      self.context.cancel(&attempt, engine);
+      self.context.open_command(&attempt, engine);
+      self.context.cancel_command(&attempt, engine);
     }
   }
 
--- a/src/decide/open_commands.rs
+++ b/src/decide/open_commands.rs
@@ -6,13 +6,13 @@
   std::collections::BTreeMap,
 };
 
-const CANCEL_FIRST_MS: u64 = 200;
-const CANCEL_MOST_MS: u64 = 3_000;
+const FIRST_CANCEL_INTERVAL_MS: u64 = 200;
+const MAX_CANCEL_INTERVAL_MS: u64 = 3_000;
 
 #[derive(Clone, Copy, Debug)]
-struct Cancelling {
+struct PendingCancel {
   due_ms: u64,
-  wait_ms: u64,
+  interval_ms: u64,
 }
 
 /// One order at one endpoint.
@@ -27,17 +27,17 @@
 /// All orders that have left and whose end is not known.
 #[derive(Clone, Debug, Default)]
 pub struct OpenCommands {
-  open: BTreeMap<CommandKey, Option<Cancelling>>,
+  open: BTreeMap<CommandKey, Option<PendingCancel>>,
 }
 
 impl OpenCommands {
   /// An order leaves.
-  pub fn opened(&mut self, key: CommandKey) {
+  pub fn open(&mut self, key: CommandKey) {
     self.open.insert(key, None);
   }
 
   /// The endpoint holds nothing for the order any more; a cancel under way goes on until acknowledged.
-  pub fn closed(&mut self, key: &CommandKey) {
+  pub fn close(&mut self, key: &CommandKey) {
     if matches!(self.open.get(key), Some(None)) {
       self.open.remove(key);
     }
@@ -47,9 +47,9 @@
   pub fn cancel(&mut self, now_ms: u64, key: &CommandKey) -> bool {
     match self.open.get_mut(key) {
       Some(state @ None) => {
-        *state = Some(Cancelling {
-          due_ms: now_ms + CANCEL_FIRST_MS,
-          wait_ms: CANCEL_FIRST_MS,
+        *state = Some(PendingCancel {
+          due_ms: now_ms + FIRST_CANCEL_INTERVAL_MS,
+          interval_ms: FIRST_CANCEL_INTERVAL_MS,
         });
         true
       }
@@ -58,7 +58,7 @@
   }
 
   /// An endpoint answered a cancel; true when the order is settled by it.
-  pub fn settled(&mut self, key: &CommandKey, answer: CancelAnswer) -> bool {
+  pub fn settle(&mut self, key: &CommandKey, answer: CancelAnswer) -> bool {
     if answer == CancelAnswer::Unreachable {
       return false;
     }
@@ -75,29 +75,31 @@
   pub fn due(&mut self, now_ms: u64) -> Vec<CommandKey> {
     let mut due = Vec::new();
     for (key, state) in &mut self.open {
-      let Some(cancelling) = state else { continue };
-      if cancelling.due_ms > now_ms {
+      let Some(pending_cancel) = state else {
+        continue;
+      };
+      if pending_cancel.due_ms > now_ms {
         continue;
       }
-      cancelling.wait_ms = (cancelling.wait_ms * 2).min(CANCEL_MOST_MS);
-      cancelling.due_ms = now_ms + cancelling.wait_ms;
+      pending_cancel.interval_ms = (pending_cancel.interval_ms * 2).min(MAX_CANCEL_INTERVAL_MS);
+      pending_cancel.due_ms = now_ms + pending_cancel.interval_ms;
       due.push(key.clone());
     }
     due
   }
 
   /// The endpoint started anew and holds nothing of before.
-  pub fn forget_endpoint(&mut self, endpoint: &Name) {
+  pub fn remove_endpoint(&mut self, endpoint: &Name) {
     self
       .open
-      .retain(|key, cancelling| key.endpoint != *endpoint || cancelling.is_none());
+      .retain(|key, pending_cancel| key.endpoint != *endpoint || pending_cancel.is_none());
   }
 
   /// Attempts to be held on to, by endpoint.
   pub fn held(&self) -> BTreeMap<Name, Vec<AttemptId>> {
     let mut held = BTreeMap::<Name, Vec<AttemptId>>::new();
-    for (key, cancelling) in &self.open {
-      if cancelling.is_none() {
+    for (key, pending_cancel) in &self.open {
+      if pending_cancel.is_none() {
         held
           .entry(key.endpoint.clone())
           .or_default()
--- a/src/decide/peer_handling.rs
+++ b/src/decide/peer_handling.rs
@@ -60,7 +60,7 @@
   fn send_documents(&mut self, to: Name, documents: Vec<Document>) {
     if !documents.is_empty() {
       let message = PeerMessage::Documents(documents);
-      self.context.act(Action::Send(to, message));
+      self.context.emit(Action::Send(to, message));
     }
   }
 
@@ -74,7 +74,7 @@
     };
     // Who is ahead is asked by the other side.
     if latest_revision >= own.latest_revision() {
-      self.context.act(Action::Send(from.clone(), message));
+      self.context.emit(Action::Send(from.clone(), message));
     }
   }
 
@@ -83,7 +83,7 @@
       if response.granted {
         // Granted too late: nobody waits for it any more.
         let message = PeerMessage::SlotReturn(response.attempt, response.engine);
-        self.context.act(Action::Send(from, message));
+        self.context.emit(Action::Send(from, message));
       }
       return;
     }
--- a/src/decide/request_machine.rs
+++ b/src/decide/request_machine.rs
@@ -369,7 +369,7 @@
         endpoint,
         outcome: StageOutcome::Full,
       } if self.is_current(attempt) => {
-        context.close(attempt, endpoint);
+        context.close_command(attempt, endpoint);
         self.refused_as_full(context, endpoint)
       }
       RequestEvent::Stage {
--- a/src/decide/request_machine/completion.rs
+++ b/src/decide/request_machine/completion.rs
@@ -117,7 +117,7 @@
     self.release_claim(context);
     let request = self.arrival.request;
     context.record(EventKind::RequestNotRun, request.0, format!("{reason:?}"));
-    context.act(Action::Complete(
+    context.emit(Action::Complete(
       request,
       RequestOutcome::NotRun {
         reason,
@@ -130,7 +130,7 @@
   pub(super) fn unknown(&mut self, context: &mut Context, reason: UnknownReason) -> Outcome<State> {
     let request = self.arrival.request;
     context.record(EventKind::RequestUnknown, request.0, format!("{reason:?}"));
-    context.act(Action::Complete(
+    context.emit(Action::Complete(
       request,
       RequestOutcome::Unknown { reason },
     ));
@@ -140,12 +140,12 @@
   pub(super) fn answered(&mut self, context: &mut Context) -> Outcome<State> {
     let attempt = self.attempt_id(context);
     if let Some(placement) = &self.placement {
-      context.close(&attempt, &placement.decode);
+      context.close_command(&attempt, &placement.decode);
     }
     self.release_slot(context);
     let request = self.arrival.request;
     context.record(EventKind::RequestAnswered, request.0, &attempt);
-    context.act(Action::Complete(request, RequestOutcome::Answered));
+    context.emit(Action::Complete(request, RequestOutcome::Answered));
     Transition(State::ended())
   }
 
@@ -156,7 +156,7 @@
     }
     let request = self.arrival.request;
     context.record(EventKind::RequestAbandoned, request.0, "");
-    context.act(Action::Complete(request, RequestOutcome::Abandoned));
+    context.emit(Action::Complete(request, RequestOutcome::Abandoned));
     Transition(State::ended())
   }
 
@@ -168,7 +168,7 @@
       return;
     };
     context.record(EventKind::ClaimReleased, self.arrival.request.0, "");
-    context.act(Action::ReleaseClaim(
+    context.emit(Action::ReleaseClaim(
       self.arrival.request,
       self.arrival.organisation.clone(),
       key,
@@ -183,8 +183,8 @@
       self.read_tokens = 0;
     }
     if let Some(placement) = self.placement.clone() {
-      context.cancel(&attempt, &placement.prefill);
-      context.cancel(&attempt, &placement.decode);
+      context.cancel_command(&attempt, &placement.prefill);
+      context.cancel_command(&attempt, &placement.decode);
     }
     self.release_slot(context);
   }
--- a/src/decide/request_machine/dispatch.rs
+++ b/src/decide/request_machine/dispatch.rs
@@ -51,7 +51,7 @@
       },
       Some(owner) => {
         self.asked_ms = context.now_ms;
-        context.act(Action::Send(owner, PeerMessage::SlotRequest(request)));
+        context.emit(Action::Send(owner, PeerMessage::SlotRequest(request)));
         Transition(State::asking())
       }
       // No owner lives: the engine itself still refuses when full.
@@ -80,7 +80,7 @@
     self.seat = Some(endpoint.clone());
     self.endpoint = Some(endpoint.clone());
     context.record(EventKind::ServiceCalled, &attempt, &endpoint);
-    context.act(Action::Call(CallCommand {
+    context.emit(Action::Call(CallCommand {
       attempt,
       deadline_ms: self.left_ms(context),
       endpoint,
@@ -109,7 +109,7 @@
     };
     let attempt = self.attempt_id(context);
     if let Some(owner) = context.owner(&engine) {
-      context.act(Action::Send(
+      context.emit(Action::Send(
         owner,
         PeerMessage::SlotReturn(attempt, engine),
       ));
@@ -136,9 +136,9 @@
     context.fleet.update(&placement.prefill, |engine| {
       engine.record_sent(now_ms, placement.uncached_tokens);
     });
-    context.open(&attempt, &placement.prefill);
+    context.open_command(&attempt, &placement.prefill);
     context.record(EventKind::PrefillOrdered, &attempt, &placement.prefill);
-    context.act(Action::Prefill(PrefillCommand {
+    context.emit(Action::Prefill(PrefillCommand {
       attempt,
       deadline_ms: self.left_ms(context),
       engine: placement.prefill,
--- a/src/decide/request_machine/transfer.rs
+++ b/src/decide/request_machine/transfer.rs
@@ -43,9 +43,9 @@
       return Handled;
     };
     let attempt = self.attempt_id(context);
-    context.open(&attempt, &placement.decode);
+    context.open_command(&attempt, &placement.decode);
     context.record(EventKind::TransferOrdered, &attempt, &placement.decode);
-    context.act(Action::Import(ImportCommand {
+    context.emit(Action::Import(ImportCommand {
       attempt,
       deadline_ms: self.left_ms(context),
       engine: placement.decode,
@@ -64,7 +64,7 @@
     let Some(full) = self.placement.as_ref().map(|place| place.decode.clone()) else {
       return Handled;
     };
-    context.close(&attempt, &full);
+    context.close_command(&attempt, &full);
     let until_ms = context.now_ms + FULL_AGAIN_MS;
     context
       .fleet
@@ -101,7 +101,7 @@
       return Handled;
     };
     let attempt = self.attempt_id(context);
-    context.close(&attempt, &placement.prefill);
+    context.close_command(&attempt, &placement.prefill);
     self.read_tokens = 0;
     context.record(EventKind::TransferDone, &attempt, &placement.decode);
     let kind = if self.offset > 0 {
@@ -110,7 +110,7 @@
       EventKind::DecodeOrdered
     };
     context.record(kind, &attempt, &placement.decode);
-    context.act(Action::Decode(DecodeCommand {
+    context.emit(Action::Decode(DecodeCommand {
       attempt,
       engine: placement.decode,
       offset: self.offset,
--- a/src/decide/timers.rs
+++ b/src/decide/timers.rs
@@ -103,7 +103,7 @@
 
   fn send_cancels(&mut self) {
     for key in self.context.open_commands.due(self.context.now_ms) {
-      self.context.act(Action::Cancel(key.attempt, key.endpoint));
+      self.context.emit(Action::Cancel(key.attempt, key.endpoint));
     }
   }
 
@@ -165,7 +165,7 @@
       .slot_tables
       .retain(|engine, _| kept.contains(engine));
     for endpoint in &held {
-      self.context.act(Action::PollLoad(endpoint.clone()));
+      self.context.emit(Action::PollLoad(endpoint.clone()));
     }
     self.timers.owned_endpoints = held;
   }
@@ -198,7 +198,7 @@
     };
     for peer in self.context.members.hall_neighbours() {
       let message = PeerMessage::Heartbeat(heartbeat.clone());
-      self.context.act(Action::Send(peer, message));
+      self.context.emit(Action::Send(peer, message));
     }
     if !is_full_beat {
       return;
@@ -209,7 +209,7 @@
     }
     for peer in self.context.members.far_neighbours() {
       let message = PeerMessage::Heartbeat(heartbeat.clone());
-      self.context.act(Action::Send(peer, message));
+      self.context.emit(Action::Send(peer, message));
     }
   }
 
@@ -221,7 +221,7 @@
         .get(&name)
         .is_some_and(|endpoint| matches!(endpoint.spec.kind, EndpointKind::Engine { .. }));
       if is_engine {
-        self.context.act(Action::ListAttempts(name));
+        self.context.emit(Action::ListAttempts(name));
       }
     }
   }
@@ -239,7 +239,7 @@
         .held_since_ms
         .entry(engine.clone())
         .or_insert(now_ms);
-      self.context.act(Action::ExtendHolds(HoldCommand {
+      self.context.emit(Action::ExtendHolds(HoldCommand {
         attempts,
         engine,
         hold_ms: self.context.tuning().hold_ms,
@@ -265,7 +265,7 @@
         self.context.record(EventKind::HoldLost, &attempt, &engine);
         self
           .context
-          .act(Action::AbortStream(attempt, engine.clone()));
+          .emit(Action::AbortStream(attempt, engine.clone()));
       }
     }
   }
@@ -308,7 +308,7 @@
         &turn.engine,
         format!("{:?}", turn.role),
       );
-      self.context.act(Action::SetRole(RoleCommand {
+      self.context.emit(Action::SetRole(RoleCommand {
         engine: turn.engine,
         fence: self.timers.fence,
         role: turn.role,
