--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -3,14 +3,14 @@
 use {
   super::{
     Action, Arrival, EventKind, Machine, NotRunReason, PlacementError, Rank, RequestEvent,
-    RequestMachine, RequestOutcome, Work, machine::ABSENT_RETRY_MS,
+    RequestMachine, RequestOutcome, Work, machine::DEFAULT_RETRY_AFTER_MS,
   },
   crate::{ids::RequestId, policy::RequestAttributes},
   statig::prelude::*,
 };
 
 /// The least time after which a refused caller is told to come back.
-const LEAST_RETRY_MS: u64 = 100;
+const MIN_RETRY_AFTER_MS: u64 = 100;
 
 impl Machine {
   pub(super) fn arrived(&mut self, arrival: Arrival) {
@@ -86,7 +86,7 @@
       })
     };
     if !self.context.configured {
-      return not_run(NotRunReason::NotReady, ABSENT_RETRY_MS);
+      return not_run(NotRunReason::NotReady, DEFAULT_RETRY_AFTER_MS);
     }
     let organisation = &arrival.organisation;
     let view = &self.context.configuration;
@@ -96,18 +96,21 @@
       .and_then(|limits| limits.in_progress)
       .unwrap_or(view.tuning.organisation_limit);
     if self.in_progress.get(organisation).copied().unwrap_or(0) >= limit {
-      return not_run(NotRunReason::OrganisationLimit, ABSENT_RETRY_MS);
+      return not_run(NotRunReason::OrganisationLimit, DEFAULT_RETRY_AFTER_MS);
     }
     let allowed_ms = arrival.deadline_ms.unwrap_or(rank.first_token_ms);
     let Some(predicted_ms) = self.predicted_ms(&arrival.work, rank) else {
-      return not_run(NotRunReason::NoEndpoint, ABSENT_RETRY_MS);
+      return not_run(NotRunReason::NoEndpoint, DEFAULT_RETRY_AFTER_MS);
     };
     if self.context.tuning().early_refusal && predicted_ms > allowed_ms {
-      let retry_after_ms = (predicted_ms - allowed_ms).max(LEAST_RETRY_MS);
+      let retry_after_ms = (predicted_ms - allowed_ms).max(MIN_RETRY_AFTER_MS);
       return not_run(NotRunReason::TooLate, retry_after_ms);
     }
     if !self.make_room(&arrival.work, rank) {
-      return not_run(NotRunReason::QueueFull, predicted_ms.max(ABSENT_RETRY_MS));
+      return not_run(
+        NotRunReason::QueueFull,
+        predicted_ms.max(DEFAULT_RETRY_AFTER_MS),
+      );
     }
     None
   }
@@ -153,10 +156,10 @@
     if newcomer_is_less || rank.priority < least.priority {
       return false;
     }
-    let retry_after_ms = full.wait_ms(least.priority).max(ABSENT_RETRY_MS);
+    let retry_after_ms = full.wait_ms(least.priority).max(DEFAULT_RETRY_AFTER_MS);
     self.advance_request(
       least.request,
-      &RequestEvent::Refuse(NotRunReason::Shed, retry_after_ms),
+      &RequestEvent::Reject(NotRunReason::Shed, retry_after_ms),
     );
     true
   }
--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -18,7 +18,7 @@
 };
 
 /// When to come back where nothing says better.
-pub(super) const ABSENT_RETRY_MS: u64 = 1_000;
+pub(super) const DEFAULT_RETRY_AFTER_MS: u64 = 1_000;
 const EXPIRY_PERIOD_MS: u64 = 50;
 
 /// What a machine starts with.
@@ -247,12 +247,12 @@
   }
 
   /// Moves one request, and puts it where its new state belongs.
-  pub(super) fn advance_request(&mut self, request: RequestId, step: &RequestEvent) {
+  pub(super) fn advance_request(&mut self, request: RequestId, event: &RequestEvent) {
     let Some(machine) = self.requests.get_mut(&request) else {
       return;
     };
     let was_queued = *machine.state() == State::Queued {};
-    machine.handle_with_context(step, &mut self.context);
+    machine.handle_with_context(event, &mut self.context);
     let is_queued = *machine.state() == State::Queued {};
     let ended = *machine.state() == State::Ended {};
     let request_machine = machine.inner();
@@ -288,11 +288,11 @@
   }
 
   /// Whether a request waits for the answer to this very ask.
-  pub(super) fn is_asking(&self, attempt: &AttemptId) -> bool {
+  pub(super) fn is_requesting_slot(&self, attempt: &AttemptId) -> bool {
     self
       .requests
       .get(&attempt.request())
-      .is_some_and(|machine| *machine.state() == State::Asking {})
+      .is_some_and(|machine| *machine.state() == State::RequestingSlot {})
       && attempt.incarnation == self.context.identity.incarnation
   }
 
@@ -343,7 +343,7 @@
   fn end_without_engine(&mut self, request: RequestId) -> bool {
     self.advance_request(
       request,
-      &RequestEvent::Refuse(NotRunReason::NoEndpoint, ABSENT_RETRY_MS),
+      &RequestEvent::Reject(NotRunReason::NoEndpoint, DEFAULT_RETRY_AFTER_MS),
     );
     true
   }
@@ -487,13 +487,13 @@
       return;
     }
     self.expired_ms = now_ms;
-    let asking = self
+    let requesting = self
       .requests
       .iter()
-      .filter(|(_, machine)| *machine.state() == State::Asking {})
+      .filter(|(_, machine)| *machine.state() == State::RequestingSlot {})
       .map(|(request, _)| *request)
       .collect::<Vec<_>>();
-    for request in asking {
+    for request in requesting {
       self.advance_request(request, &RequestEvent::Tick);
     }
     let late = self
@@ -511,7 +511,7 @@
     for request in late {
       self.advance_request(
         request,
-        &RequestEvent::Refuse(NotRunReason::TooLate, ABSENT_RETRY_MS),
+        &RequestEvent::Reject(NotRunReason::TooLate, DEFAULT_RETRY_AFTER_MS),
       );
     }
   }
--- a/src/decide/peer_handling.rs
+++ b/src/decide/peer_handling.rs
@@ -79,7 +79,7 @@
   }
 
   fn handle_slot_response(&mut self, from: Name, response: SlotResponse) {
-    if !self.is_asking(&response.attempt) {
+    if !self.is_requesting_slot(&response.attempt) {
       if response.granted {
         // Granted too late: nobody waits for it any more.
         let message = PeerMessage::SlotReturn(response.attempt, response.engine);
@@ -87,11 +87,11 @@
       }
       return;
     }
-    let step = RequestEvent::Slot {
+    let event = RequestEvent::Slot {
       attempt: response.attempt.clone(),
       granted: response.granted,
       link_wait_ms: response.link_wait_ms,
     };
-    self.advance_request(response.attempt.request(), &step);
+    self.advance_request(response.attempt.request(), &event);
   }
 }
--- a/src/decide/request_machine.rs
+++ b/src/decide/request_machine.rs
@@ -10,9 +10,9 @@
 };
 
 /// Grace beyond the deadline for work that began.
-const BEGUN_GRACE_MS: u64 = 20_000;
+const STARTED_GRACE_MS: u64 = 20_000;
 /// When to come back after the key-value service did not answer.
-const CLAIM_RETRY_MS: u64 = 2_000;
+const CLAIM_RETRY_AFTER_MS: u64 = 2_000;
 
 mod completion;
 mod dispatch;
@@ -50,7 +50,7 @@
   /// Its caller has gone.
   CallerDisconnected,
   /// It can't be served in time, or must make room.
-  Refuse(NotRunReason, u64),
+  Reject(NotRunReason, u64),
   /// Time has passed.
   Tick,
 }
@@ -83,14 +83,14 @@
   failures: u32,
   placement: Option<Placement>,
   prefilled_ms: u64,
-  seat: Option<Name>,
-  asked_ms: u64,
+  slot: Option<Name>,
+  slot_requested_ms: u64,
   link_wait_ms: u64,
   offset: u64,
   began: bool,
   streaming: bool,
   claimed: bool,
-  read_tokens: u64,
+  prefilled_tokens: u64,
   endpoint: Option<Name>,
   tried: Vec<Name>,
 }
@@ -100,7 +100,7 @@
     let allowed_ms = arrival.deadline_ms.unwrap_or(rank.first_token_ms);
     Self {
       arrived_ms: now_ms,
-      asked_ms: 0,
+      slot_requested_ms: 0,
       attempt: 0,
       began: false,
       claimed: false,
@@ -112,9 +112,9 @@
       placed: PlacementResult::Waiting(PlacementError::NoSlot),
       placement: None,
       prefilled_ms: 0,
-      read_tokens: 0,
+      prefilled_tokens: 0,
       requeue: false,
-      seat: None,
+      slot: None,
       streaming: false,
       tried: Vec::new(),
       arrival,
@@ -123,7 +123,7 @@
   }
 
   /// The lane it waits in: its model, or its plain service.
-  pub fn lane(&self) -> &Name {
+  pub fn queue_name(&self) -> &Name {
     match &self.arrival.work {
       Work::Model(work) => &work.model,
       Work::Service(work) => &work.service,
@@ -131,7 +131,7 @@
   }
 
   /// How it stands in the queue.
-  pub(crate) fn waiting(&self) -> QueueEntry {
+  pub(crate) fn queue_entry(&self) -> QueueEntry {
     let cost_tokens = match &self.arrival.work {
       Work::Model(work) => work.prompt_tokens + work.max_tokens,
       Work::Service(_) => 1,
@@ -149,7 +149,7 @@
   /// Whether it has waited for longer than makes sense. Work that began was accepted for good: late is
   /// better for it than "unknown", up to a bound.
   pub(crate) fn is_overdue(&self, now_ms: u64) -> bool {
-    let grace_ms = if self.began { BEGUN_GRACE_MS } else { 0 };
+    let grace_ms = if self.began { STARTED_GRACE_MS } else { 0 };
     now_ms >= self.deadline_ms + grace_ms
   }
 
@@ -166,11 +166,11 @@
     attempt.attempt == self.attempt
   }
 
-  fn left_ms(&self, context: &Context) -> u64 {
+  fn remaining_ms(&self, context: &Context) -> u64 {
     self.deadline_ms.saturating_sub(context.now_ms)
   }
 
-  fn claim_wanted(&self) -> Option<Name> {
+  fn claim_key(&self) -> Option<Name> {
     let key = self.arrival.idempotency_key.clone()?;
     self.arrival.not_repeatable.then_some(key)
   }
@@ -179,7 +179,7 @@
 #[state_machine(initial = "State::queued()", state(derive(Clone, Debug, PartialEq)))]
 impl RequestMachine {
   /// Its claim is being written.
-  #[state(superstate = "unsent")]
+  #[state(superstate = "not_dispatched")]
   fn claiming(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
       RequestEvent::Claim(ClaimOutcome::Held) => {
@@ -190,32 +190,36 @@
       }
       RequestEvent::Claim(ClaimOutcome::Taken) => {
         context.record(EventKind::ClaimTaken, self.arrival.request.0, "");
-        self.not_run(context, NotRunReason::AlreadyClaimed, 0)
+        self.finish_not_run(context, NotRunReason::AlreadyClaimed, 0)
       }
       RequestEvent::Claim(ClaimOutcome::Unavailable) => {
         context.record(EventKind::ClaimUnavailable, self.arrival.request.0, "");
-        self.not_run(context, NotRunReason::ClaimUnavailable, CLAIM_RETRY_MS)
+        self.finish_not_run(
+          context,
+          NotRunReason::ClaimUnavailable,
+          CLAIM_RETRY_AFTER_MS,
+        )
       }
       // A claim may have been written: its settling releases or keeps it.
-      RequestEvent::CallerDisconnected => Transition(State::claim_unwanted()),
+      RequestEvent::CallerDisconnected => Transition(State::claim_orphaned()),
       _ => Super,
     }
   }
 
   /// Its caller left while the claim was being written.
   #[state]
-  fn claim_unwanted(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
+  fn claim_orphaned(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
       RequestEvent::Claim(outcome) => {
         self.claimed = *outcome == ClaimOutcome::Held;
-        self.abandoned(context)
+        self.finish_abandoned(context)
       }
       _ => Handled,
     }
   }
 
   /// It waits for a place.
-  #[state(superstate = "unsent")]
+  #[state(superstate = "not_dispatched")]
   fn queued(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
       RequestEvent::AwaitClaim => Transition(State::claiming()),
@@ -232,8 +236,8 @@
   }
 
   /// A home was asked for a seat.
-  #[state(superstate = "unsent")]
-  fn asking(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
+  #[state(superstate = "not_dispatched")]
+  fn requesting_slot(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
       RequestEvent::Slot {
         attempt,
@@ -241,25 +245,27 @@
         link_wait_ms,
       } if self.is_current(attempt) => {
         if *granted {
-          self.order_prefill(context, *link_wait_ms)
+          self.start_prefill(context, *link_wait_ms)
         } else {
-          self.slot_refused(context)
+          self.requeue_without_slot(context)
         }
       }
-      RequestEvent::Tick if context.now_ms > self.asked_ms + context.tuning().ask_timeout_ms => {
+      RequestEvent::Tick
+        if context.now_ms > self.slot_requested_ms + context.tuning().ask_timeout_ms =>
+      {
         self.withdraw_slot_request(context);
-        self.slot_refused(context)
+        self.requeue_without_slot(context)
       }
       RequestEvent::CallerDisconnected => {
         self.withdraw_slot_request(context);
-        self.abandoned(context)
+        self.finish_abandoned(context)
       }
       _ => Super,
     }
   }
 
   /// The prompt is being read.
-  #[state(superstate = "sent")]
+  #[state(superstate = "dispatched")]
   fn prefilling(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
       RequestEvent::Stage {
@@ -272,32 +278,32 @@
             ..
           },
       } if self.is_current(attempt) => {
-        self.prefilled(context, endpoint, *prompt_tokens, *cached_tokens)
+        self.handle_prefilled(context, endpoint, *prompt_tokens, *cached_tokens)
       }
       _ => Super,
     }
   }
 
   /// The KV cache is on its way.
-  #[state(superstate = "sent")]
+  #[state(superstate = "dispatched")]
   fn transferring(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
       RequestEvent::Stage {
         attempt,
         outcome: StageOutcome::Imported,
         ..
-      } if self.is_current(attempt) => self.order_decode(context),
+      } if self.is_current(attempt) => self.start_decode(context),
       RequestEvent::Stage {
         attempt,
         outcome: StageOutcome::Full,
         ..
-      } if self.is_current(attempt) => self.decode_full(context),
+      } if self.is_current(attempt) => self.handle_decode_full(context),
       _ => Super,
     }
   }
 
   /// The answer is being written.
-  #[state(superstate = "sent")]
+  #[state(superstate = "dispatched")]
   fn decoding(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
       RequestEvent::Stage {
@@ -314,13 +320,13 @@
         attempt,
         outcome: StageOutcome::Finished { .. },
         ..
-      } if self.is_current(attempt) => self.answered(context),
+      } if self.is_current(attempt) => self.finish_answered(context),
       _ => Super,
     }
   }
 
   /// A plain service is at work.
-  #[state(superstate = "sent")]
+  #[state(superstate = "dispatched")]
   fn calling(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
       RequestEvent::Stage {
@@ -336,7 +342,7 @@
         attempt,
         outcome: StageOutcome::Finished { .. },
         ..
-      } if self.is_current(attempt) => self.answered(context),
+      } if self.is_current(attempt) => self.finish_answered(context),
       _ => Super,
     }
   }
@@ -349,11 +355,11 @@
 
   /// No order has left for the present attempt.
   #[superstate]
-  fn unsent(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
+  fn not_dispatched(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
-      RequestEvent::CallerDisconnected => self.abandoned(context),
-      RequestEvent::Refuse(reason, retry_after_ms) => {
-        self.give_up(context, *reason, *retry_after_ms)
+      RequestEvent::CallerDisconnected => self.finish_abandoned(context),
+      RequestEvent::Reject(reason, retry_after_ms) => {
+        self.reject(context, *reason, *retry_after_ms)
       }
       _ => Handled,
     }
@@ -361,16 +367,16 @@
 
   /// An order of the present attempt has left.
   #[superstate]
-  fn sent(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
+  fn dispatched(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
-      RequestEvent::CallerDisconnected => self.abandoned(context),
+      RequestEvent::CallerDisconnected => self.finish_abandoned(context),
       RequestEvent::Stage {
         attempt,
         endpoint,
         outcome: StageOutcome::Full,
       } if self.is_current(attempt) => {
         context.close_command(attempt, endpoint);
-        self.refused_as_full(context, endpoint)
+        self.requeue_after_full(context, endpoint)
       }
       RequestEvent::Stage {
         attempt,
@@ -383,7 +389,7 @@
           },
       } if self.is_current(attempt) => {
         self.offset = (*offset).max(self.offset);
-        self.failed(context, endpoint, *began, *resumable)
+        self.handle_failure(context, endpoint, *began, *resumable)
       }
       _ => Handled,
     }
@@ -393,10 +399,6 @@
 impl RequestMachine {
   /// Begins with the claim where one is needed.
   pub(crate) fn needs_claim(&self) -> Option<Name> {
-    if self.claimed {
-      None
-    } else {
-      self.claim_wanted()
-    }
+    if self.claimed { None } else { self.claim_key() }
   }
 }
--- a/src/decide/request_machine/completion.rs
+++ b/src/decide/request_machine/completion.rs
@@ -12,11 +12,11 @@
 };
 
 /// When to come back after nothing could be begun.
-const BUSY_RETRY_MS: u64 = 1_000;
+const BUSY_RETRY_AFTER_MS: u64 = 1_000;
 
 impl RequestMachine {
   /// Nothing began: the request waits for its turn again, and no retry is spent.
-  pub(super) fn refused_as_full(
+  pub(super) fn requeue_after_full(
     &mut self,
     context: &mut Context,
     endpoint: &Name,
@@ -25,13 +25,13 @@
     context
       .fleet
       .update(endpoint, |endpoint| endpoint.full_until_ms = until_ms);
-    self.leave_attempt(context);
+    self.abandon_attempt(context);
     self.requeue = true;
     Transition(State::queued())
   }
 
   /// An order failed: try again where that is allowed, or end.
-  pub(super) fn failed(
+  pub(super) fn handle_failure(
     &mut self,
     context: &mut Context,
     endpoint: &Name,
@@ -41,27 +41,27 @@
     let attempt = self.attempt_id(context);
     context.record(EventKind::OrderFailed, &attempt, endpoint);
     self.began |= began == Began::Perhaps;
-    self.leave_attempt(context);
+    self.abandon_attempt(context);
     self.tried.push(endpoint.clone());
     self.failures += 1;
     let now_ms = context.now_ms;
     context
       .fleet
       .update(endpoint, |endpoint| endpoint.record_failure(now_ms));
-    let doubt = if self.streaming {
+    let unknown_reason = if self.streaming {
       UnknownReason::AnswerBroken
     } else {
       UnknownReason::EndpointFailed
     };
     if !self.may_retry(resumable) {
-      return self.end_failed(context, NotRunReason::NeverBegan, doubt);
+      return self.finish_failed(context, NotRunReason::NeverBegan, unknown_reason);
     }
     if self.failures >= context.tuning().max_attempts {
-      return self.end_failed(context, NotRunReason::NeverBegan, doubt);
+      return self.finish_failed(context, NotRunReason::NeverBegan, unknown_reason);
     }
     if !context.budget.take() {
       context.record(EventKind::RetryDenied, &attempt, "");
-      return self.end_failed(context, NotRunReason::RetryBudget, doubt);
+      return self.finish_failed(context, NotRunReason::RetryBudget, unknown_reason);
     }
     self.requeue = true;
     Transition(State::queued())
@@ -78,37 +78,37 @@
     }
   }
 
-  pub(super) fn end_failed(
+  pub(super) fn finish_failed(
     &mut self,
     context: &mut Context,
     reason: NotRunReason,
-    doubt: UnknownReason,
+    unknown_reason: UnknownReason,
   ) -> Outcome<State> {
     if self.began {
-      return self.unknown(context, doubt);
+      return self.finish_unknown(context, unknown_reason);
     }
-    self.not_run(context, reason, BUSY_RETRY_MS)
+    self.finish_not_run(context, reason, BUSY_RETRY_AFTER_MS)
   }
 
   /// Ends a request that waits: "not run" if nothing ever began, else "unknown".
-  pub(super) fn give_up(
+  pub(super) fn reject(
     &mut self,
     context: &mut Context,
     reason: NotRunReason,
     retry_after_ms: u64,
   ) -> Outcome<State> {
     if self.began {
-      let doubt = match reason {
+      let unknown_reason = match reason {
         _ if self.streaming => UnknownReason::AnswerBroken,
         NotRunReason::TooLate => UnknownReason::TimedOut,
         _ => UnknownReason::EndpointFailed,
       };
-      return self.unknown(context, doubt);
+      return self.finish_unknown(context, unknown_reason);
     }
-    self.not_run(context, reason, retry_after_ms)
+    self.finish_not_run(context, reason, retry_after_ms)
   }
 
-  pub(super) fn not_run(
+  pub(super) fn finish_not_run(
     &mut self,
     context: &mut Context,
     reason: NotRunReason,
@@ -127,7 +127,11 @@
     Transition(State::ended())
   }
 
-  pub(super) fn unknown(&mut self, context: &mut Context, reason: UnknownReason) -> Outcome<State> {
+  pub(super) fn finish_unknown(
+    &mut self,
+    context: &mut Context,
+    reason: UnknownReason,
+  ) -> Outcome<State> {
     let request = self.arrival.request;
     context.record(EventKind::RequestUnknown, request.0, format!("{reason:?}"));
     context.emit(Action::Complete(
@@ -137,7 +141,7 @@
     Transition(State::ended())
   }
 
-  pub(super) fn answered(&mut self, context: &mut Context) -> Outcome<State> {
+  pub(super) fn finish_answered(&mut self, context: &mut Context) -> Outcome<State> {
     let attempt = self.attempt_id(context);
     if let Some(placement) = &self.placement {
       context.close_command(&attempt, &placement.decode);
@@ -149,8 +153,8 @@
     Transition(State::ended())
   }
 
-  pub(super) fn abandoned(&mut self, context: &mut Context) -> Outcome<State> {
-    self.leave_attempt(context);
+  pub(super) fn finish_abandoned(&mut self, context: &mut Context) -> Outcome<State> {
+    self.abandon_attempt(context);
     if !self.began && self.attempt == 0 {
       self.release_claim(context);
     }
@@ -176,11 +180,11 @@
   }
 
   /// Cancels all that the present attempt may hold anywhere.
-  pub(super) fn leave_attempt(&mut self, context: &mut Context) {
+  pub(super) fn abandon_attempt(&mut self, context: &mut Context) {
     let attempt = self.attempt_id(context);
-    if self.read_tokens > 0 {
-      context.record(EventKind::PrefillWasted, &attempt, self.read_tokens);
-      self.read_tokens = 0;
+    if self.prefilled_tokens > 0 {
+      context.record(EventKind::PrefillWasted, &attempt, self.prefilled_tokens);
+      self.prefilled_tokens = 0;
     }
     if let Some(placement) = self.placement.clone() {
       context.cancel_command(&attempt, &placement.prefill);
@@ -190,7 +194,7 @@
   }
 
   pub(super) fn release_slot(&mut self, context: &mut Context) {
-    let Some(engine) = self.seat.take() else {
+    let Some(engine) = self.slot.take() else {
       return;
     };
     let attempt = self.attempt_id(context);
--- a/src/decide/request_machine/dispatch.rs
+++ b/src/decide/request_machine/dispatch.rs
@@ -21,11 +21,11 @@
         return Handled;
       }
     };
-    let late = placement.first_token_in_ms > self.left_ms(context);
+    let late = placement.first_token_in_ms > self.remaining_ms(context);
     if late && !self.began && context.tuning().early_refusal {
       self.placed = PlacementResult::Dequeued;
       let retry_after_ms = placement.ready_in_ms;
-      return self.give_up(context, NotRunReason::TooLate, retry_after_ms);
+      return self.reject(context, NotRunReason::TooLate, retry_after_ms);
     }
     let max_tokens = work.max_tokens;
     self.placed = PlacementResult::Dequeued;
@@ -42,25 +42,25 @@
     };
     self.placement = Some(placement);
     if !reserve || context.tuning().slot_mode != SlotMode::OwnerGrants {
-      return self.order_prefill(context, 0);
+      return self.start_prefill(context, 0);
     }
     match owner {
       Some(owner) if owner == context.identity.name => match context.grant_slot(&request) {
-        SlotDecision::Granted { link_wait_ms } => self.order_prefill(context, link_wait_ms),
-        SlotDecision::Full => self.slot_refused(context),
+        SlotDecision::Granted { link_wait_ms } => self.start_prefill(context, link_wait_ms),
+        SlotDecision::Full => self.requeue_without_slot(context),
       },
       Some(owner) => {
-        self.asked_ms = context.now_ms;
+        self.slot_requested_ms = context.now_ms;
         context.emit(Action::Send(owner, PeerMessage::SlotRequest(request)));
-        Transition(State::asking())
+        Transition(State::requesting_slot())
       }
       // No owner lives: the engine itself still refuses when full.
-      None => self.order_prefill(context, 0),
+      None => self.start_prefill(context, 0),
     }
   }
 
   pub(super) fn place_call(&mut self, context: &mut Context) -> Outcome<State> {
-    let service = self.lane().clone();
+    let service = self.queue_name().clone();
     let endpoint = match context.place_call(&service, &self.tried) {
       Ok(endpoint) => endpoint,
       Err(error) => {
@@ -77,18 +77,18 @@
     context
       .fleet
       .update(&endpoint, |service| service.record_sent(context.now_ms, 1));
-    self.seat = Some(endpoint.clone());
+    self.slot = Some(endpoint.clone());
     self.endpoint = Some(endpoint.clone());
     context.record(EventKind::ServiceCalled, &attempt, &endpoint);
     context.emit(Action::Call(CallCommand {
       attempt,
-      deadline_ms: self.left_ms(context),
+      deadline_ms: self.remaining_ms(context),
       endpoint,
     }));
     Transition(State::calling())
   }
 
-  pub(super) fn slot_refused(&mut self, context: &mut Context) -> Outcome<State> {
+  pub(super) fn requeue_without_slot(&mut self, context: &mut Context) -> Outcome<State> {
     if let Some(engine) = self.placement.as_ref().map(|place| place.decode.clone()) {
       let until_ms = context.now_ms + context.tuning().full_pause_ms;
       context
@@ -116,7 +116,7 @@
     }
   }
 
-  pub(super) fn order_prefill(
+  pub(super) fn start_prefill(
     &mut self,
     context: &mut Context,
     link_wait_ms: u64,
@@ -126,8 +126,8 @@
     };
     let attempt = self.attempt_id(context);
     self.link_wait_ms = link_wait_ms;
-    self.read_tokens = 0;
-    self.seat = Some(placement.decode.clone());
+    self.prefilled_tokens = 0;
+    self.slot = Some(placement.decode.clone());
     let now_ms = context.now_ms;
     context.fleet.update(&placement.decode, |engine| {
       engine.own_slots += 1;
@@ -140,7 +140,7 @@
     context.record(EventKind::PrefillOrdered, &attempt, &placement.prefill);
     context.emit(Action::Prefill(PrefillCommand {
       attempt,
-      deadline_ms: self.left_ms(context),
+      deadline_ms: self.remaining_ms(context),
       engine: placement.prefill,
       hold_ms: context.tuning().hold_ms,
       priority: self.rank.priority,
--- a/src/decide/request_machine/transfer.rs
+++ b/src/decide/request_machine/transfer.rs
@@ -12,10 +12,10 @@
 };
 
 /// Time after which a full decode engine is tried again while the export lasts.
-const FULL_AGAIN_MS: u64 = 60;
+const FULL_RETRY_INTERVAL_MS: u64 = 60;
 
 impl RequestMachine {
-  pub(super) fn prefilled(
+  pub(super) fn handle_prefilled(
     &mut self,
     context: &mut Context,
     endpoint: &Name,
@@ -24,7 +24,7 @@
   ) -> Outcome<State> {
     self.began = true;
     context.fleet.update(endpoint, Endpoint::record_success);
-    self.read_tokens = prompt_tokens.saturating_sub(cached_tokens);
+    self.prefilled_tokens = prompt_tokens.saturating_sub(cached_tokens);
     self.prefilled_ms = context.now_ms;
     let attempt = self.attempt_id(context);
     if let Work::Model(work) = &mut self.arrival.work {
@@ -35,10 +35,10 @@
       work.prompt_tokens = prompt_tokens.max(1);
     }
     context.record(EventKind::PrefillDone, &attempt, cached_tokens);
-    self.order_import(context)
+    self.start_import(context)
   }
 
-  pub(super) fn order_import(&mut self, context: &mut Context) -> Outcome<State> {
+  pub(super) fn start_import(&mut self, context: &mut Context) -> Outcome<State> {
     let Some(placement) = self.placement.clone() else {
       return Handled;
     };
@@ -47,7 +47,7 @@
     context.record(EventKind::TransferOrdered, &attempt, &placement.decode);
     context.emit(Action::Import(ImportCommand {
       attempt,
-      deadline_ms: self.left_ms(context),
+      deadline_ms: self.remaining_ms(context),
       engine: placement.decode,
       hold_ms: context.tuning().hold_ms,
       link_wait_ms: self.link_wait_ms,
@@ -59,28 +59,28 @@
 
   /// The decode engine was full at the end: another in the hall, or the same a little later, while
   /// the export lasts.
-  pub(super) fn decode_full(&mut self, context: &mut Context) -> Outcome<State> {
+  pub(super) fn handle_decode_full(&mut self, context: &mut Context) -> Outcome<State> {
     let attempt = self.attempt_id(context);
     let Some(full) = self.placement.as_ref().map(|place| place.decode.clone()) else {
       return Handled;
     };
     context.close_command(&attempt, &full);
-    let until_ms = context.now_ms + FULL_AGAIN_MS;
+    let until_ms = context.now_ms + FULL_RETRY_INTERVAL_MS;
     context
       .fleet
       .update(&full, |engine| engine.full_until_ms = until_ms);
-    let lasts_until_ms = self.prefilled_ms + context.tuning().export_keep_ms;
-    if context.now_ms + FULL_AGAIN_MS >= lasts_until_ms {
-      return self.failed(context, &full, Began::Perhaps, true);
+    let export_expires_ms = self.prefilled_ms + context.tuning().export_keep_ms;
+    if context.now_ms + FULL_RETRY_INTERVAL_MS >= export_expires_ms {
+      return self.handle_failure(context, &full, Began::Perhaps, true);
     }
     let Work::Model(work) = &self.arrival.work else {
       return Handled;
     };
     match context.free_decode(work, &full) {
       Some(other) => self.move_slot(context, other),
-      None => self.link_wait_ms = FULL_AGAIN_MS,
+      None => self.link_wait_ms = FULL_RETRY_INTERVAL_MS,
     }
-    self.order_import(context)
+    self.start_import(context)
   }
 
   pub(super) fn move_slot(&mut self, context: &mut Context, other: Name) {
@@ -90,19 +90,19 @@
       engine.own_slots += 1;
       engine.record_sent(now_ms, 1);
     });
-    self.seat = Some(other.clone());
+    self.slot = Some(other.clone());
     if let Some(placement) = &mut self.placement {
       placement.decode = other;
     }
   }
 
-  pub(super) fn order_decode(&mut self, context: &mut Context) -> Outcome<State> {
+  pub(super) fn start_decode(&mut self, context: &mut Context) -> Outcome<State> {
     let Some(placement) = self.placement.clone() else {
       return Handled;
     };
     let attempt = self.attempt_id(context);
     context.close_command(&attempt, &placement.prefill);
-    self.read_tokens = 0;
+    self.prefilled_tokens = 0;
     context.record(EventKind::TransferDone, &attempt, &placement.decode);
     let kind = if self.offset > 0 {
       EventKind::DecodeResumed
