--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -13,13 +13,13 @@
 const MIN_RETRY_AFTER_MS: u64 = 100;
 
 impl Machine {
-  pub(super) fn arrived(&mut self, arrival: Arrival) {
+  pub(super) fn handle_arrival(&mut self, arrival: Arrival) {
     let rank = self.rank(&arrival);
     self
       .context
       .record(EventKind::RequestArrived, arrival.request.0, &rank.class);
-    if let Some(ending) = self.refusal(&arrival, &rank) {
-      self.refuse(arrival.request, ending);
+    if let Some(ending) = self.rejection(&arrival, &rank) {
+      self.reject(arrival.request, ending);
       return;
     }
     self.context.budget.earn();
@@ -30,8 +30,8 @@
     let request = arrival.request;
     let request_machine = RequestMachine::new(arrival, rank, self.context.now_ms);
     let claim = request_machine.needs_claim();
-    let waiting = request_machine.waiting();
-    let lane = request_machine.lane().clone();
+    let waiting = request_machine.queue_entry();
+    let queue = request_machine.queue_name().clone();
     let mut machine = request_machine
       .uninitialized_state_machine()
       .init_with_context(&mut self.context);
@@ -41,7 +41,7 @@
         .context
         .emit(Action::Claim(request, waiting.organisation.clone(), key));
     } else {
-      self.lanes.entry(lane).or_default().queue.push(waiting);
+      self.queues.entry(queue).or_default().queue.push(waiting);
     }
     self.requests.insert(request, machine);
   }
@@ -64,21 +64,21 @@
     };
     match policy.rank(&facts, self.clock()) {
       Ok(rank) => {
-        self.good_ranks.insert(arrival.task.clone(), rank.clone());
+        self.last_ranks.insert(arrival.task.clone(), rank.clone());
         rank
       }
       Err(error) => {
         self
           .context
           .record(EventKind::PolicyFailed, &arrival.task, error);
-        let last = self.good_ranks.get(&arrival.task).cloned();
+        let last = self.last_ranks.get(&arrival.task).cloned();
         last.unwrap_or_else(Rank::plain)
       }
     }
   }
 
   /// Why a request is refused on arrival, if it is. May shed another to make room.
-  pub(super) fn refusal(&mut self, arrival: &Arrival, rank: &Rank) -> Option<RequestOutcome> {
+  pub(super) fn rejection(&mut self, arrival: &Arrival, rank: &Rank) -> Option<RequestOutcome> {
     let not_run = |reason, retry_after_ms| {
       Some(RequestOutcome::NotRun {
         reason,
@@ -117,14 +117,14 @@
 
   /// Predicted time to the first byte; none where no endpoint could serve the work.
   pub(super) fn predicted_ms(&mut self, work: &Work, rank: &Rank) -> Option<u64> {
-    let lane = match work {
+    let queue = match work {
       Work::Model(work) => &work.model,
       Work::Service(work) => &work.service,
     };
     let wait_ms = self
-      .lanes
-      .get(lane)
-      .map_or(0, |lane| lane.wait_ms(rank.priority));
+      .queues
+      .get(queue)
+      .map_or(0, |queue| queue.wait_ms(rank.priority));
     let serving_ms = match work {
       Work::Model(work) => self.context.least_first_token_ms(work)?,
       Work::Service(work) => match self.context.place_call(&work.service, &[]) {
@@ -137,23 +137,23 @@
 
   /// Sheds the least of the lane when it is full; false when the newcomer itself is the least.
   pub(super) fn make_room(&mut self, work: &Work, rank: &Rank) -> bool {
-    let lane = match work {
+    let queue = match work {
       Work::Model(work) => &work.model,
       Work::Service(work) => &work.service,
     };
     let Some(full) = self
-      .lanes
-      .get(lane)
-      .filter(|lane| lane.queue.len() >= self.context.tuning().queue_limit)
+      .queues
+      .get(queue)
+      .filter(|queue| queue.queue.len() >= self.context.tuning().queue_limit)
     else {
       return true;
     };
     let Some(least) = full.queue.least() else {
       return false;
     };
-    let newcomer_is_less =
+    let arrival_ranks_lower =
       rank.may_wait && (rank.priority, rank.weight) <= (least.priority, least.weight);
-    if newcomer_is_less || rank.priority < least.priority {
+    if arrival_ranks_lower || rank.priority < least.priority {
       return false;
     }
     let retry_after_ms = full.wait_ms(least.priority).max(DEFAULT_RETRY_AFTER_MS);
@@ -164,7 +164,7 @@
     true
   }
 
-  pub(super) fn refuse(&mut self, request: RequestId, ending: RequestOutcome) {
+  pub(super) fn reject(&mut self, request: RequestId, ending: RequestOutcome) {
     if let RequestOutcome::NotRun { reason, .. } = ending {
       self
         .context
--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -46,11 +46,11 @@
   pub(super) context: Context,
   pub(super) timers: super::Timers,
   pub(super) requests: BTreeMap<RequestId, InitializedStateMachine<RequestMachine>>,
-  pub(super) lanes: BTreeMap<Name, RequestQueue>,
+  pub(super) queues: BTreeMap<Name, RequestQueue>,
   pub(super) in_progress: BTreeMap<Name, usize>,
-  pub(super) good_ranks: BTreeMap<Name, Rank>,
+  pub(super) last_ranks: BTreeMap<Name, Rank>,
   last_event_ms: u64,
-  expired_ms: u64,
+  last_expiry_ms: u64,
 }
 
 impl Machine {
@@ -58,10 +58,10 @@
   pub fn new(setup: Setup) -> Self {
     let fleet = Fleet::new(setup.endpoints);
     Self {
-      expired_ms: 0,
-      good_ranks: BTreeMap::new(),
+      last_expiry_ms: 0,
+      last_ranks: BTreeMap::new(),
       in_progress: BTreeMap::new(),
-      lanes: BTreeMap::new(),
+      queues: BTreeMap::new(),
       last_event_ms: 0,
       requests: BTreeMap::new(),
       context: Context::new(setup.identity, fleet, setup.epoch_unix_ms, setup.seed),
@@ -74,28 +74,28 @@
     self.context.now_ms = now_ms;
     self.check_clock();
     // After its claim a request waits for the next event, so that a caller who left is heard first.
-    let pump = !matches!(event, Event::ClaimSettled(..));
+    let places_queued = !matches!(event, Event::ClaimSettled(..));
     self.dispatch(event);
-    if pump {
-      self.pump();
+    if places_queued {
+      self.place_queued();
     }
     self.context.take_actions()
   }
 
   fn dispatch(&mut self, event: Event) {
     match event {
-      Event::Arrived(arrival) => self.arrived(arrival),
+      Event::Arrived(arrival) => self.handle_arrival(arrival),
       Event::CallerDisconnected(request) => {
         self.advance_request(request, &RequestEvent::CallerDisconnected)
       }
       Event::ClaimSettled(request, outcome) => {
         self.advance_request(request, &RequestEvent::Claim(outcome))
       }
-      Event::Stage(report) => self.stage(report),
+      Event::Stage(report) => self.handle_stage_report(report),
       Event::CancelSettled(attempt, endpoint, answer) => {
-        self.cancel_settled(&attempt, &endpoint, answer);
+        self.handle_cancel_answer(&attempt, &endpoint, answer);
       }
-      Event::LoadReported(report) => self.load_reported(&report),
+      Event::LoadReported(report) => self.handle_load_report(&report),
       Event::EndpointBackoff(endpoint, wanted_ms) => {
         let now_ms = self.context.now_ms;
         self.context.fleet.update(&endpoint, |endpoint| {
@@ -109,14 +109,14 @@
           .hints
           .saw(self.context.now_ms, &engine, &blocks);
       }
-      Event::AttemptsListed(engine, held) => self.listed(&engine, held),
+      Event::AttemptsListed(engine, held) => self.cancel_orphans(&engine, held),
       Event::HoldsExtended(engine) => self.holds_extended(&engine),
-      Event::Peer(from, message) => self.peer(from, message),
-      Event::Boxes(entries) => self.boxes(&entries),
-      Event::Configured(view) => self.configured(view),
+      Event::Peer(from, message) => self.handle_peer_message(from, message),
+      Event::Boxes(entries) => self.apply_box_list(&entries),
+      Event::Configured(view) => self.apply_configuration(view),
       Event::LeaseHeld { until_ms, fence } => self.timers.hold_lease(until_ms, fence),
       Event::Drain(endpoint, leaving) => self.drain(&endpoint, leaving),
-      Event::Stopping => self.stop(),
+      Event::Stopping => self.begin_stop(),
       Event::Tick => self.tick(),
     }
   }
@@ -133,7 +133,7 @@
 
   /// The number of requests that wait.
   pub fn waiting(&self) -> usize {
-    self.lanes.values().map(|lane| lane.queue.len()).sum()
+    self.queues.values().map(|queue| queue.queue.len()).sum()
   }
 
   /// OpenCommands open or being cancelled.
@@ -229,7 +229,7 @@
     )
   }
 
-  fn stage(&mut self, report: StageReport) {
+  fn handle_stage_report(&mut self, report: StageReport) {
     let request = report.attempt.request();
     if matches!(report.outcome, StageOutcome::Finished { .. }) {
       self
@@ -256,22 +256,22 @@
     let is_queued = *machine.state() == State::Queued {};
     let ended = *machine.state() == State::Ended {};
     let request_machine = machine.inner();
-    let waiting = request_machine.waiting();
-    let lane = request_machine.lane().clone();
+    let waiting = request_machine.queue_entry();
+    let queue = request_machine.queue_name().clone();
     let requeue = request_machine.requeue;
     if was_queued
       && !is_queued
-      && let Some(lane) = self.lanes.get_mut(&lane)
+      && let Some(queue) = self.queues.get_mut(&queue)
     {
-      lane
+      queue
         .queue
         .remove(waiting.priority, &waiting.organisation, request);
     }
     if requeue && is_queued {
       machine.handle_with_context(&RequestEvent::Requeued, &mut self.context);
       self
-        .lanes
-        .entry(lane)
+        .queues
+        .entry(queue)
         .or_default()
         .queue
         .push_front(waiting.clone());
@@ -297,50 +297,50 @@
   }
 
   /// Places as many waiting requests as there is room for.
-  fn pump(&mut self) {
-    let lanes = self
-      .lanes
+  fn place_queued(&mut self) {
+    let queue_names = self
+      .queues
       .iter()
-      .filter(|(_, lane)| !lane.queue.is_empty())
+      .filter(|(_, queue)| !queue.queue.is_empty())
       .map(|(name, _)| name.clone())
       .collect::<Vec<_>>();
-    for lane in lanes {
-      while self.place_next(&lane) {}
+    for queue in queue_names {
+      while self.place_next(&queue) {}
     }
   }
 
   /// Places the next request of a lane; false when it has to wait.
-  fn place_next(&mut self, lane_name: &Name) -> bool {
-    let Some(lane) = self.lanes.get_mut(lane_name) else {
+  fn place_next(&mut self, queue_name: &Name) -> bool {
+    let Some(queue) = self.queues.get_mut(queue_name) else {
       return false;
     };
-    let Some(next) = lane.queue.peek().map(|waiting| waiting.request) else {
+    let Some(next) = queue.queue.peek().map(|waiting| waiting.request) else {
       return false;
     };
-    self.place_one(lane_name, next)
+    self.place_one(queue_name, next)
   }
 
-  fn place_one(&mut self, lane_name: &Name, request: RequestId) -> bool {
+  fn place_one(&mut self, queue_name: &Name, request: RequestId) -> bool {
     let Some(machine) = self.requests.get_mut(&request) else {
-      if let Some(lane) = self.lanes.get_mut(lane_name) {
-        lane.queue.pop();
+      if let Some(queue) = self.queues.get_mut(queue_name) {
+        queue.queue.pop();
       }
       return true;
     };
     machine.handle_with_context(&RequestEvent::Place, &mut self.context);
     if let PlacementResult::Waiting(error) = machine.inner().placed {
-      return error == PlacementError::NoEngine && self.end_without_engine(request);
+      return error == PlacementError::NoEngine && self.reject_without_engine(request);
     }
-    if let Some(lane) = self.lanes.get_mut(lane_name) {
-      lane.queue.pop();
-      lane.started(self.context.now_ms);
+    if let Some(queue) = self.queues.get_mut(queue_name) {
+      queue.queue.pop();
+      queue.started(self.context.now_ms);
     }
     // The state has moved already: only its consequences are left.
     self.advance_request(request, &RequestEvent::Tick);
     true
   }
 
-  fn end_without_engine(&mut self, request: RequestId) -> bool {
+  fn reject_without_engine(&mut self, request: RequestId) -> bool {
     self.advance_request(
       request,
       &RequestEvent::Reject(NotRunReason::NoEndpoint, DEFAULT_RETRY_AFTER_MS),
@@ -348,7 +348,7 @@
     true
   }
 
-  fn cancel_settled(&mut self, attempt: &AttemptId, endpoint: &Name, answer: CancelAnswer) {
+  fn handle_cancel_answer(&mut self, attempt: &AttemptId, endpoint: &Name, answer: CancelAnswer) {
     let key = command_key(attempt, endpoint);
     if self.context.open_commands.settle(&key, answer) {
       self.context.record(
@@ -359,7 +359,7 @@
     }
   }
 
-  fn load_reported(&mut self, report: &LoadReport) {
+  fn handle_load_report(&mut self, report: &LoadReport) {
     let before = self
       .context
       .fleet
@@ -394,7 +394,7 @@
   }
 
   /// As home of an engine: cancels what nobody holds on to any more.
-  fn listed(&mut self, engine: &Name, held: Vec<HeldAttempt>) {
+  fn cancel_orphans(&mut self, engine: &Name, held: Vec<HeldAttempt>) {
     for held in held {
       if !self.is_orphan(engine, &held) {
         continue;
@@ -428,12 +428,12 @@
     replaced || held.hold_left_ms <= 0
   }
 
-  fn boxes(&mut self, entries: &[BoxEntry]) {
+  fn apply_box_list(&mut self, entries: &[BoxEntry]) {
     self.context.members.list(self.context.now_ms, entries);
     self.context.clear_owners();
   }
 
-  fn configured(&mut self, view: Arc<ConfigurationView>) {
+  fn apply_configuration(&mut self, view: Arc<ConfigurationView>) {
     self
       .context
       .budget
@@ -471,7 +471,7 @@
     }
   }
 
-  fn stop(&mut self) {
+  fn begin_stop(&mut self) {
     self.context.stopping = true;
     self.context.clear_owners();
     self.timers.hurry();
@@ -483,10 +483,10 @@
   /// Tells "not run" to those that can't be served in time any more, and passes time on to asks.
   pub(super) fn expire_requests(&mut self) {
     let now_ms = self.context.now_ms;
-    if now_ms < self.expired_ms + EXPIRY_PERIOD_MS {
+    if now_ms < self.last_expiry_ms + EXPIRY_PERIOD_MS {
       return;
     }
-    self.expired_ms = now_ms;
+    self.last_expiry_ms = now_ms;
     let requesting = self
       .requests
       .iter()
@@ -497,9 +497,9 @@
       self.advance_request(request, &RequestEvent::Tick);
     }
     let late = self
-      .lanes
+      .queues
       .values()
-      .flat_map(|lane| lane.queue.iter())
+      .flat_map(|queue| queue.queue.iter())
       .map(|waiting| waiting.request)
       .filter(|request| {
         self
--- a/src/decide/peer_handling.rs
+++ b/src/decide/peer_handling.rs
@@ -9,9 +9,9 @@
 };
 
 impl Machine {
-  pub(super) fn peer(&mut self, from: Name, message: PeerMessage) {
+  pub(super) fn handle_peer_message(&mut self, from: Name, message: PeerMessage) {
     match message {
-      PeerMessage::Heartbeat(heartbeat) => self.heartbeat(&from, &heartbeat),
+      PeerMessage::Heartbeat(heartbeat) => self.handle_heartbeat(&from, &heartbeat),
       PeerMessage::SlotRequest(request) => self.context.handle_slot_request(from, request),
       PeerMessage::SlotResponse(response) => self.handle_slot_response(from, response),
       PeerMessage::SlotReturn(attempt, engine) => {
@@ -31,7 +31,7 @@
     }
   }
 
-  fn heartbeat(&mut self, from: &Name, heartbeat: &Heartbeat) {
+  fn handle_heartbeat(&mut self, from: &Name, heartbeat: &Heartbeat) {
     let now_ms = self.context.now_ms;
     let before = self.context.members.peer(from).map(|peer| peer.leaving);
     let came_alive = self.context.members.heard(now_ms, from, heartbeat);
