--- a/src/decide/context.rs
+++ b/src/decide/context.rs
@@ -110,7 +110,7 @@
       return owner.clone();
     }
     let hall = self.fleet.get(endpoint)?.spec.hall.clone();
-    let candidates = self.members.candidates(&hall, self.stopping);
+    let candidates = self.members.owner_candidates(&hall, self.stopping);
     let owner = rendezvous_order(endpoint, &candidates).into_iter().next();
     self.owners.insert(endpoint.clone(), owner.clone());
     owner
--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -217,7 +217,7 @@
       return;
     }
     self.context.record(EventKind::ClockJumped, jump_ms, "");
-    self.context.members.forgive(now_ms);
+    self.context.members.reset_contact_times(now_ms);
     self.timers.drop_lease();
     self.give_up_lost_holds();
   }
@@ -429,7 +429,10 @@
   }
 
   fn apply_box_list(&mut self, entries: &[BoxEntry]) {
-    self.context.members.list(self.context.now_ms, entries);
+    self
+      .context
+      .members
+      .apply_box_list(self.context.now_ms, entries);
     self.context.clear_owners();
   }
 
--- a/src/decide/membership.rs
+++ b/src/decide/membership.rs
@@ -28,27 +28,27 @@
 /// The boxes of the platform's list, with what heartbeats say of them.
 #[derive(Clone, Debug)]
 pub struct Membership {
-  own: Name,
+  own_name: Name,
   own_hall: Name,
   peers: BTreeMap<Name, Peer>,
   /// Peers of the own hall that count this box among their neighbours.
-  expected: BTreeSet<Name>,
+  expected_senders: BTreeSet<Name>,
 }
 
 impl Membership {
   /// A box that knows only itself.
-  pub fn new(own: Name, own_hall: Name) -> Self {
+  pub fn new(own_name: Name, own_hall: Name) -> Self {
     Self {
-      expected: BTreeSet::new(),
-      own,
+      expected_senders: BTreeSet::new(),
+      own_name,
       own_hall,
       peers: BTreeMap::new(),
     }
   }
 
   /// Takes in the platform's list. A box that is not listed any more stays while it is heard.
-  pub fn list(&mut self, now_ms: u64, entries: &[BoxEntry]) {
-    for entry in entries.iter().filter(|entry| entry.name != self.own) {
+  pub fn apply_box_list(&mut self, now_ms: u64, entries: &[BoxEntry]) {
+    for entry in entries.iter().filter(|entry| entry.name != self.own_name) {
       let peer = self
         .peers
         .entry(entry.name.clone())
@@ -64,7 +64,7 @@
     self.peers.retain(|name, peer| {
       peer.live && peer.incarnation > 0 || entries.iter().any(|entry| entry.name == *name)
     });
-    self.expected = self.expected_senders();
+    self.expected_senders = self.compute_expected_senders();
   }
 
   /// Boxes of the own hall by name, this one included.
@@ -73,35 +73,35 @@
     peers
       .filter(|peer| peer.entry.hall == self.own_hall)
       .map(|peer| peer.entry.name.clone())
-      .chain([self.own.clone()])
+      .chain([self.own_name.clone()])
       .collect()
   }
 
-  fn expected_senders(&self) -> BTreeSet<Name> {
+  fn compute_expected_senders(&self) -> BTreeSet<Name> {
     let hall = self.hall_boxes();
-    let is_sender = |sender: &&Name| neighbours_of(sender, &hall).contains(&self.own);
+    let is_sender = |sender: &&Name| neighbours_of(sender, &hall).contains(&self.own_name);
     hall
       .iter()
-      .filter(|name| **name != self.own)
+      .filter(|name| **name != self.own_name)
       .filter(is_sender)
       .cloned()
       .collect()
   }
 
   /// Takes in a heartbeat; true when the peer counts as alive only since now.
-  pub fn heard(&mut self, now_ms: u64, from: &Name, heartbeat: &Heartbeat) -> bool {
+  pub fn record_heartbeat(&mut self, now_ms: u64, from: &Name, heartbeat: &Heartbeat) -> bool {
     let Some(peer) = self.peers.get_mut(from) else {
       return false;
     };
     if heartbeat.incarnation < peer.incarnation {
       return false;
     }
-    let news = !peer.live;
+    let became_live = !peer.live;
     peer.incarnation = heartbeat.incarnation;
     peer.last_contact_ms = now_ms;
     peer.leaving = heartbeat.leaving;
     peer.live = true;
-    news
+    became_live
   }
 
   /// Marks silent peers dead and answers with them. For a box that is not expected to send anything
@@ -109,7 +109,7 @@
   pub fn expire(&mut self, now_ms: u64, silence_ms: u64) -> Vec<Peer> {
     let mut lost = Vec::new();
     for peer in self.peers.values_mut() {
-      let expected = self.expected.contains(&peer.entry.name);
+      let expected = self.expected_senders.contains(&peer.entry.name);
       if peer.live && expected && now_ms.saturating_sub(peer.last_contact_ms) > silence_ms {
         peer.live = false;
         lost.push(peer.clone());
@@ -119,7 +119,7 @@
   }
 
   /// The own clock jumped: peers get a full silence again before they count as dead.
-  pub fn forgive(&mut self, now_ms: u64) {
+  pub fn reset_contact_times(&mut self, now_ms: u64) {
     for peer in self.peers.values_mut() {
       peer.last_contact_ms = now_ms;
     }
@@ -136,7 +136,7 @@
   }
 
   /// Boxes of a hall that can be home: alive and not leaving.
-  pub fn candidates(&self, hall: &Name, own_leaving: bool) -> Vec<Name> {
+  pub fn owner_candidates(&self, hall: &Name, own_leaving: bool) -> Vec<Name> {
     let mut names = self
       .peers
       .values()
@@ -144,7 +144,7 @@
       .map(|peer| peer.entry.name.clone())
       .collect::<Vec<_>>();
     if *hall == self.own_hall && !own_leaving {
-      names.push(self.own.clone());
+      names.push(self.own_name.clone());
     }
     names
   }
@@ -161,7 +161,7 @@
   /// The peers of the own hall that get this box's heartbeats: all while the hall is small, else
   /// fixed neighbours.
   pub fn hall_neighbours(&self) -> Vec<Name> {
-    neighbours_of(&self.own, &self.hall_boxes())
+    neighbours_of(&self.own_name, &self.hall_boxes())
   }
 
   /// One box of each other hall.
@@ -177,7 +177,7 @@
     }
     halls
       .into_values()
-      .filter_map(|boxes| rendezvous_order(&self.own, &boxes).into_iter().next())
+      .filter_map(|boxes| rendezvous_order(&self.own_name, &boxes).into_iter().next())
       .collect()
   }
 }
--- a/src/decide/peer_handling.rs
+++ b/src/decide/peer_handling.rs
@@ -34,11 +34,14 @@
   fn handle_heartbeat(&mut self, from: &Name, heartbeat: &Heartbeat) {
     let now_ms = self.context.now_ms;
     let before = self.context.members.peer(from).map(|peer| peer.leaving);
-    let came_alive = self.context.members.heard(now_ms, from, heartbeat);
-    if came_alive || before != Some(heartbeat.leaving) {
+    let became_live = self
+      .context
+      .members
+      .record_heartbeat(now_ms, from, heartbeat);
+    if became_live || before != Some(heartbeat.leaving) {
       self.context.clear_owners();
     }
-    if came_alive {
+    if became_live {
       self.context.record(EventKind::PeerLive, from, "");
     }
     for leaving in &heartbeat.leaving_endpoints {
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -239,7 +239,7 @@
   }
 
   fn boxes_of(&self, hall: &Name) -> u32 {
-    let boxes = self.members.candidates(hall, self.stopping).len();
+    let boxes = self.members.owner_candidates(hall, self.stopping).len();
     u32::try_from(boxes).unwrap_or(u32::MAX).max(1)
   }
 
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -31,7 +31,7 @@
 
 fn membership(own: &Name, boxes: &[BoxEntry]) -> Membership {
   let mut members = Membership::new(own.clone(), "hall".into());
-  members.list(0, boxes);
+  members.apply_box_list(0, boxes);
   members
 }
 
@@ -51,7 +51,7 @@
     }
     for neighbour in members[index].hall_neighbours() {
       let to = names.iter().position(|known| *known == neighbour).unwrap();
-      members[to].heard(SILENCE_MS, name, &heartbeat());
+      members[to].record_heartbeat(SILENCE_MS, name, &heartbeat());
     }
   }
   members
