--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -107,7 +107,7 @@
         self
           .context
           .hints
-          .saw(self.context.now_ms, &engine, &blocks);
+          .record_cached(self.context.now_ms, &engine, &blocks);
       }
       Event::AttemptsListed(engine, held) => self.cancel_orphans(&engine, held),
       Event::HoldsExtended(engine) => self.holds_extended(&engine),
--- a/src/decide/prefix_hints.rs
+++ b/src/decide/prefix_hints.rs
@@ -13,31 +13,31 @@
 const ENGINES_PER_BLOCK: usize = 4;
 
 #[derive(Clone, Debug)]
-struct Sighting {
+struct Observation {
   engine: Name,
-  seen_ms: u64,
+  observed_ms: u64,
 }
 
 /// Hints from own dispatches and from late, gappy cache events. A wrong one costs time, nothing else.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixHints {
-  blocks: BTreeMap<u64, Vec<Sighting>>,
+  blocks: BTreeMap<u64, Vec<Observation>>,
   order: VecDeque<u64>,
 }
 
 impl PrefixHints {
   /// An engine holds these blocks.
-  pub fn saw(&mut self, now_ms: u64, engine: &Name, blocks: &[u64]) {
+  pub fn record_cached(&mut self, now_ms: u64, engine: &Name, blocks: &[u64]) {
     for block in blocks {
-      self.see_one(now_ms, engine, *block);
+      self.record_block(now_ms, engine, *block);
     }
   }
 
   /// An engine's own answer showed that these blocks were not cached.
-  pub fn missed(&mut self, engine: &Name, blocks: &[u64]) {
+  pub fn record_missing(&mut self, engine: &Name, blocks: &[u64]) {
     for block in blocks {
-      if let Some(sightings) = self.blocks.get_mut(block) {
-        sightings.retain(|sighting| sighting.engine != *engine);
+      if let Some(observations) = self.blocks.get_mut(block) {
+        observations.retain(|observation| observation.engine != *engine);
       }
     }
   }
@@ -46,10 +46,10 @@
   pub fn expected_tokens(&self, now_ms: u64, engine: &Name, blocks: &[u64]) -> u64 {
     let mut expected = 0.0;
     for block in blocks {
-      let Some(sighting) = self.sighting(*block, engine) else {
+      let Some(observation) = self.observation(*block, engine) else {
         break;
       };
-      let age_ms = now_ms.saturating_sub(sighting.seen_ms) as f64;
+      let age_ms = now_ms.saturating_sub(observation.observed_ms) as f64;
       expected += BLOCK_TOKENS as f64 * 0.5_f64.powf(age_ms / HALF_LIFE_MS);
     }
     expected as u64
@@ -62,18 +62,18 @@
       .and_then(|block| self.blocks.get(block))
       .into_iter()
       .flatten()
-      .map(|sighting| &sighting.engine)
+      .map(|observation| &observation.engine)
   }
 
-  fn sighting(&self, block: u64, engine: &Name) -> Option<&Sighting> {
+  fn observation(&self, block: u64, engine: &Name) -> Option<&Observation> {
     self
       .blocks
       .get(&block)?
       .iter()
-      .find(|sighting| sighting.engine == *engine)
+      .find(|observation| observation.engine == *engine)
   }
 
-  fn see_one(&mut self, now_ms: u64, engine: &Name, block: u64) {
+  fn record_block(&mut self, now_ms: u64, engine: &Name, block: u64) {
     if !self.blocks.contains_key(&block) {
       self.order.push_back(block);
       if self.order.len() > CAPACITY
@@ -82,14 +82,14 @@
         self.blocks.remove(&oldest);
       }
     }
-    let sightings = self.blocks.entry(block).or_default();
-    sightings.retain(|sighting| sighting.engine != *engine);
-    sightings.push(Sighting {
+    let observations = self.blocks.entry(block).or_default();
+    observations.retain(|observation| observation.engine != *engine);
+    observations.push(Observation {
       engine: engine.clone(),
-      seen_ms: now_ms,
+      observed_ms: now_ms,
     });
-    if sightings.len() > ENGINES_PER_BLOCK {
-      sightings.remove(0);
+    if observations.len() > ENGINES_PER_BLOCK {
+      observations.remove(0);
     }
   }
 }
--- a/src/decide/request_machine/transfer.rs
+++ b/src/decide/request_machine/transfer.rs
@@ -29,9 +29,11 @@
     let attempt = self.attempt_id(context);
     if let Work::Model(work) = &mut self.arrival.work {
       let found = usize::try_from(cached_tokens / BLOCK_TOKENS).unwrap_or(usize::MAX);
-      let missed = work.prefix.get(found..).unwrap_or_default().to_vec();
-      context.hints.missed(endpoint, &missed);
-      context.hints.saw(context.now_ms, endpoint, &work.prefix);
+      let missing = work.prefix.get(found..).unwrap_or_default().to_vec();
+      context.hints.record_missing(endpoint, &missing);
+      context
+        .hints
+        .record_cached(context.now_ms, endpoint, &work.prefix);
       work.prompt_tokens = prompt_tokens.max(1);
     }
     context.record(EventKind::PrefillDone, &attempt, cached_tokens);
