--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -440,7 +440,7 @@
     self
       .context
       .budget
-      .set(view.tuning.retry_share, view.tuning.retry_burst);
+      .configure(view.tuning.retry_share, view.tuning.retry_burst);
     let first = !self.context.configured;
     self.context.configuration = view;
     self.context.configured = true;
--- a/src/decide/request_machine/completion.rs
+++ b/src/decide/request_machine/completion.rs
@@ -59,7 +59,7 @@
     if self.failures >= context.tuning().max_attempts {
       return self.finish_failed(context, NotRunReason::NeverBegan, unknown_reason);
     }
-    if !context.budget.take() {
+    if !context.budget.take_retry() {
       context.record(EventKind::RetryDenied, &attempt, "");
       return self.finish_failed(context, NotRunReason::RetryBudget, unknown_reason);
     }
--- a/src/decide/retry_budget.rs
+++ b/src/decide/retry_budget.rs
@@ -4,11 +4,11 @@
 ///
 /// ```
 /// let mut budget = rillford::decide::RetryBudget::new(0.5, 1.0);
-/// assert!(budget.take());
-/// assert!(!budget.take());
+/// assert!(budget.take_retry());
+/// assert!(!budget.take_retry());
 /// budget.earn();
 /// budget.earn();
-/// assert!(budget.take());
+/// assert!(budget.take_retry());
 /// ```
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
@@ -28,7 +28,7 @@
   }
 
   /// Changes the share and the burst.
-  pub fn set(&mut self, share: f64, burst: f64) {
+  pub fn configure(&mut self, share: f64, burst: f64) {
     self.share = share;
     self.burst = burst;
     self.tokens = self.tokens.min(burst);
@@ -40,7 +40,7 @@
   }
 
   /// Takes a retry, if one is left.
-  pub fn take(&mut self) -> bool {
+  pub fn take_retry(&mut self) -> bool {
     if self.tokens < 1.0 {
       return false;
     }
