--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -126,8 +126,8 @@
       .get(queue)
       .map_or(0, |queue| queue.wait_ms(rank.priority));
     let serving_ms = match work {
-      Work::Model(work) => self.context.least_first_token_ms(work)?,
-      Work::Service(work) => match self.context.place_call(&work.service, &[]) {
+      Work::Model(work) => self.context.min_first_token_ms(work)?,
+      Work::Service(work) => match self.context.place_service_call(&work.service, &[]) {
         Ok(_) | Err(PlacementError::NoSlot) => 0,
         Err(PlacementError::NoEngine) => return None,
       },
--- a/src/decide/context.rs
+++ b/src/decide/context.rs
@@ -39,7 +39,7 @@
   pub(crate) configured: bool,
   pub(crate) stopping: bool,
   pub(crate) random: ChaCha8Rng,
-  pub(crate) turn: usize,
+  pub(crate) rotation: usize,
   owners: BTreeMap<Name, Option<Name>>,
   actions: Vec<Action>,
 }
@@ -63,7 +63,7 @@
       open_commands: OpenCommands::default(),
       random: ChaCha8Rng::seed_from_u64(seed),
       stopping: false,
-      turn: 0,
+      rotation: 0,
       identity,
     }
   }
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -35,7 +35,7 @@
   NoSlot,
 }
 
-struct Reading {
+struct PrefillChoice {
   engine: Name,
   ready_in_ms: u64,
   uncached_tokens: u64,
@@ -44,27 +44,27 @@
 impl Context {
   /// Chooses a prefill and a decode engine for a completion; engines that failed it are the last
   /// resort.
-  pub(crate) fn place(
+  pub(crate) fn place_completion(
     &mut self,
     work: &ModelWork,
     tried: &[Name],
   ) -> Result<Placement, PlacementError> {
-    let reading = self.best_prefill(work, tried)?;
-    let decode = self.best_decode(work, tried)?;
+    let prefill = self.choose_prefill(work, tried)?;
+    let decode = self.choose_decode(work, tried)?;
     let engine = self.fleet.get(&decode).ok_or(PlacementError::NoEngine)?;
     let transfer_ms = engine.transfer_ms(work.prompt_tokens);
     Ok(Placement {
       decode,
-      first_token_in_ms: reading.ready_in_ms + transfer_ms + self.tuning().token_ms,
+      first_token_in_ms: prefill.ready_in_ms + transfer_ms + self.tuning().token_ms,
       kv_bytes: work.prompt_tokens * engine.spec.kv_bytes_per_token,
-      prefill: reading.engine,
-      ready_in_ms: reading.ready_in_ms,
-      uncached_tokens: reading.uncached_tokens,
+      prefill: prefill.engine,
+      ready_in_ms: prefill.ready_in_ms,
+      uncached_tokens: prefill.uncached_tokens,
     })
   }
 
   /// A decode engine other than a full one that has a seat by its last report.
-  pub(crate) fn free_decode(&self, work: &ModelWork, full: &Name) -> Option<Name> {
+  pub(crate) fn free_decode_engine(&self, work: &ModelWork, full: &Name) -> Option<Name> {
     let role = Some(Role::Decode);
     let hall = self
       .fleet
@@ -87,17 +87,17 @@
   }
 
   /// Least time to a first token that any engine could give now, without regard to slots.
-  pub(crate) fn least_first_token_ms(&mut self, work: &ModelWork) -> Option<u64> {
-    let reading = match self.best_prefill(work, &[]) {
-      Ok(reading) => reading,
+  pub(crate) fn min_first_token_ms(&mut self, work: &ModelWork) -> Option<u64> {
+    let prefill = match self.choose_prefill(work, &[]) {
+      Ok(prefill) => prefill,
       Err(PlacementError::NoSlot) => return Some(self.tuning().token_ms),
       Err(PlacementError::NoEngine) => return None,
     };
-    Some(reading.ready_in_ms + self.tuning().token_ms)
+    Some(prefill.ready_in_ms + self.tuning().token_ms)
   }
 
   /// Chooses an instance of a plain service with a free place.
-  pub(crate) fn place_call(
+  pub(crate) fn place_service_call(
     &mut self,
     service: &Name,
     tried: &[Name],
@@ -111,7 +111,7 @@
       role: None,
       subject: service.clone(),
     };
-    let boxes = self.boxes_of(&key.hall);
+    let boxes = self.count_live_boxes(&key.hall);
     let mut untried = self
       .fleet
       .pool(&key)
@@ -128,7 +128,11 @@
       .ok_or(PlacementError::NoSlot)
   }
 
-  fn best_prefill(&mut self, work: &ModelWork, tried: &[Name]) -> Result<Reading, PlacementError> {
+  fn choose_prefill(
+    &mut self,
+    work: &ModelWork,
+    tried: &[Name],
+  ) -> Result<PrefillChoice, PlacementError> {
     let hall = self
       .fleet
       .serving_hall(&self.identity.hall, &work.model, Some(Role::Prefill))
@@ -139,19 +143,19 @@
       subject: work.model.clone(),
     };
     let candidates = match self.tuning().placement {
-      PlacementMode::PredictedTime => self.likely_prefill(&key, work),
-      PlacementMode::RoundRobin => self.next_in_turn(&key),
-      PlacementMode::TwoChoices => self.two_of(&key),
+      PlacementMode::PredictedTime => self.prefill_candidates(&key, work),
+      PlacementMode::RoundRobin => self.next_in_rotation(&key),
+      PlacementMode::TwoChoices => self.two_at_random(&key),
     };
     candidates
       .into_iter()
-      .filter_map(|name| self.read_by(name, work))
-      .min_by_key(|reading| (tried.contains(&reading.engine), reading.ready_in_ms))
+      .filter_map(|name| self.choose_prefill_on(name, work))
+      .min_by_key(|prefill| (tried.contains(&prefill.engine), prefill.ready_in_ms))
       .ok_or(PlacementError::NoSlot)
   }
 
   /// The least loaded engines, and those that probably have the prompt's prefix.
-  fn likely_prefill(&self, key: &PoolKey, work: &ModelWork) -> Vec<Name> {
+  fn prefill_candidates(&self, key: &PoolKey, work: &ModelWork) -> Vec<Name> {
     let mut names = self
       .fleet
       .pool(key)
@@ -170,7 +174,7 @@
     names
   }
 
-  fn read_by(&self, name: Name, work: &ModelWork) -> Option<Reading> {
+  fn choose_prefill_on(&self, name: Name, work: &ModelWork) -> Option<PrefillChoice> {
     let engine = self.fleet.get(&name)?;
     if !engine.is_available(self.now_ms) || engine.used_slots() >= engine.slots() {
       return None;
@@ -181,14 +185,14 @@
     };
     let uncached_tokens = work.prompt_tokens.saturating_sub(cached).max(1);
     let queue_ms = engine.prefill_free_at_ms().saturating_sub(self.now_ms);
-    Some(Reading {
+    Some(PrefillChoice {
       ready_in_ms: queue_ms + engine.prefill_ms(uncached_tokens),
       uncached_tokens,
       engine: name,
     })
   }
 
-  fn best_decode(&mut self, work: &ModelWork, tried: &[Name]) -> Result<Name, PlacementError> {
+  fn choose_decode(&mut self, work: &ModelWork, tried: &[Name]) -> Result<Name, PlacementError> {
     let role = Some(Role::Decode);
     let hall = self
       .fleet
@@ -201,10 +205,10 @@
     };
     let candidates = match self.tuning().placement {
       PlacementMode::PredictedTime => None,
-      PlacementMode::RoundRobin => Some(self.next_in_turn(&key)),
-      PlacementMode::TwoChoices => Some(self.two_of(&key)),
+      PlacementMode::RoundRobin => Some(self.next_in_rotation(&key)),
+      PlacementMode::TwoChoices => Some(self.two_at_random(&key)),
     };
-    let boxes = self.boxes_of(&key.hall);
+    let boxes = self.count_live_boxes(&key.hall);
     let mode = self.tuning().slot_mode;
     let now_ms = self.now_ms;
     if !self.tuning().reserve_before_prefill {
@@ -238,28 +242,28 @@
       .ok_or(PlacementError::NoSlot)
   }
 
-  fn boxes_of(&self, hall: &Name) -> u32 {
+  fn count_live_boxes(&self, hall: &Name) -> u32 {
     let boxes = self.members.owner_candidates(hall, self.stopping).len();
     u32::try_from(boxes).unwrap_or(u32::MAX).max(1)
   }
 
-  fn next_in_turn(&mut self, key: &PoolKey) -> Vec<Name> {
+  fn next_in_rotation(&mut self, key: &PoolKey) -> Vec<Name> {
     let mut names = self
       .fleet
       .pool(key)
       .map(|engine| engine.spec.name.clone())
       .collect::<Vec<_>>();
     names.sort();
-    self.turn = self.turn.wrapping_add(1);
+    self.rotation = self.rotation.wrapping_add(1);
     let size = names.len();
     names
       .into_iter()
-      .nth(self.turn % size.max(1))
+      .nth(self.rotation % size.max(1))
       .into_iter()
       .collect()
   }
 
-  fn two_of(&mut self, key: &PoolKey) -> Vec<Name> {
+  fn two_at_random(&mut self, key: &PoolKey) -> Vec<Name> {
     let size = self.fleet.pool_size(key);
     if size == 0 {
       return Vec::new();
--- a/src/decide/request_machine/dispatch.rs
+++ b/src/decide/request_machine/dispatch.rs
@@ -14,7 +14,7 @@
     let Work::Model(work) = &self.arrival.work else {
       return Handled;
     };
-    let placement = match context.place(work, &self.tried) {
+    let placement = match context.place_completion(work, &self.tried) {
       Ok(placement) => placement,
       Err(error) => {
         self.placed = PlacementResult::Waiting(error);
@@ -61,7 +61,7 @@
 
   pub(super) fn place_call(&mut self, context: &mut Context) -> Outcome<State> {
     let service = self.queue_name().clone();
-    let endpoint = match context.place_call(&service, &self.tried) {
+    let endpoint = match context.place_service_call(&service, &self.tried) {
       Ok(endpoint) => endpoint,
       Err(error) => {
         self.placed = PlacementResult::Waiting(error);
--- a/src/decide/request_machine/transfer.rs
+++ b/src/decide/request_machine/transfer.rs
@@ -78,7 +78,7 @@
     let Work::Model(work) = &self.arrival.work else {
       return Handled;
     };
-    match context.free_decode(work, &full) {
+    match context.free_decode_engine(work, &full) {
       Some(other) => self.move_slot(context, other),
       None => self.link_wait_ms = FULL_RETRY_INTERVAL_MS,
     }
