--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -31,7 +31,7 @@
     let request_machine = RequestMachine::new(arrival, rank, self.context.now_ms);
     let claim = request_machine.needs_claim();
     let waiting = request_machine.queue_entry();
-    let queue = request_machine.queue_name().clone();
+    let queue_name = request_machine.queue_name().clone();
     let mut machine = request_machine
       .uninitialized_state_machine()
       .init_with_context(&mut self.context);
@@ -41,7 +41,12 @@
         .context
         .emit(Action::Claim(request, waiting.organisation.clone(), key));
     } else {
-      self.queues.entry(queue).or_default().queue.push(waiting);
+      self
+        .queues
+        .entry(queue_name)
+        .or_default()
+        .entries
+        .push(waiting);
     }
     self.requests.insert(request, machine);
   }
@@ -117,13 +122,13 @@
 
   /// Predicted time to the first byte; none where no endpoint could serve the work.
   pub(super) fn predicted_ms(&mut self, work: &Work, rank: &Rank) -> Option<u64> {
-    let queue = match work {
+    let queue_name = match work {
       Work::Model(work) => &work.model,
       Work::Service(work) => &work.service,
     };
     let wait_ms = self
       .queues
-      .get(queue)
+      .get(queue_name)
       .map_or(0, |queue| queue.wait_ms(rank.priority));
     let serving_ms = match work {
       Work::Model(work) => self.context.min_first_token_ms(work)?,
@@ -137,28 +142,28 @@
 
   /// Sheds the least of the lane when it is full; false when the newcomer itself is the least.
   pub(super) fn make_room(&mut self, work: &Work, rank: &Rank) -> bool {
-    let queue = match work {
+    let queue_name = match work {
       Work::Model(work) => &work.model,
       Work::Service(work) => &work.service,
     };
-    let Some(full) = self
+    let Some(queue) = self
       .queues
-      .get(queue)
-      .filter(|queue| queue.queue.len() >= self.context.tuning().queue_limit)
+      .get(queue_name)
+      .filter(|queue| queue.entries.len() >= self.context.tuning().queue_limit)
     else {
       return true;
     };
-    let Some(least) = full.queue.least() else {
+    let Some(lowest) = queue.entries.shed_candidate() else {
       return false;
     };
     let arrival_ranks_lower =
-      rank.may_wait && (rank.priority, rank.weight) <= (least.priority, least.weight);
-    if arrival_ranks_lower || rank.priority < least.priority {
+      rank.may_wait && (rank.priority, rank.weight) <= (lowest.priority, lowest.weight);
+    if arrival_ranks_lower || rank.priority < lowest.priority {
       return false;
     }
-    let retry_after_ms = full.wait_ms(least.priority).max(DEFAULT_RETRY_AFTER_MS);
+    let retry_after_ms = queue.wait_ms(lowest.priority).max(DEFAULT_RETRY_AFTER_MS);
     self.advance_request(
-      least.request,
+      lowest.request,
       &RequestEvent::Reject(NotRunReason::Shed, retry_after_ms),
     );
     true
--- a/src/decide/fair_queue.rs
+++ b/src/decide/fair_queue.rs
@@ -29,7 +29,7 @@
 
 #[derive(Default)]
 struct Level {
-  turns: VecDeque<Name>,
+  rotation: VecDeque<Name>,
   queues: BTreeMap<Name, VecDeque<QueueEntry>>,
   deficits: BTreeMap<Name, i64>,
 }
@@ -39,7 +39,7 @@
     let organisation = waiting.organisation.clone();
     let queue = self.queues.entry(organisation.clone()).or_default();
     if queue.is_empty() {
-      self.turns.push_back(organisation);
+      self.rotation.push_back(organisation);
     }
     if front {
       // It was charged when it was taken out.
@@ -54,10 +54,10 @@
   }
 
   /// Turns the ring until the first organisation can pay for its first request.
-  fn settle(&mut self) {
-    while let Some(organisation) = self.turns.front().cloned() {
+  fn advance_rotation(&mut self) {
+    while let Some(organisation) = self.rotation.front().cloned() {
       let Some(first) = self.queues.get(&organisation).and_then(VecDeque::front) else {
-        self.turns.pop_front();
+        self.rotation.pop_front();
         self.deficits.remove(&organisation);
         continue;
       };
@@ -66,26 +66,26 @@
         return;
       }
       *deficit += QUANTUM_TOKENS;
-      self.turns.rotate_left(1);
+      self.rotation.rotate_left(1);
     }
   }
 
   fn peek(&mut self) -> Option<&QueueEntry> {
-    self.settle();
-    let organisation = self.turns.front()?;
+    self.advance_rotation();
+    let organisation = self.rotation.front()?;
     self.queues.get(organisation)?.front()
   }
 
   fn pop(&mut self) -> Option<QueueEntry> {
-    self.settle();
-    let organisation = self.turns.front()?.clone();
+    self.advance_rotation();
+    let organisation = self.rotation.front()?.clone();
     let waiting = self.queues.get_mut(&organisation)?.pop_front()?;
     *self.deficits.entry(organisation.clone()).or_default() -=
       i64::try_from(waiting.cost_tokens).unwrap_or(i64::MAX);
     if self.queues[&organisation].is_empty() {
       self.queues.remove(&organisation);
       self.deficits.remove(&organisation);
-      self.turns.pop_front();
+      self.rotation.pop_front();
     }
     Some(waiting)
   }
@@ -100,7 +100,7 @@
     if queue.is_empty() {
       self.queues.remove(organisation);
       self.deficits.remove(organisation);
-      self.turns.retain(|turn| turn != organisation);
+      self.rotation.retain(|name| name != organisation);
     }
     removed
   }
@@ -162,7 +162,7 @@
   /// Takes the next request.
   pub fn pop(&mut self) -> Option<QueueEntry> {
     let waiting = self.levels.values_mut().find_map(Level::pop)?;
-    self.shrink(waiting.priority);
+    self.drop_empty_level(waiting.priority);
     Some(waiting)
   }
 
@@ -173,12 +173,12 @@
       .get_mut(&Reverse(priority))
       .is_some_and(|level| level.remove(organisation, request));
     if removed {
-      self.shrink(priority);
+      self.drop_empty_level(priority);
     }
   }
 
   /// The request to be shed first: may wait, lowest priority, then lowest weight, then youngest.
-  pub fn least(&self) -> Option<QueueEntry> {
+  pub fn shed_candidate(&self) -> Option<QueueEntry> {
     self
       .levels
       .values()
@@ -197,7 +197,7 @@
   }
 
   /// Requests that stand before a newcomer of that priority.
-  pub fn ahead(&self, priority: i64) -> usize {
+  pub fn count_ahead(&self, priority: i64) -> usize {
     self
       .levels
       .range(..=Reverse(priority))
@@ -210,7 +210,7 @@
     self.levels.values().flat_map(Level::iter)
   }
 
-  fn shrink(&mut self, priority: i64) {
+  fn drop_empty_level(&mut self, priority: i64) {
     self.length -= 1;
     if self
       .levels
--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -133,7 +133,7 @@
 
   /// The number of requests that wait.
   pub fn waiting(&self) -> usize {
-    self.queues.values().map(|queue| queue.queue.len()).sum()
+    self.queues.values().map(|queue| queue.entries.len()).sum()
   }
 
   /// OpenCommands open or being cancelled.
@@ -257,23 +257,23 @@
     let ended = *machine.state() == State::Ended {};
     let request_machine = machine.inner();
     let waiting = request_machine.queue_entry();
-    let queue = request_machine.queue_name().clone();
+    let queue_name = request_machine.queue_name().clone();
     let requeue = request_machine.requeue;
     if was_queued
       && !is_queued
-      && let Some(queue) = self.queues.get_mut(&queue)
+      && let Some(queue) = self.queues.get_mut(&queue_name)
     {
       queue
-        .queue
+        .entries
         .remove(waiting.priority, &waiting.organisation, request);
     }
     if requeue && is_queued {
       machine.handle_with_context(&RequestEvent::Requeued, &mut self.context);
       self
         .queues
-        .entry(queue)
+        .entry(queue_name)
         .or_default()
-        .queue
+        .entries
         .push_front(waiting.clone());
     }
     if ended {
@@ -301,11 +301,11 @@
     let queue_names = self
       .queues
       .iter()
-      .filter(|(_, queue)| !queue.queue.is_empty())
+      .filter(|(_, queue)| !queue.entries.is_empty())
       .map(|(name, _)| name.clone())
       .collect::<Vec<_>>();
-    for queue in queue_names {
-      while self.place_next(&queue) {}
+    for queue_name in queue_names {
+      while self.place_next(&queue_name) {}
     }
   }
 
@@ -314,7 +314,7 @@
     let Some(queue) = self.queues.get_mut(queue_name) else {
       return false;
     };
-    let Some(next) = queue.queue.peek().map(|waiting| waiting.request) else {
+    let Some(next) = queue.entries.peek().map(|waiting| waiting.request) else {
       return false;
     };
     self.place_one(queue_name, next)
@@ -323,7 +323,7 @@
   fn place_one(&mut self, queue_name: &Name, request: RequestId) -> bool {
     let Some(machine) = self.requests.get_mut(&request) else {
       if let Some(queue) = self.queues.get_mut(queue_name) {
-        queue.queue.pop();
+        queue.entries.pop();
       }
       return true;
     };
@@ -332,8 +332,8 @@
       return error == PlacementError::NoEngine && self.reject_without_engine(request);
     }
     if let Some(queue) = self.queues.get_mut(queue_name) {
-      queue.queue.pop();
-      queue.started(self.context.now_ms);
+      queue.entries.pop();
+      queue.record_start(self.context.now_ms);
     }
     // The state has moved already: only its consequences are left.
     self.advance_request(request, &RequestEvent::Tick);
@@ -502,7 +502,7 @@
     let late = self
       .queues
       .values()
-      .flat_map(|queue| queue.queue.iter())
+      .flat_map(|queue| queue.entries.iter())
       .map(|waiting| waiting.request)
       .filter(|request| {
         self
