--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -110,7 +110,7 @@
           .record_cached(self.context.now_ms, &engine, &blocks);
       }
       Event::AttemptsListed(engine, held) => self.cancel_orphans(&engine, held),
-      Event::HoldsExtended(engine) => self.holds_extended(&engine),
+      Event::HoldsExtended(engine) => self.record_hold_extension(&engine),
       Event::Peer(from, message) => self.handle_peer_message(from, message),
       Event::Boxes(entries) => self.apply_box_list(&entries),
       Event::Configured(view) => self.apply_configuration(view),
@@ -219,7 +219,7 @@
     self.context.record(EventKind::ClockJumped, jump_ms, "");
     self.context.members.reset_contact_times(now_ms);
     self.timers.drop_lease();
-    self.give_up_lost_holds();
+    self.abort_lost_holds();
   }
 
   pub(super) fn clock(&self) -> Clock {
@@ -470,14 +470,14 @@
     };
     if self.context.fleet.apply_event(name, &event) {
       self.record_endpoint_state(name);
-      self.timers.hurry();
+      self.timers.send_heartbeat_soon();
     }
   }
 
   fn begin_stop(&mut self) {
     self.context.stopping = true;
     self.context.clear_owners();
-    self.timers.hurry();
+    self.timers.send_heartbeat_soon();
     self
       .context
       .record(EventKind::StopBegan, self.context.identity.name.clone(), "");
--- a/src/decide/timers.rs
+++ b/src/decide/timers.rs
@@ -10,29 +10,29 @@
 };
 
 /// Loads that go along with every heartbeat; more only with each full one.
-const FEW_LOADS: usize = 8;
+const MAX_LOADS_PER_HEARTBEAT: usize = 8;
 /// Each so-manieth heartbeat carries all loads and goes to other halls too.
-const FULL_BEAT: u64 = 4;
-const HOLD_EXTENSIONS: u64 = 3;
+const FULL_HEARTBEAT_INTERVAL: u64 = 4;
+const EXTENSIONS_PER_HOLD: u64 = 3;
 const SCAN_PERIOD_MS: u64 = 100;
-const STEWARD_PERIOD_MS: u64 = 2_000;
+const ROLE_PERIOD_MS: u64 = 2_000;
 const SWEEP_PERIOD_MS: u64 = 2_000;
 
 /// When each periodic duty is due.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
   heartbeat_ms: u64,
-  beats: u64,
+  heartbeats_sent: u64,
   /// The endpoints that this box is home of, as of the last poll.
   owned_endpoints: Vec<Name>,
   poll_ms: u64,
   scan_ms: u64,
   sweep_ms: u64,
   holds_ms: u64,
-  steward_ms: u64,
+  roles_ms: u64,
   lease_until_ms: u64,
   fence: u64,
-  held_since_ms: BTreeMap<Name, u64>,
+  holds_extended_ms: BTreeMap<Name, u64>,
 }
 
 impl Timers {
@@ -50,13 +50,13 @@
   }
 
   /// The next heartbeat goes out at once.
-  pub(crate) fn hurry(&mut self) {
+  pub(crate) fn send_heartbeat_soon(&mut self) {
     self.heartbeat_ms = 0;
   }
 }
 
 /// Whether a duty with this period is due; notes it as done.
-fn due(last_ms: &mut u64, now_ms: u64, period_ms: u64) -> bool {
+fn is_due(last_ms: &mut u64, now_ms: u64, period_ms: u64) -> bool {
   if *last_ms > 0 && now_ms < *last_ms + period_ms {
     return false;
   }
@@ -69,35 +69,34 @@
     let now_ms = self.context.now_ms;
     self.expire_requests();
     self.send_cancels();
-    if due(&mut self.timers.scan_ms, now_ms, SCAN_PERIOD_MS) {
-      self.scan_silence();
+    if is_due(&mut self.timers.scan_ms, now_ms, SCAN_PERIOD_MS) {
+      self.expire_silent();
     }
-    if due(
+    if is_due(
       &mut self.timers.poll_ms,
       now_ms,
       self.context.tuning().poll_ms,
     ) {
       self.poll_loads();
     }
-    if due(
+    if is_due(
       &mut self.timers.heartbeat_ms,
       now_ms,
       self.context.tuning().heartbeat_ms,
     ) {
       self.send_heartbeats();
     }
-    if due(&mut self.timers.sweep_ms, now_ms, SWEEP_PERIOD_MS) {
+    if is_due(&mut self.timers.sweep_ms, now_ms, SWEEP_PERIOD_MS) {
       self.list_attempts();
     }
-    let extension_ms = self.context.tuning().hold_ms / HOLD_EXTENSIONS;
-    if due(&mut self.timers.holds_ms, now_ms, extension_ms) {
-      self.give_up_lost_holds();
+    let extension_ms = self.context.tuning().hold_ms / EXTENSIONS_PER_HOLD;
+    if is_due(&mut self.timers.holds_ms, now_ms, extension_ms) {
+      self.abort_lost_holds();
       self.extend_holds();
     }
-    if self.timers.holds_lease(now_ms)
-      && due(&mut self.timers.steward_ms, now_ms, STEWARD_PERIOD_MS)
+    if self.timers.holds_lease(now_ms) && is_due(&mut self.timers.roles_ms, now_ms, ROLE_PERIOD_MS)
     {
-      self.order_roles();
+      self.switch_roles();
     }
   }
 
@@ -107,7 +106,7 @@
     }
   }
 
-  fn scan_silence(&mut self) {
+  fn expire_silent(&mut self) {
     let now_ms = self.context.now_ms;
     let silence_ms = self.context.tuning().endpoint_silence_ms;
     let silent = self
@@ -175,9 +174,13 @@
   /// with the fleet.
   fn send_heartbeats(&mut self) {
     let now_ms = self.context.now_ms;
-    self.timers.beats += 1;
-    let is_full_beat = self.timers.beats.is_multiple_of(FULL_BEAT);
-    let held = if is_full_beat || self.timers.owned_endpoints.len() <= FEW_LOADS {
+    self.timers.heartbeats_sent += 1;
+    let is_full_heartbeat = self
+      .timers
+      .heartbeats_sent
+      .is_multiple_of(FULL_HEARTBEAT_INTERVAL);
+    let held = if is_full_heartbeat || self.timers.owned_endpoints.len() <= MAX_LOADS_PER_HEARTBEAT
+    {
       self.timers.owned_endpoints.clone()
     } else {
       Vec::new()
@@ -200,7 +203,7 @@
       let message = PeerMessage::Heartbeat(heartbeat.clone());
       self.context.emit(Action::Send(peer, message));
     }
-    if !is_full_beat {
+    if !is_full_heartbeat {
       return;
     }
     let mut heartbeat = heartbeat;
@@ -231,12 +234,12 @@
     let held = self.context.open_commands.held();
     self
       .timers
-      .held_since_ms
+      .holds_extended_ms
       .retain(|engine, _| held.contains_key(engine));
     for (engine, attempts) in held {
       self
         .timers
-        .held_since_ms
+        .holds_extended_ms
         .entry(engine.clone())
         .or_insert(now_ms);
       self.context.emit(Action::ExtendHolds(HoldCommand {
@@ -248,19 +251,19 @@
   }
 
   /// A box that could not extend its holds for half their time treats its attempts as lost first.
-  pub(super) fn give_up_lost_holds(&mut self) {
+  pub(super) fn abort_lost_holds(&mut self) {
     let now_ms = self.context.now_ms;
     let bound_ms = self.context.tuning().hold_ms / 2;
     let lost = self
       .timers
-      .held_since_ms
+      .holds_extended_ms
       .iter()
       .filter(|(_, since_ms)| now_ms.saturating_sub(**since_ms) > bound_ms)
       .map(|(engine, _)| engine.clone())
       .collect::<Vec<_>>();
     let mut held = self.context.open_commands.held();
     for engine in lost {
-      self.timers.held_since_ms.insert(engine.clone(), now_ms);
+      self.timers.holds_extended_ms.insert(engine.clone(), now_ms);
       for attempt in held.remove(&engine).unwrap_or_default() {
         self.context.record(EventKind::HoldLost, &attempt, &engine);
         self
@@ -270,22 +273,22 @@
     }
   }
 
-  pub(super) fn holds_extended(&mut self, engine: &Name) {
+  pub(super) fn record_hold_extension(&mut self, engine: &Name) {
     let now_ms = self.context.now_ms;
-    if let Some(since_ms) = self.timers.held_since_ms.get_mut(engine) {
+    if let Some(since_ms) = self.timers.holds_extended_ms.get_mut(engine) {
       *since_ms = now_ms;
     }
   }
 
   /// As steward of the hall: orders at most one engine of each model to change its role.
-  fn order_roles(&mut self) {
+  fn switch_roles(&mut self) {
     let Some(policy) = self.context.configuration.policy.clone() else {
       return;
     };
     let models = self.models();
     let pools = models
       .iter()
-      .map(|model| self.pool_facts(model))
+      .map(|model| self.pool_stats(model))
       .collect::<Vec<_>>();
     let splits = match policy.shift(self.clock(), &pools) {
       Ok(splits) => splits,
@@ -300,18 +303,18 @@
     };
     for split in splits {
       let candidates = self.candidates(&split.model);
-      let Some(turn) = next_role_switch(&candidates, &split, bounds) else {
+      let Some(switch) = next_role_switch(&candidates, &split, bounds) else {
         continue;
       };
       self.context.record(
         EventKind::RoleOrdered,
-        &turn.engine,
-        format!("{:?}", turn.role),
+        &switch.engine,
+        format!("{:?}", switch.role),
       );
       self.context.emit(Action::SetRole(RoleCommand {
-        engine: turn.engine,
+        engine: switch.engine,
         fence: self.timers.fence,
-        role: turn.role,
+        role: switch.role,
         valid_until_ms: self.timers.lease_until_ms,
       }));
     }
@@ -329,9 +332,9 @@
     models.into_iter().collect()
   }
 
-  fn pool_facts(&self, model: &Name) -> PoolStats {
+  fn pool_stats(&self, model: &Name) -> PoolStats {
     let now_ms = self.context.now_ms;
-    let mut facts = PoolStats {
+    let mut stats = PoolStats {
       decode_engines: 0,
       model: model.clone(),
       prefill_engines: 0,
@@ -342,17 +345,17 @@
     let mut slots = 0;
     for engine in self.engines_of(model) {
       if engine.role == Some(Role::Prefill) {
-        facts.prefill_engines += 1;
+        stats.prefill_engines += 1;
         let queue_ms = engine.prefill_free_at_ms().saturating_sub(now_ms);
-        facts.queue_tokens += queue_ms * engine.spec.prefill_tokens_per_s / 1_000;
+        stats.queue_tokens += queue_ms * engine.spec.prefill_tokens_per_s / 1_000;
       } else {
-        facts.decode_engines += 1;
+        stats.decode_engines += 1;
         used += engine.used_slots();
         slots += engine.slots();
       }
     }
-    facts.seats_used = f64::from(used) / f64::from(slots.max(1));
-    facts
+    stats.seats_used = f64::from(used) / f64::from(slots.max(1));
+    stats
   }
 
   fn candidates(&self, model: &Name) -> Vec<Candidate> {
