--- a/emulator/src/decisions/variant.rs
+++ b/emulator/src/decisions/variant.rs
@@ -111,7 +111,7 @@
       perfect(Self::lagging_load(site)),
       perfect(Self::shipped("", site).tuned(|tuning| tuning.reserve_before_prefill = false)),
       perfect(Self::two_choices(site)),
-      perfect(Self::shipped("", site).tuned(|tuning| tuning.full_pause_ms = 10)),
+      perfect(Self::shipped("", site).tuned(|tuning| tuning.full_backoff_ms = 10)),
       perfect(Self::shipped("", site).tuned(|tuning| tuning.slot_certainty = 0.5)),
       perfect(Self::shipped("", site)),
     ]
--- a/src/decide/request_machine.rs
+++ b/src/decide/request_machine.rs
@@ -251,7 +251,7 @@
         }
       }
       RequestEvent::Tick
-        if context.now_ms > self.slot_requested_ms + context.tuning().ask_timeout_ms =>
+        if context.now_ms > self.slot_requested_ms + context.tuning().slot_request_timeout_ms =>
       {
         self.withdraw_slot_request(context);
         self.requeue_without_slot(context)
--- a/src/decide/request_machine/completion.rs
+++ b/src/decide/request_machine/completion.rs
@@ -21,7 +21,7 @@
     context: &mut Context,
     endpoint: &Name,
   ) -> Outcome<State> {
-    let until_ms = context.now_ms + context.tuning().full_pause_ms;
+    let until_ms = context.now_ms + context.tuning().full_backoff_ms;
     context
       .fleet
       .update(endpoint, |endpoint| endpoint.full_until_ms = until_ms);
--- a/src/decide/request_machine/dispatch.rs
+++ b/src/decide/request_machine/dispatch.rs
@@ -90,7 +90,7 @@
 
   pub(super) fn requeue_without_slot(&mut self, context: &mut Context) -> Outcome<State> {
     if let Some(engine) = self.placement.as_ref().map(|place| place.decode.clone()) {
-      let until_ms = context.now_ms + context.tuning().full_pause_ms;
+      let until_ms = context.now_ms + context.tuning().full_backoff_ms;
       context
         .fleet
         .update(&engine, |engine| engine.full_until_ms = until_ms);
--- a/src/decide/timers.rs
+++ b/src/decide/timers.rs
@@ -299,7 +299,7 @@
     };
     let bounds = RoleSwitchLimits {
       dead_band: self.context.tuning().role_dead_band,
-      least_stay_ms: self.context.tuning().role_least_stay_ms,
+      min_dwell_ms: self.context.tuning().role_min_dwell_ms,
     };
     for split in splits {
       let candidates = self.candidates(&split.model);
@@ -366,7 +366,7 @@
         Some(Candidate {
           engine: engine.spec.name.clone(),
           role: engine.role?,
-          stayed_ms: now_ms.saturating_sub(engine.role_since_ms),
+          dwell_ms: now_ms.saturating_sub(engine.role_since_ms),
           used_slots: engine.used_slots(),
         })
       })
--- a/src/decide/tuning.rs
+++ b/src/decide/tuning.rs
@@ -72,7 +72,8 @@
   /// Silence after which a peer is taken for dead.
   pub peer_silence_ms: u64,
   /// Time after which a seat ask counts as lost.
-  pub ask_timeout_ms: u64,
+  #[serde(rename = "ask_timeout_ms")]
+  pub slot_request_timeout_ms: u64,
   /// Time for which a prefill result can be counted on; less than engines keep it.
   pub export_keep_ms: u64,
   /// Time between tokens that is expected of decode engines.
@@ -80,9 +81,11 @@
   /// Difference between wanted and present share of roles that is left alone.
   pub role_dead_band: f64,
   /// Least time an engine keeps its role.
-  pub role_least_stay_ms: u64,
+  #[serde(rename = "role_least_stay_ms")]
+  pub role_min_dwell_ms: u64,
   /// Time that a full engine is not asked for a seat, unless its home says sooner that one is free.
-  pub full_pause_ms: u64,
+  #[serde(rename = "full_pause_ms")]
+  pub full_backoff_ms: u64,
   /// Jump of the own clock after which the box suspects itself.
   pub clock_jump_ms: u64,
 }
@@ -90,12 +93,12 @@
 impl Default for Tuning {
   fn default() -> Self {
     Self {
-      ask_timeout_ms: 100,
+      slot_request_timeout_ms: 100,
       clock_jump_ms: 1_500,
       early_refusal: true,
       endpoint_silence_ms: 2_500,
       export_keep_ms: 650,
-      full_pause_ms: 400,
+      full_backoff_ms: 400,
       heartbeat_ms: 250,
       hold_ms: 6_000,
       max_attempts: 3,
@@ -108,7 +111,7 @@
       retry_burst: 10.0,
       retry_share: 0.1,
       role_dead_band: 0.15,
-      role_least_stay_ms: 120_000,
+      role_min_dwell_ms: 120_000,
       slot_certainty: 0.5,
       slot_mode: SlotMode::OwnerGrants,
       token_ms: 30,
