--- a/src/decide/timeline_event.rs
+++ b/src/decide/timeline_event.rs
@@ -1,4 +1,4 @@
-//! Numbered events; docs/EVENTS.md is the catalogue.
+//! The numbered events of the timeline; docs/EVENTS.md lists them.
 
 use {
   serde::{Deserialize, Serialize},
@@ -7,20 +7,18 @@
 
 macro_rules! event_kinds {
   ($($(#[$meta:meta])* $name:ident = $number:literal, $text:literal;)*) => {
-    /// The kinds of event.
     #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
     pub enum EventKind { $($(#[$meta])* #[doc = $text] $name,)* }
 
     impl EventKind {
-      /// All kinds, by number.
+      /// All kinds, sorted by number.
       pub const ALL: &[Self] = &[$(Self::$name),*];
 
-      /// The event's number.
       pub fn number(self) -> u16 {
         match self { $(Self::$name => $number),* }
       }
 
-      /// What the event means.
+      /// Description of the event.
       pub fn text(self) -> &'static str {
         match self { $(Self::$name => $text),* }
       }
@@ -33,62 +31,60 @@
   BoxReady = 101, "box has a configuration and takes requests";
   StopBegan = 102, "planned stop began";
   BoxStopped = 103, "box stopped";
-  ClockJumped = 104, "own clock jumped; suspecting self first";
+  ClockJumped = 104, "clock jumped; the box was probably paused";
   RequestArrived = 200, "request arrived";
-  RequestAnswered = 201, "request answered whole";
-  RequestNotRun = 202, "request told not run";
-  RequestUnknown = 203, "request told unknown";
-  RequestAbandoned = 204, "caller left";
-  PolicyFailed = 210, "policy failed; last good answer used";
+  RequestAnswered = 201, "request answered in full";
+  RequestNotRun = 202, "request reported as not run";
+  RequestUnknown = 203, "request reported as unknown";
+  RequestAbandoned = 204, "caller disconnected";
+  PolicyFailed = 210, "policy failed; last valid result used";
   ClaimHeld = 220, "claim held";
-  ClaimTaken = 221, "claim taken by another";
-  ClaimUnavailable = 222, "claim could not be settled";
-  ClaimReleased = 223, "claim released on proof of not run";
-  SeatGranted = 300, "seat reserved";
-  SeatRefused = 301, "seat refused";
-  PrefillOrdered = 310, "prefill ordered";
+  ClaimTaken = 221, "claim held by another request";
+  ClaimUnavailable = 222, "claim could not be confirmed";
+  ClaimReleased = 223, "claim released after proof that nothing ran";
+  SeatGranted = 300, "slot reserved";
+  SeatRefused = 301, "slot request rejected";
+  PrefillOrdered = 310, "prefill command sent";
   PrefillDone = 311, "prefill done";
-  PrefillWasted = 312, "prefill result never used";
-  TransferOrdered = 320, "transfer ordered";
+  PrefillWasted = 312, "prefill result not used";
+  TransferOrdered = 320, "transfer command sent";
   TransferDone = 321, "transfer done";
-  DecodeOrdered = 330, "decode ordered";
-  FirstChunk = 331, "first chunk came";
+  DecodeOrdered = 330, "decode command sent";
+  FirstChunk = 331, "first chunk received";
   DecodeResumed = 332, "decode resumed at an offset";
   ServiceCalled = 340, "plain service called";
-  OrderFailed = 350, "order failed";
-  RetryDenied = 351, "retry denied by the budget";
+  OrderFailed = 350, "command failed";
+  RetryDenied = 351, "retry denied by the retry budget";
   CancelSent = 360, "cancel sent";
   CancelSettled = 361, "cancel acknowledged";
-  OrphanSwept = 370, "attempt of a lost box cancelled by the engine's home";
-  HoldLost = 371, "own hold could not be extended; attempt given up";
+  OrphanSwept = 370, "attempt of a lost box cancelled by the engine's owner";
+  HoldLost = 371, "hold could not be extended; attempt aborted";
   EndpointLive = 400, "endpoint live";
-  EndpointSuspect = 401, "endpoint silent; no new work";
+  EndpointSuspect = 401, "endpoint not responding; no new work";
   EndpointLeaving = 402, "endpoint leaving; no new work";
-  EndpointReturned = 403, "endpoint back with a new incarnation";
+  EndpointReturned = 403, "endpoint returned with a new incarnation";
   PeerLive = 410, "peer live";
   PeerLost = 411, "peer lost";
   ConfigurationApplied = 420, "configuration applied";
-  ConfigurationRefused = 421, "configuration document refused";
-  StewardTaken = 430, "steward lease held";
-  StewardLost = 431, "steward lease lost";
-  RoleOrdered = 432, "role change ordered";
-  PlatformDown = 440, "platform's service does not answer";
-  PlatformUp = 441, "platform's service answers again";
+  ConfigurationRefused = 421, "configuration document rejected";
+  StewardTaken = 430, "role leader lease acquired";
+  StewardLost = 431, "role leader lease lost";
+  RoleOrdered = 432, "role change command sent";
+  PlatformDown = 440, "store unreachable";
+  PlatformUp = 441, "store reachable again";
 }
 
-/// One event, before the time line stamps it.
+/// An event of the timeline, without its timestamp.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TimelineEvent {
-  /// Its kind.
   pub kind: EventKind,
-  /// What it is about: a request, an attempt, an endpoint or a box.
+  /// Name of the request, attempt, endpoint, document or box.
   pub subject: Arc<str>,
-  /// A short detail, possibly empty.
+  /// Further detail; may be empty.
   pub detail: Arc<str>,
 }
 
 impl TimelineEvent {
-  /// Makes an event.
   ///
   /// ```
   /// use rillford::decide::{TimelineEvent, EventKind};
