--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request on arrival: its rank, a refusal at once, or a place in its lane.
+//! Admission of a request: ranks it, then rejects or queues it.
 
 use {
   super::{
@@ -9,7 +9,6 @@
   statig::prelude::*,
 };
 
-/// The least time after which a refused caller is told to come back.
 const MIN_RETRY_AFTER_MS: u64 = 100;
 
 impl Machine {
@@ -18,8 +17,8 @@
     self
       .context
       .record(EventKind::RequestArrived, arrival.request.0, &rank.class);
-    if let Some(ending) = self.rejection(&arrival, &rank) {
-      self.reject(arrival.request, ending);
+    if let Some(outcome) = self.rejection(&arrival, &rank) {
+      self.reject(arrival.request, outcome);
       return;
     }
     self.context.budget.earn();
@@ -30,7 +29,7 @@
     let request = arrival.request;
     let request_machine = RequestMachine::new(arrival, rank, self.context.now_ms);
     let claim = request_machine.needs_claim();
-    let waiting = request_machine.queue_entry();
+    let entry = request_machine.queue_entry();
     let queue_name = request_machine.queue_name().clone();
     let mut machine = request_machine
       .uninitialized_state_machine()
@@ -39,27 +38,27 @@
       machine.handle_with_context(&RequestEvent::AwaitClaim, &mut self.context);
       self
         .context
-        .emit(Action::Claim(request, waiting.organisation.clone(), key));
+        .emit(Action::Claim(request, entry.organisation.clone(), key));
     } else {
       self
         .queues
         .entry(queue_name)
         .or_default()
         .entries
-        .push(waiting);
+        .push(entry);
     }
     self.requests.insert(request, machine);
   }
 
   pub(super) fn rank(&mut self, arrival: &Arrival) -> Rank {
     let Some(policy) = self.context.configuration.policy.clone() else {
-      return Rank::plain();
+      return Rank::without_policy();
     };
     let (subject, kind, prompt_tokens, max_tokens) = match &arrival.work {
       Work::Model(work) => (&work.model, "model", work.prompt_tokens, work.max_tokens),
       Work::Service(work) => (&work.service, "service", 0, 0),
     };
-    let facts = RequestAttributes {
+    let attributes = RequestAttributes {
       kind: kind.into(),
       max_tokens,
       organisation: arrival.organisation.clone(),
@@ -67,7 +66,7 @@
       subject: subject.clone(),
       task: arrival.task.clone(),
     };
-    match policy.rank(&facts, self.clock()) {
+    match policy.rank(&attributes, self.clock()) {
       Ok(rank) => {
         self.last_ranks.insert(arrival.task.clone(), rank.clone());
         rank
@@ -77,12 +76,12 @@
           .context
           .record(EventKind::PolicyFailed, &arrival.task, error);
         let last = self.last_ranks.get(&arrival.task).cloned();
-        last.unwrap_or_else(Rank::plain)
+        last.unwrap_or_else(Rank::without_policy)
       }
     }
   }
 
-  /// Why a request is refused on arrival, if it is. May shed another to make room.
+  /// The outcome with which a request is rejected on arrival, if it is. May shed another request to make room.
   pub(super) fn rejection(&mut self, arrival: &Arrival, rank: &Rank) -> Option<RequestOutcome> {
     let not_run = |reason, retry_after_ms| {
       Some(RequestOutcome::NotRun {
@@ -120,7 +119,7 @@
     None
   }
 
-  /// Predicted time to the first byte; none where no endpoint could serve the work.
+  /// Predicted time to the first byte; none if no endpoint could serve the work.
   pub(super) fn predicted_ms(&mut self, work: &Work, rank: &Rank) -> Option<u64> {
     let queue_name = match work {
       Work::Model(work) => &work.model,
@@ -140,7 +139,7 @@
     Some(wait_ms + serving_ms)
   }
 
-  /// Sheds the least of the lane when it is full; false when the newcomer itself is the least.
+  /// Sheds the lowest-ranked request of a full queue; false if the arriving request ranks lowest itself.
   pub(super) fn make_room(&mut self, work: &Work, rank: &Rank) -> bool {
     let queue_name = match work {
       Work::Model(work) => &work.model,
@@ -169,12 +168,12 @@
     true
   }
 
-  pub(super) fn reject(&mut self, request: RequestId, ending: RequestOutcome) {
-    if let RequestOutcome::NotRun { reason, .. } = ending {
+  pub(super) fn reject(&mut self, request: RequestId, outcome: RequestOutcome) {
+    if let RequestOutcome::NotRun { reason, .. } = outcome {
       self
         .context
         .record(EventKind::RequestNotRun, request.0, format!("{reason:?}"));
     }
-    self.context.emit(Action::Complete(request, ending));
+    self.context.emit(Action::Complete(request, outcome));
   }
 }
--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -1,4 +1,4 @@
-//! The decisions of a box: a pure machine from events to actions.
+//! The decisions of a box: a state machine without I/O, from events to actions.
 
 use {
   super::{
@@ -17,23 +17,21 @@
   std::{collections::BTreeMap, sync::Arc},
 };
 
-/// When to come back where nothing says better.
+/// Retry-after delay where no better estimate exists.
 pub(super) const DEFAULT_RETRY_AFTER_MS: u64 = 1_000;
 const EXPIRY_PERIOD_MS: u64 = 50;
 
-/// What a machine starts with.
+/// The initial state of a [`Machine`].
 pub struct Setup {
-  /// Who the box is.
   pub identity: Identity,
-  /// The endpoints of the settings.
   pub endpoints: Vec<EndpointSpec>,
-  /// Unix time at which the box's clock read zero.
+  /// Unix time of zero on the box's clock.
   pub epoch_unix_ms: u64,
-  /// Seed for all that is drawn at random.
+  /// Seed of the random number generator.
   pub seed: u64,
 }
 
-/// The decisions of a box. It has no clock, thread or socket: time comes with each event.
+/// The decisions of a box. It has no clock, thread or socket: each event carries the time.
 ///
 /// ```
 /// use rillford::decide::{Event, Identity, Machine, Setup};
@@ -54,7 +52,6 @@
 }
 
 impl Machine {
-  /// A machine at time zero.
   pub fn new(setup: Setup) -> Self {
     let fleet = Fleet::new(setup.endpoints);
     Self {
@@ -69,11 +66,11 @@
     }
   }
 
-  /// Takes in one event and answers with what is to be done.
+  /// Handles one event and returns the actions to perform.
   pub fn handle(&mut self, now_ms: u64, event: Event) -> Vec<Action> {
     self.context.now_ms = now_ms;
     self.check_clock();
-    // After its claim a request waits for the next event, so that a caller who left is heard first.
+    // A request whose claim was settled waits for the next event, so that a disconnect of its caller is handled first.
     let places_queued = !matches!(event, Event::ClaimSettled(..));
     self.dispatch(event);
     if places_queued {
@@ -126,22 +123,21 @@
     self.context.configured && !self.context.stopping
   }
 
-  /// The number of requests in progress.
   pub fn in_progress(&self) -> usize {
     self.requests.len()
   }
 
-  /// The number of requests that wait.
-  pub fn waiting(&self) -> usize {
+  /// The number of queued requests.
+  pub fn queued(&self) -> usize {
     self.queues.values().map(|queue| queue.entries.len()).sum()
   }
 
-  /// OpenCommands open or being cancelled.
-  pub fn open_orders(&self) -> usize {
+  /// Commands that are open or being cancelled.
+  pub fn open_commands(&self) -> usize {
     self.context.open_commands.len()
   }
 
-  /// What an operator can see.
+  /// The state that operators can see.
   pub fn status(&mut self) -> Status {
     let endpoints = self.endpoint_statuses();
     let context = &self.context;
@@ -168,7 +164,7 @@
         .sum(),
       steward: self.timers.holds_lease(context.now_ms),
       stopping: context.stopping,
-      waiting: self.waiting(),
+      waiting: self.queued(),
     }
   }
 
@@ -207,7 +203,8 @@
       .collect()
   }
 
-  /// After a pause the box suspects itself before it suspects others.
+  /// After a jump of the clock this box was probably paused: peers are given a full timeout again, and its own lease and
+  /// holds are treated as lost.
   fn check_clock(&mut self) {
     let now_ms = self.context.now_ms;
     let jump_ms = now_ms.saturating_sub(self.last_event_ms);
@@ -246,7 +243,7 @@
     );
   }
 
-  /// Moves one request, and puts it where its new state belongs.
+  /// Feeds the state machine of a request, then queues or removes it as the new state requires.
   pub(super) fn advance_request(&mut self, request: RequestId, event: &RequestEvent) {
     let Some(machine) = self.requests.get_mut(&request) else {
       return;
@@ -254,9 +251,9 @@
     let was_queued = *machine.state() == State::Queued {};
     machine.handle_with_context(event, &mut self.context);
     let is_queued = *machine.state() == State::Queued {};
-    let ended = *machine.state() == State::Ended {};
+    let finished = *machine.state() == State::Finished {};
     let request_machine = machine.inner();
-    let waiting = request_machine.queue_entry();
+    let entry = request_machine.queue_entry();
     let queue_name = request_machine.queue_name().clone();
     let requeue = request_machine.requeue;
     if was_queued
@@ -265,7 +262,7 @@
     {
       queue
         .entries
-        .remove(waiting.priority, &waiting.organisation, request);
+        .remove(entry.priority, &entry.organisation, request);
     }
     if requeue && is_queued {
       machine.handle_with_context(&RequestEvent::Requeued, &mut self.context);
@@ -274,20 +271,20 @@
         .entry(queue_name)
         .or_default()
         .entries
-        .push_front(waiting.clone());
+        .push_front(entry.clone());
     }
-    if ended {
+    if finished {
       self.requests.remove(&request);
-      if let Some(count) = self.in_progress.get_mut(&waiting.organisation) {
+      if let Some(count) = self.in_progress.get_mut(&entry.organisation) {
         *count -= 1;
         if *count == 0 {
-          self.in_progress.remove(&waiting.organisation);
+          self.in_progress.remove(&entry.organisation);
         }
       }
     }
   }
 
-  /// Whether a request waits for the answer to this very ask.
+  /// Whether a request waits for the response to this slot request.
   pub(super) fn is_requesting_slot(&self, attempt: &AttemptId) -> bool {
     self
       .requests
@@ -296,7 +293,7 @@
       && attempt.incarnation == self.context.identity.incarnation
   }
 
-  /// Places as many waiting requests as there is room for.
+  /// Places as many queued requests as there are free slots for.
   fn place_queued(&mut self) {
     let queue_names = self
       .queues
@@ -309,12 +306,12 @@
     }
   }
 
-  /// Places the next request of a lane; false when it has to wait.
+  /// Places the next request of a queue; false if it has to wait.
   fn place_next(&mut self, queue_name: &Name) -> bool {
     let Some(queue) = self.queues.get_mut(queue_name) else {
       return false;
     };
-    let Some(next) = queue.entries.peek().map(|waiting| waiting.request) else {
+    let Some(next) = queue.entries.peek().map(|entry| entry.request) else {
       return false;
     };
     self.place_one(queue_name, next)
@@ -335,7 +332,7 @@
       queue.entries.pop();
       queue.record_start(self.context.now_ms);
     }
-    // The state has moved already: only its consequences are left.
+    // The state machine has advanced already; this only applies its new state.
     self.advance_request(request, &RequestEvent::Tick);
     true
   }
@@ -393,7 +390,7 @@
     self.context.record(kind, name, "");
   }
 
-  /// As home of an engine: cancels what nobody holds on to any more.
+  /// As owner of an engine: cancels attempts that no box holds any more.
   fn cancel_orphans(&mut self, engine: &Name, held: Vec<HeldAttempt>) {
     for held in held {
       if !self.is_orphan(engine, &held) {
@@ -483,7 +480,7 @@
       .record(EventKind::StopBegan, self.context.identity.name.clone(), "");
   }
 
-  /// Tells "not run" to those that can't be served in time any more, and passes time on to asks.
+  /// Rejects queued requests that can no longer be served in time, and checks slot requests for timeouts.
   pub(super) fn expire_requests(&mut self) {
     let now_ms = self.context.now_ms;
     if now_ms < self.last_expiry_ms + EXPIRY_PERIOD_MS {
@@ -503,7 +500,7 @@
       .queues
       .values()
       .flat_map(|queue| queue.entries.iter())
-      .map(|waiting| waiting.request)
+      .map(|entry| entry.request)
       .filter(|request| {
         self
           .requests
@@ -519,7 +516,7 @@
     }
   }
 
-  /// Engines of this box's hall that serve a model.
+  /// Live engines of this box's hall that serve a model.
   pub(super) fn engines_of(&self, model: &Name) -> impl Iterator<Item = &super::Endpoint> {
     self.context.fleet.iter().filter(move |endpoint| {
       endpoint.spec.hall == self.context.identity.hall
--- a/src/decide/membership.rs
+++ b/src/decide/membership.rs
@@ -1,4 +1,4 @@
-//! Which boxes live, and which of them is home of which endpoint.
+//! Which boxes are live, and rendezvous hashing over them.
 
 use {
   super::{BoxEntry, Heartbeat},
@@ -7,36 +7,34 @@
   std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Boxes that exchange heartbeats with all others of their hall; above, each has so many neighbours.
+/// Largest hall in which each box sends heartbeats to all others; in larger ones each has a fixed set of neighbours.
 pub const FULL_MESH_BOXES: usize = 8;
 
-/// A peer as this box sees it.
+/// This box's view of a peer.
 #[derive(Clone, Debug)]
 pub struct Peer {
-  /// Its entry in the platform's box list.
+  /// The peer's entry in the platform's box list.
   pub entry: BoxEntry,
-  /// Its start, from its heartbeats; 0 before the first.
+  /// The incarnation of its last heartbeat; 0 before the first.
   pub incarnation: u64,
-  /// When it was last heard.
+  /// When its last heartbeat arrived.
   pub last_contact_ms: u64,
-  /// Whether it says that it is stopping.
+  /// Whether it reports that it is stopping.
   pub leaving: bool,
-  /// Whether it counts as alive.
   pub live: bool,
 }
 
-/// The boxes of the platform's list, with what heartbeats say of them.
+/// The boxes of the platform's list, with the state that their heartbeats report.
 #[derive(Clone, Debug)]
 pub struct Membership {
   own_name: Name,
   own_hall: Name,
   peers: BTreeMap<Name, Peer>,
-  /// Peers of the own hall that count this box among their neighbours.
+  /// Peers of this hall that send their heartbeats to this box.
   expected_senders: BTreeSet<Name>,
 }
 
 impl Membership {
-  /// A box that knows only itself.
   pub fn new(own_name: Name, own_hall: Name) -> Self {
     Self {
       expected_senders: BTreeSet::new(),
@@ -46,7 +44,7 @@
     }
   }
 
-  /// Takes in the platform's list. A box that is not listed any more stays while it is heard.
+  /// Applies the platform's list. A box that is no longer listed stays while its heartbeats arrive.
   pub fn apply_box_list(&mut self, now_ms: u64, entries: &[BoxEntry]) {
     for entry in entries.iter().filter(|entry| entry.name != self.own_name) {
       let peer = self
@@ -67,7 +65,7 @@
     self.expected_senders = self.compute_expected_senders();
   }
 
-  /// Boxes of the own hall by name, this one included.
+  /// Names of this hall's boxes, including this one.
   fn hall_boxes(&self) -> Vec<Name> {
     let peers = self.peers.values();
     peers
@@ -88,7 +86,7 @@
       .collect()
   }
 
-  /// Takes in a heartbeat; true when the peer counts as alive only since now.
+  /// Records a heartbeat; true if the peer was not live before.
   pub fn record_heartbeat(&mut self, now_ms: u64, from: &Name, heartbeat: &Heartbeat) -> bool {
     let Some(peer) = self.peers.get_mut(from) else {
       return false;
@@ -104,13 +102,13 @@
     became_live
   }
 
-  /// Marks silent peers dead and answers with them. For a box that is not expected to send anything
-  /// here the platform's list alone speaks.
-  pub fn expire(&mut self, now_ms: u64, silence_ms: u64) -> Vec<Peer> {
+  /// Marks peers as lost from which no heartbeat has arrived within the timeout, and returns them. Peers that are not
+  /// expected to send heartbeats to this box are removed by the platform's list alone.
+  pub fn expire(&mut self, now_ms: u64, timeout_ms: u64) -> Vec<Peer> {
     let mut lost = Vec::new();
     for peer in self.peers.values_mut() {
-      let expected = self.expected_senders.contains(&peer.entry.name);
-      if peer.live && expected && now_ms.saturating_sub(peer.last_contact_ms) > silence_ms {
+      let is_expected = self.expected_senders.contains(&peer.entry.name);
+      if peer.live && is_expected && now_ms.saturating_sub(peer.last_contact_ms) > timeout_ms {
         peer.live = false;
         lost.push(peer.clone());
       }
@@ -118,24 +116,22 @@
     lost
   }
 
-  /// The own clock jumped: peers get a full silence again before they count as dead.
+  /// After a jump of this box's clock: gives each peer a full timeout again.
   pub fn reset_contact_times(&mut self, now_ms: u64) {
     for peer in self.peers.values_mut() {
       peer.last_contact_ms = now_ms;
     }
   }
 
-  /// All peers.
   pub fn peers(&self) -> impl Iterator<Item = &Peer> {
     self.peers.values()
   }
 
-  /// A peer by name.
   pub fn peer(&self, name: &Name) -> Option<&Peer> {
     self.peers.get(name)
   }
 
-  /// Boxes of a hall that can be home: alive and not leaving.
+  /// Boxes of a hall that may own endpoints: live and not leaving.
   pub fn owner_candidates(&self, hall: &Name, own_leaving: bool) -> Vec<Name> {
     let mut names = self
       .peers
@@ -149,7 +145,7 @@
     names
   }
 
-  /// Whether the hall is small enough for all its boxes to speak with each other.
+  /// Whether each box of this hall sends heartbeats to all others.
   pub fn is_full_mesh(&self) -> bool {
     let peers = self.peers.values();
     let others = peers
@@ -158,14 +154,13 @@
     others < FULL_MESH_BOXES
   }
 
-  /// The peers of the own hall that get this box's heartbeats: all while the hall is small, else
-  /// fixed neighbours.
+  /// The peers of this hall that get this box's heartbeats.
   pub fn hall_neighbours(&self) -> Vec<Name> {
     neighbours_of(&self.own_name, &self.hall_boxes())
   }
 
-  /// One box of each other hall.
-  pub fn far_neighbours(&self) -> Vec<Name> {
+  /// One live box of each other hall.
+  pub fn other_hall_neighbours(&self) -> Vec<Name> {
     let mut halls = BTreeMap::<Name, Vec<Name>>::new();
     for peer in self.peers.values() {
       if peer.entry.hall != self.own_hall && peer.live {
@@ -182,8 +177,7 @@
   }
 }
 
-/// The boxes of its hall that a box sends heartbeats to: all while the hall is small, else a fixed
-/// number by rendezvous order.
+/// The boxes of its hall to which a box sends heartbeats: all in a small hall, else a fixed number in rendezvous order.
 fn neighbours_of(name: &Name, hall: &[Name]) -> Vec<Name> {
   let others = hall
     .iter()
@@ -193,12 +187,12 @@
   if others.len() < FULL_MESH_BOXES {
     return others;
   }
-  let mut rendezvous_order = rendezvous_order(name, &others);
-  rendezvous_order.truncate(FULL_MESH_BOXES - 1);
-  rendezvous_order
+  let mut ordered = rendezvous_order(name, &others);
+  ordered.truncate(FULL_MESH_BOXES - 1);
+  ordered
 }
 
-/// Candidates in rendezvous order for a subject, the best first.
+/// Candidates by rendezvous hashing with a subject, best first.
 ///
 /// ```
 /// use rillford::decide::rendezvous_order;
--- a/src/decide/peer_handling.rs
+++ b/src/decide/peer_handling.rs
@@ -1,4 +1,4 @@
-//! What a box does on messages of its peers.
+//! Handles messages of peers.
 
 use {
   super::{
@@ -26,7 +26,7 @@
         let documents = self.context.configuration.newer_than(&revisions);
         self.send_documents(from, documents);
       }
-      // Documents are checked and compiled before `decide` hears of them.
+      // Documents are checked and compiled outside of `decide` and arrive as `Event::Configured`.
       PeerMessage::Documents(_) => {}
     }
   }
@@ -56,7 +56,7 @@
       }
     }
     if heartbeat.configuration_digest != self.context.configuration.digest() {
-      self.ask_for_documents(from, heartbeat.latest_revision);
+      self.request_documents(from, heartbeat.latest_revision);
     }
   }
 
@@ -67,15 +67,15 @@
     }
   }
 
-  /// Who has fallen behind asks for what came after; who is level and yet different has missed one.
-  fn ask_for_documents(&mut self, from: &Name, latest_revision: u64) {
+  /// Requests documents from a peer whose digest differs: all after this box's latest revision if the peer is ahead, or
+  /// the difference by revisions if both have the same latest revision. A peer that is behind asks for itself.
+  fn request_documents(&mut self, from: &Name, latest_revision: u64) {
     let own = &self.context.configuration;
     let message = if latest_revision > own.latest_revision() {
       PeerMessage::DocumentsAfter(own.latest_revision())
     } else {
       PeerMessage::DocumentsWanted(own.revisions())
     };
-    // Who is ahead is asked by the other side.
     if latest_revision >= own.latest_revision() {
       self.context.emit(Action::Send(from.clone(), message));
     }
@@ -84,7 +84,7 @@
   fn handle_slot_response(&mut self, from: Name, response: SlotResponse) {
     if !self.is_requesting_slot(&response.attempt) {
       if response.granted {
-        // Granted too late: nobody waits for it any more.
+        // The request does not wait for it any more.
         let message = PeerMessage::SlotReturn(response.attempt, response.engine);
         self.context.emit(Action::Send(from, message));
       }
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -1,4 +1,4 @@
-//! Choosing engines by predicted time to the first token, or by one of the ways it is measured against.
+//! Choice of engines: by predicted time to the first token, or by a baseline algorithm.
 
 use {
   super::{Context, Endpoint, ModelWork, PlacementMode, PoolKey, Role, SlotMode},
@@ -6,32 +6,30 @@
   rand::RngExt,
 };
 
-/// Engines looked at per role; the pools are in order of load, so the best is among the first.
+/// Engines considered per role. The pools are sorted by load, so that the best engine is among the first.
 const CANDIDATES: usize = 4;
 
-/// The engines chosen for an attempt, and what is expected of them.
+/// The engines chosen for an attempt, with the predictions for it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Placement {
-  /// Reads the prompt.
+  /// The prefill engine.
   pub prefill: Name,
-  /// Writes the answer.
+  /// The decode engine.
   pub decode: Name,
-  /// When the prompt is expected to be read, counted from now.
+  /// Predicted time until prefill is done.
   pub ready_in_ms: u64,
-  /// When the first token is expected, counted from now.
+  /// Predicted time to the first token.
   pub first_token_in_ms: u64,
-  /// Tokens expected to be read anew.
+  /// Prompt tokens expected not to be in the prefix cache.
   pub uncached_tokens: u64,
-  /// Bytes expected to be moved.
+  /// Expected size of the KV cache to transfer.
   pub kv_bytes: u64,
 }
 
-/// Why no engines could be chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PlacementError {
-  /// No live engine serves the model.
   NoEngine,
-  /// All decode slots are taken for now.
+  /// All engines are full or in a backoff.
   NoSlot,
 }
 
@@ -42,8 +40,7 @@
 }
 
 impl Context {
-  /// Chooses a prefill and a decode engine for a completion; engines that failed it are the last
-  /// resort.
+  /// Chooses a prefill and a decode engine for a completion; engines at which it has failed are the last resort.
   pub(crate) fn place_completion(
     &mut self,
     work: &ModelWork,
@@ -63,7 +60,7 @@
     })
   }
 
-  /// A decode engine other than a full one that has a seat by its last report.
+  /// A decode engine, other than `full`, that has a free slot by its last report.
   pub(crate) fn free_decode_engine(&self, work: &ModelWork, full: &Name) -> Option<Name> {
     let role = Some(Role::Decode);
     let hall = self
@@ -86,7 +83,7 @@
       .map(|engine| engine.spec.name.clone())
   }
 
-  /// Least time to a first token that any engine could give now, without regard to slots.
+  /// Least predicted time to a first token, without regard to decode slots.
   pub(crate) fn min_first_token_ms(&mut self, work: &ModelWork) -> Option<u64> {
     let prefill = match self.choose_prefill(work, &[]) {
       Ok(prefill) => prefill,
@@ -96,7 +93,7 @@
     Some(prefill.ready_in_ms + self.tuning().token_ms)
   }
 
-  /// Chooses an instance of a plain service with a free place.
+  /// Chooses an instance of a plain service with a free slot.
   pub(crate) fn place_service_call(
     &mut self,
     service: &Name,
@@ -149,12 +146,12 @@
     };
     candidates
       .into_iter()
-      .filter_map(|name| self.choose_prefill_on(name, work))
+      .filter_map(|name| self.predict_prefill(name, work))
       .min_by_key(|prefill| (tried.contains(&prefill.engine), prefill.ready_in_ms))
       .ok_or(PlacementError::NoSlot)
   }
 
-  /// The least loaded engines, and those that probably have the prompt's prefix.
+  /// The least loaded engines, and those that probably have the prompt's prefix in their cache.
   fn prefill_candidates(&self, key: &PoolKey, work: &ModelWork) -> Vec<Name> {
     let mut names = self
       .fleet
@@ -174,7 +171,7 @@
     names
   }
 
-  fn choose_prefill_on(&self, name: Name, work: &ModelWork) -> Option<PrefillChoice> {
+  fn predict_prefill(&self, name: Name, work: &ModelWork) -> Option<PrefillChoice> {
     let engine = self.fleet.get(&name)?;
     if !engine.is_available(self.now_ms) || engine.used_slots() >= engine.slots() {
       return None;
@@ -285,7 +282,7 @@
     return false;
   }
   match mode {
-    // The home counts on slots that end in time, so a full engine is still worth asking.
+    // The owner counts on slots that become free in time, so that a full engine may still grant one.
     SlotMode::OwnerGrants => true,
     SlotMode::LaggingLoad => endpoint.used_slots() < endpoint.slots(),
     SlotMode::FixedShares => endpoint.own_slots < (endpoint.slots() / boxes).max(1),
--- a/src/decide/rank.rs
+++ b/src/decide/rank.rs
@@ -1,30 +1,30 @@
-//! What policy says of one request.
+//! The rank of a request.
 
 use crate::ids::Name;
 
-/// The typed result of the policy's `rank`.
+/// The result of the policy program's `rank` function.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rank {
-  /// The class that the request belongs to, for queues and figures.
+  /// Class of the request, for the timeline.
   pub class: Name,
-  /// Higher goes first.
+  /// Higher is served first.
   pub priority: i64,
-  /// Whether the work may be shed under pressure.
+  /// Whether the request may be shed when its queue is full.
   pub may_wait: bool,
-  /// Among work that may wait, the lowest weight is shed first.
+  /// Among requests of equal priority that may wait, the lowest weight is shed first.
   pub weight: f64,
-  /// Target for the first token.
+  /// Target time to the first token.
   pub first_token_ms: u64,
 }
 
 impl Rank {
-  /// The rank used when no policy is in force.
+  /// The rank of all requests when no policy program is configured.
   ///
   /// ```
-  /// let rank = rillford::decide::Rank::plain();
+  /// let rank = rillford::decide::Rank::without_policy();
   /// assert_eq!(rank.first_token_ms, 1400);
   /// ```
-  pub fn plain() -> Self {
+  pub fn without_policy() -> Self {
     Self {
       class: "default".into(),
       first_token_ms: 1400,
--- a/src/decide/request_machine.rs
+++ b/src/decide/request_machine.rs
@@ -1,4 +1,4 @@
-//! The request_machine of one request, from its rank to one of its endings.
+//! The state machine of a request, from its rank to its outcome.
 
 use {
   super::{
@@ -9,75 +9,64 @@
   statig::prelude::*,
 };
 
-/// Grace beyond the deadline for work that began.
+/// Grace period after the deadline for work that may have begun.
 const STARTED_GRACE_MS: u64 = 20_000;
-/// When to come back after the key-value service did not answer.
 const CLAIM_RETRY_AFTER_MS: u64 = 2_000;
 
 mod completion;
 mod dispatch;
 mod transfer;
 
-/// What moves a request on.
+/// An input of a request's state machine.
 #[derive(Clone, Debug)]
 pub enum RequestEvent {
-  /// Its claim was settled.
+  /// Result of writing its claim.
   Claim(ClaimOutcome),
-  /// A claim has to be written first.
+  /// A claim has to be written before it is queued.
   AwaitClaim,
-  /// It is its turn to be placed.
+  /// The request is first in its queue.
   Place,
-  /// It was put back into its lane.
+  /// The request was put back into its queue.
   Requeued,
-  /// A home answered its ask for a seat.
+  /// The response to a slot request.
   Slot {
-    /// The attempt that asked.
     attempt: AttemptId,
-    /// Whether the seat is reserved.
     granted: bool,
-    /// Wait for the link beyond the time asked for.
+    /// Wait for the link window after the requested time.
     link_wait_ms: u64,
   },
-  /// One of its orders came to something.
+  /// Result of one of its commands.
   Stage {
-    /// The attempt.
     attempt: AttemptId,
-    /// The endpoint.
     endpoint: Name,
-    /// What became of it.
     outcome: StageOutcome,
   },
-  /// Its caller has gone.
   CallerDisconnected,
-  /// It can't be served in time, or must make room.
+  /// The request can't be served in time, or is shed; with the retry-after delay.
   Reject(NotRunReason, u64),
-  /// Time has passed.
   Tick,
 }
 
-/// How the last try to place the request went.
+/// Result of an attempt to place a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PlacementResult {
-  /// It left the queue.
+  /// The request has left the queue.
   Dequeued,
-  /// It has to wait.
+  /// The request has to wait.
   Waiting(PlacementError),
 }
 
-/// One request.
+/// The state of one request.
 #[derive(Debug)]
 pub struct RequestMachine {
-  /// What ingress handed over.
   pub arrival: Arrival,
-  /// What policy says of it.
   pub rank: Rank,
-  /// When it arrived.
   pub arrived_ms: u64,
-  /// When its first byte must come.
+  /// Deadline of its first byte.
   pub deadline_ms: u64,
-  /// How the last try to place it went.
+  /// Result of the last attempt to place it.
   pub placed: PlacementResult,
-  /// Whether it wants to be put back before the others of its organisation.
+  /// Whether it is to be put back in front of its organisation's requests.
   pub requeue: bool,
   attempt: u32,
   failures: u32,
@@ -122,7 +111,7 @@
     }
   }
 
-  /// The lane it waits in: its model, or its plain service.
+  /// The name of its queue: its model or its plain service.
   pub fn queue_name(&self) -> &Name {
     match &self.arrival.work {
       Work::Model(work) => &work.model,
@@ -130,7 +119,7 @@
     }
   }
 
-  /// How it stands in the queue.
+  /// Its entry for the queue.
   pub(crate) fn queue_entry(&self) -> QueueEntry {
     let cost_tokens = match &self.arrival.work {
       Work::Model(work) => work.prompt_tokens + work.max_tokens,
@@ -146,8 +135,8 @@
     }
   }
 
-  /// Whether it has waited for longer than makes sense. Work that began was accepted for good: late is
-  /// better for it than "unknown", up to a bound.
+  /// Whether it has waited too long. Work that may have begun gets a grace period: a late answer is better than an
+  /// unknown outcome.
   pub(crate) fn is_overdue(&self, now_ms: u64) -> bool {
     let grace_ms = if self.began { STARTED_GRACE_MS } else { 0 };
     now_ms >= self.deadline_ms + grace_ms
@@ -178,7 +167,6 @@
 
 #[state_machine(initial = "State::queued()", state(derive(Clone, Debug, PartialEq)))]
 impl RequestMachine {
-  /// Its claim is being written.
   #[state(superstate = "not_dispatched")]
   fn claiming(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
@@ -200,13 +188,13 @@
           CLAIM_RETRY_AFTER_MS,
         )
       }
-      // A claim may have been written: its settling releases or keeps it.
+      // The claim may have been written: `claim_orphaned` releases it.
       RequestEvent::CallerDisconnected => Transition(State::claim_orphaned()),
       _ => Super,
     }
   }
 
-  /// Its caller left while the claim was being written.
+  /// The caller disconnected while the claim was being written.
   #[state]
   fn claim_orphaned(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
@@ -218,7 +206,7 @@
     }
   }
 
-  /// It waits for a place.
+  /// Waits in its queue.
   #[state(superstate = "not_dispatched")]
   fn queued(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
@@ -235,7 +223,7 @@
     }
   }
 
-  /// A home was asked for a seat.
+  /// Waits for the response to a slot request.
   #[state(superstate = "not_dispatched")]
   fn requesting_slot(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
@@ -264,7 +252,6 @@
     }
   }
 
-  /// The prompt is being read.
   #[state(superstate = "dispatched")]
   fn prefilling(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
@@ -284,7 +271,7 @@
     }
   }
 
-  /// The KV cache is on its way.
+  /// The KV cache is being transferred.
   #[state(superstate = "dispatched")]
   fn transferring(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
@@ -302,7 +289,6 @@
     }
   }
 
-  /// The answer is being written.
   #[state(superstate = "dispatched")]
   fn decoding(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
@@ -325,7 +311,7 @@
     }
   }
 
-  /// A plain service is at work.
+  /// A plain service is being called.
   #[state(superstate = "dispatched")]
   fn calling(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
@@ -347,13 +333,12 @@
     }
   }
 
-  /// It has ended.
   #[state]
-  fn ended() -> Outcome<State> {
+  fn finished() -> Outcome<State> {
     Handled
   }
 
-  /// No order has left for the present attempt.
+  /// No command of the current attempt has been sent.
   #[superstate]
   fn not_dispatched(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
@@ -365,7 +350,7 @@
     }
   }
 
-  /// An order of the present attempt has left.
+  /// A command of the current attempt has been sent.
   #[superstate]
   fn dispatched(&mut self, context: &mut Context, event: &RequestEvent) -> Outcome<State> {
     match event {
@@ -397,7 +382,7 @@
 }
 
 impl RequestMachine {
-  /// Begins with the claim where one is needed.
+  /// The key of the claim that has to be written first, if any.
   pub(crate) fn needs_claim(&self) -> Option<Name> {
     if self.claimed { None } else { self.claim_key() }
   }
--- a/src/decide/request_machine/completion.rs
+++ b/src/decide/request_machine/completion.rs
@@ -1,4 +1,4 @@
-//! Retries, endings, and letting go of all that an attempt holds.
+//! Retries, outcomes, and release of the resources of an attempt.
 
 use {
   super::{RequestMachine, State},
@@ -11,11 +11,10 @@
   statig::prelude::*,
 };
 
-/// When to come back after nothing could be begun.
 const BUSY_RETRY_AFTER_MS: u64 = 1_000;
 
 impl RequestMachine {
-  /// Nothing began: the request waits for its turn again, and no retry is spent.
+  /// Nothing began: the request is queued again, without a charge to the retry budget.
   pub(super) fn requeue_after_full(
     &mut self,
     context: &mut Context,
@@ -30,7 +29,7 @@
     Transition(State::queued())
   }
 
-  /// An order failed: try again where that is allowed, or end.
+  /// A command failed: retries the request if that is allowed, or finishes it.
   pub(super) fn handle_failure(
     &mut self,
     context: &mut Context,
@@ -90,7 +89,7 @@
     self.finish_not_run(context, reason, BUSY_RETRY_AFTER_MS)
   }
 
-  /// Ends a request that waits: "not run" if nothing ever began, else "unknown".
+  /// Finishes a queued request: as not run if nothing ever began, else as unknown.
   pub(super) fn reject(
     &mut self,
     context: &mut Context,
@@ -124,7 +123,7 @@
         retry_after_ms,
       },
     ));
-    Transition(State::ended())
+    Transition(State::finished())
   }
 
   pub(super) fn finish_unknown(
@@ -138,7 +137,7 @@
       request,
       RequestOutcome::Unknown { reason },
     ));
-    Transition(State::ended())
+    Transition(State::finished())
   }
 
   pub(super) fn finish_answered(&mut self, context: &mut Context) -> Outcome<State> {
@@ -150,7 +149,7 @@
     let request = self.arrival.request;
     context.record(EventKind::RequestAnswered, request.0, &attempt);
     context.emit(Action::Complete(request, RequestOutcome::Answered));
-    Transition(State::ended())
+    Transition(State::finished())
   }
 
   pub(super) fn finish_abandoned(&mut self, context: &mut Context) -> Outcome<State> {
@@ -161,7 +160,7 @@
     let request = self.arrival.request;
     context.record(EventKind::RequestAbandoned, request.0, "");
     context.emit(Action::Complete(request, RequestOutcome::Abandoned));
-    Transition(State::ended())
+    Transition(State::finished())
   }
 
   pub(super) fn release_claim(&mut self, context: &mut Context) {
@@ -179,7 +178,7 @@
     ));
   }
 
-  /// Cancels all that the present attempt may hold anywhere.
+  /// Cancels all commands of the current attempt and releases its slot.
   pub(super) fn abandon_attempt(&mut self, context: &mut Context) {
     let attempt = self.attempt_id(context);
     if self.prefilled_tokens > 0 {
--- a/src/decide/request_machine/dispatch.rs
+++ b/src/decide/request_machine/dispatch.rs
@@ -1,4 +1,4 @@
-//! Placing a request: engines, a seat, the order to read its prompt.
+//! Placement of a request: choice of engines, reservation of a slot, start of prefill.
 
 use {
   super::{PlacementResult, RequestMachine, State},
@@ -54,7 +54,7 @@
         context.emit(Action::Send(owner, PeerMessage::SlotRequest(request)));
         Transition(State::requesting_slot())
       }
-      // No owner lives: the engine itself still refuses when full.
+      // No box owns the engine; the engine itself still rejects work when full.
       None => self.start_prefill(context, 0),
     }
   }
@@ -97,12 +97,12 @@
       let attempt = self.attempt_id(context);
       context.record(EventKind::SeatRefused, attempt, engine);
     }
-    // The ask was no try at an engine.
+    // A rejected slot request does not count as an attempt at an engine.
     self.requeue = true;
     Transition(State::queued())
   }
 
-  /// The owner may have granted what this box no longer waits for.
+  /// The owner may have granted the slot, so that it has to be returned.
   pub(super) fn withdraw_slot_request(&mut self, context: &mut Context) {
     let Some(engine) = self.placement.as_ref().map(|place| place.decode.clone()) else {
       return;
--- a/src/decide/request_machine/transfer.rs
+++ b/src/decide/request_machine/transfer.rs
@@ -1,4 +1,4 @@
-//! From a prompt that has been read to an answer that is being written.
+//! From the end of prefill to the start of decode.
 
 use {
   super::{RequestMachine, State},
@@ -11,7 +11,7 @@
   statig::prelude::*,
 };
 
-/// Time after which a full decode engine is tried again while the export lasts.
+/// Delay before a full decode engine is tried again, while the export is available.
 const FULL_RETRY_INTERVAL_MS: u64 = 60;
 
 impl RequestMachine {
@@ -59,8 +59,8 @@
     Transition(State::transferring())
   }
 
-  /// The decode engine was full at the end: another in the hall, or the same a little later, while
-  /// the export lasts.
+  /// The decode engine rejected the transfer because it is full: tries another one, or the same one after a delay, while
+  /// the prefill engine still has the export.
   pub(super) fn handle_decode_full(&mut self, context: &mut Context) -> Outcome<State> {
     let attempt = self.attempt_id(context);
     let Some(full) = self.placement.as_ref().map(|place| place.decode.clone()) else {
--- a/src/decide/timers.rs
+++ b/src/decide/timers.rs
@@ -1,4 +1,4 @@
-//! What a box does as time passes: heartbeats, polls, holds, sweeps, cancels, roles.
+//! Periodic tasks: heartbeats, polls, extension of holds, cancellation of orphans, repeated cancels, role switches.
 
 use {
   super::{
@@ -9,21 +9,21 @@
   std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Loads that go along with every heartbeat; more only with each full one.
+/// Up to this many load reports go with every heartbeat; more only with full ones.
 const MAX_LOADS_PER_HEARTBEAT: usize = 8;
-/// Each so-manieth heartbeat carries all loads and goes to other halls too.
+/// Every nth heartbeat is a full one, with all load reports and also to other halls.
 const FULL_HEARTBEAT_INTERVAL: u64 = 4;
 const EXTENSIONS_PER_HOLD: u64 = 3;
 const SCAN_PERIOD_MS: u64 = 100;
 const ROLE_PERIOD_MS: u64 = 2_000;
 const SWEEP_PERIOD_MS: u64 = 2_000;
 
-/// When each periodic duty is due.
+/// The last run of each periodic task, this box's lease as role leader, and its holds.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
   heartbeat_ms: u64,
   heartbeats_sent: u64,
-  /// The endpoints that this box is home of, as of the last poll.
+  /// The endpoints that this box owned at the last poll.
   owned_endpoints: Vec<Name>,
   poll_ms: u64,
   scan_ms: u64,
@@ -49,13 +49,13 @@
     now_ms < self.lease_until_ms
   }
 
-  /// The next heartbeat goes out at once.
+  /// Makes the next tick send a heartbeat.
   pub(crate) fn send_heartbeat_soon(&mut self) {
     self.heartbeat_ms = 0;
   }
 }
 
-/// Whether a duty with this period is due; notes it as done.
+/// Whether a task with this period is due; if so, records it as run.
 fn is_due(last_ms: &mut u64, now_ms: u64, period_ms: u64) -> bool {
   if *last_ms > 0 && now_ms < *last_ms + period_ms {
     return false;
@@ -140,7 +140,7 @@
     }
   }
 
-  /// The endpoints that this box is home of.
+  /// The endpoints that this box owns.
   fn find_owned_endpoints(&mut self) -> Vec<Name> {
     let hall = self.context.identity.hall.clone();
     let names = self
@@ -157,21 +157,20 @@
   }
 
   fn poll_loads(&mut self) {
-    let held = self.find_owned_endpoints();
-    let kept = held.iter().cloned().collect::<BTreeSet<_>>();
+    let owned = self.find_owned_endpoints();
+    let names = owned.iter().cloned().collect::<BTreeSet<_>>();
     self
       .context
       .slot_tables
-      .retain(|engine, _| kept.contains(engine));
-    for endpoint in &held {
+      .retain(|engine, _| names.contains(engine));
+    for endpoint in &owned {
       self.context.emit(Action::PollLoad(endpoint.clone()));
     }
-    self.timers.owned_endpoints = held;
+    self.timers.owned_endpoints = owned;
   }
 
-  /// Loads go along with each heartbeat while they are few, else with each fourth; other halls hear
-  /// only each fourth, and in large halls without loads: a box's share of the network does not grow
-  /// with the fleet.
+  /// Load reports go with each heartbeat while they are few, else with full ones only. Other halls get only full
+  /// heartbeats, from large halls without load reports, so that a box's traffic does not grow with the fleet.
   fn send_heartbeats(&mut self) {
     let now_ms = self.context.now_ms;
     self.timers.heartbeats_sent += 1;
@@ -179,13 +178,13 @@
       .timers
       .heartbeats_sent
       .is_multiple_of(FULL_HEARTBEAT_INTERVAL);
-    let held = if is_full_heartbeat || self.timers.owned_endpoints.len() <= MAX_LOADS_PER_HEARTBEAT
-    {
-      self.timers.owned_endpoints.clone()
-    } else {
-      Vec::new()
-    };
-    let loads = held
+    let reported =
+      if is_full_heartbeat || self.timers.owned_endpoints.len() <= MAX_LOADS_PER_HEARTBEAT {
+        self.timers.owned_endpoints.clone()
+      } else {
+        Vec::new()
+      };
+    let loads = reported
       .iter()
       .filter_map(|name| self.context.fleet.get(name))
       .filter(|endpoint| endpoint.is_live() || endpoint.is_leaving())
@@ -210,7 +209,7 @@
     if !self.context.members.is_full_mesh() {
       heartbeat.loads.clear();
     }
-    for peer in self.context.members.far_neighbours() {
+    for peer in self.context.members.other_hall_neighbours() {
       let message = PeerMessage::Heartbeat(heartbeat.clone());
       self.context.emit(Action::Send(peer, message));
     }
@@ -250,15 +249,15 @@
     }
   }
 
-  /// A box that could not extend its holds for half their time treats its attempts as lost first.
+  /// Aborts the attempts at an engine where no hold was extended for half its time to live: the engine may free them.
   pub(super) fn abort_lost_holds(&mut self) {
     let now_ms = self.context.now_ms;
-    let bound_ms = self.context.tuning().hold_ms / 2;
+    let timeout_ms = self.context.tuning().hold_ms / 2;
     let lost = self
       .timers
       .holds_extended_ms
       .iter()
-      .filter(|(_, since_ms)| now_ms.saturating_sub(**since_ms) > bound_ms)
+      .filter(|(_, extended_ms)| now_ms.saturating_sub(**extended_ms) > timeout_ms)
       .map(|(engine, _)| engine.clone())
       .collect::<Vec<_>>();
     let mut held = self.context.open_commands.held();
@@ -275,12 +274,12 @@
 
   pub(super) fn record_hold_extension(&mut self, engine: &Name) {
     let now_ms = self.context.now_ms;
-    if let Some(since_ms) = self.timers.holds_extended_ms.get_mut(engine) {
-      *since_ms = now_ms;
+    if let Some(extended_ms) = self.timers.holds_extended_ms.get_mut(engine) {
+      *extended_ms = now_ms;
     }
   }
 
-  /// As steward of the hall: orders at most one engine of each model to change its role.
+  /// As role leader of the hall: switches the role of at most one engine of each model.
   fn switch_roles(&mut self) {
     let Some(policy) = self.context.configuration.policy.clone() else {
       return;
@@ -297,13 +296,13 @@
         return;
       }
     };
-    let bounds = RoleSwitchLimits {
+    let limits = RoleSwitchLimits {
       dead_band: self.context.tuning().role_dead_band,
       min_dwell_ms: self.context.tuning().role_min_dwell_ms,
     };
     for split in splits {
       let candidates = self.candidates(&split.model);
-      let Some(switch) = next_role_switch(&candidates, &split, bounds) else {
+      let Some(switch) = next_role_switch(&candidates, &split, limits) else {
         continue;
       };
       self.context.record(
--- a/src/policy/program.rs
+++ b/src/policy/program.rs
@@ -186,7 +186,7 @@
       ));
     }
   }
-  let mut rank = Rank::plain();
+  let mut rank = Rank::without_policy();
   if let Some(class) = map.get("class") {
     let class = class.clone().into_string();
     rank.class = class.map_err(|_| wrong("a string as class"))?.into();
--- a/src/serve/decide_loop.rs
+++ b/src/serve/decide_loop.rs
@@ -96,7 +96,7 @@
   }
 
   fn tick(&self) -> Duration {
-    if self.machine.in_progress() > 0 || self.machine.open_orders() > 0 {
+    if self.machine.in_progress() > 0 || self.machine.open_commands() > 0 {
       TICK
     } else {
       IDLE_TICK
--- a/tests/machine.rs
+++ b/tests/machine.rs
@@ -427,7 +427,7 @@
       "some were told nothing"
     );
     prop_assert!(world.held.is_empty(), "held: {:?}", world.held);
-    prop_assert_eq!(world.machine.open_orders(), 0);
+    prop_assert_eq!(world.machine.open_commands(), 0);
     prop_assert_eq!(world.machine.status().seats_granted, 0);
     Ok(())
   });
