--- a/src/decide/action.rs
+++ b/src/decide/action.rs
@@ -1,119 +1,100 @@
-//! All that `decide` can ask for.
+//! What [`Machine`](super::Machine) asks the rest of the box to do.
 
 use {
   super::{PeerMessage, RequestOutcome, Role, TimelineEvent},
   crate::ids::{AttemptId, Name, RequestId},
 };
 
-/// An order to read a prompt.
+/// Prefill of a prompt.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PrefillCommand {
-  /// The attempt.
   pub attempt: AttemptId,
-  /// The engine.
   pub engine: Name,
-  /// Priority, for engines that honour it.
+  /// Higher is scheduled first, by engines that honour priorities.
   pub priority: i64,
-  /// Time that the engine keeps the attempt without an extension.
+  /// Time after which the engine may free the attempt if its hold is not extended.
   pub hold_ms: u64,
-  /// Time until the caller's deadline.
+  /// Time left until the caller's deadline.
   pub deadline_ms: u64,
 }
 
-/// An order to pull a KV cache from a prefill engine.
+/// Transfer of a KV cache from a prefill engine to a decode engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ImportCommand {
-  /// The attempt.
   pub attempt: AttemptId,
-  /// The engine that keeps the export.
+  /// The prefill engine that exports the KV cache.
   pub source: Name,
-  /// The engine that is to decode.
+  /// The decode engine that imports it.
   pub engine: Name,
-  /// Time that the engine keeps the attempt without an extension.
+  /// Time after which the engine may free the attempt if its hold is not extended.
   pub hold_ms: u64,
-  /// Wait before the transfer begins, so that its link window is free.
+  /// Delay before the transfer begins, until its reserved link window.
   pub link_wait_ms: u64,
-  /// Time until the caller's deadline.
+  /// Time left until the caller's deadline.
   pub deadline_ms: u64,
 }
 
-/// An order to write the answer from an offset.
+/// Decode, from an offset of the answer on.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct DecodeCommand {
-  /// The attempt.
   pub attempt: AttemptId,
-  /// The engine.
   pub engine: Name,
-  /// Bytes of the answer that the caller has already.
+  /// Bytes of the answer that the caller already has.
   pub offset: u64,
 }
 
-/// An order to keep attempts for a while longer.
+/// Extension of an engine's holds on attempts.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct HoldCommand {
-  /// The engine.
   pub engine: Name,
-  /// The attempts.
   pub attempts: Vec<AttemptId>,
-  /// How long, from now.
+  /// New time to live of the holds.
   pub hold_ms: u64,
 }
 
-/// One call to a plain service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CallCommand {
-  /// The attempt.
   pub attempt: AttemptId,
-  /// The endpoint.
   pub endpoint: Name,
-  /// Time until the caller's deadline.
+  /// Time left until the caller's deadline.
   pub deadline_ms: u64,
 }
 
-/// An order to change role.
+/// Change of an engine's role.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RoleCommand {
-  /// The engine.
   pub engine: Name,
-  /// The role wanted.
   pub role: Role,
-  /// Key-value revision of the steward's lease.
+  /// Store revision of the leader's lease; engines reject a fence lower than the last one.
   pub fence: u64,
-  /// The order must not be sent after this time on this box's clock.
+  /// End of the leader's lease on this box's clock; the command must not be sent later.
   pub valid_until_ms: u64,
 }
 
-/// All that `decide` can ask for.
+/// What [`Machine`](super::Machine) asks the rest of the box to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-  /// Write a claim.
+  /// Write a claim on an idempotency key of an organisation.
   Claim(RequestId, Name, Name),
-  /// Take back our own claim after proof that nothing ran.
+  /// Release this box's claim after proof that nothing ran.
   ReleaseClaim(RequestId, Name, Name),
-  /// Read a prompt.
   Prefill(PrefillCommand),
-  /// Move a KV cache.
   Import(ImportCommand),
-  /// Write an answer.
   Decode(DecodeCommand),
-  /// Call a plain service.
   Call(CallCommand),
-  /// Stop an attempt at an endpoint.
+  /// Cancel an attempt at an endpoint.
   Cancel(AttemptId, Name),
-  /// Stop reading this attempt's stream and report it as broken: the hold on it is lost.
+  /// Abort the attempt's stream and report it as failed, because its hold may have expired.
   AbortStream(AttemptId, Name),
-  /// Extend the holds of these attempts.
   ExtendHolds(HoldCommand),
-  /// Ask an endpoint for its load.
   PollLoad(Name),
-  /// Ask an engine what it holds.
+  /// List the attempts for which an engine holds memory.
   ListAttempts(Name),
-  /// Tell a peer.
+  /// Send a message to a peer.
   Send(Name, PeerMessage),
-  /// Tell the caller how its request ended.
+  /// Report the outcome of a request to its caller.
   Complete(RequestId, RequestOutcome),
-  /// Change an engine's role.
   SetRole(RoleCommand),
-  /// Put an event on the time line.
+  /// Record an event on the timeline.
   Record(TimelineEvent),
 }
