--- a/src/decide/arrival.rs
+++ b/src/decide/arrival.rs
@@ -1,53 +1,46 @@
-//! What `decide` is told of a request; the body itself goes from ingress to egress directly.
+//! A request as `decide` gets it. The body goes from ingress to egress directly.
 
 use crate::ids::{Name, RequestId};
 
-/// The kind of work asked for.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Work {
-  /// A completion by a model, over the prefill and decode pools.
+  /// A completion by a model, on engines of the prefill and decode pools.
   Model(ModelWork),
-  /// One call to a plain service.
   Service(ServiceWork),
 }
 
-/// What placement needs to know of a completion.
+/// The attributes of a completion that placement uses.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ModelWork {
-  /// The model asked for.
   pub model: Name,
-  /// The prompt's length, estimated by ingress until an engine has said it.
+  /// Length of the prompt; estimated by ingress until an engine has reported it.
   pub prompt_tokens: u64,
-  /// The most tokens that the answer may have.
   pub max_tokens: u64,
-  /// Hashes of the prompt's leading blocks, for cached-prefix hints.
+  /// Hashes of the prompt's leading blocks, for [`PrefixHints`](super::PrefixHints).
   pub prefix: Vec<u64>,
 }
 
-/// What routing needs to know of a plain call.
+/// The attributes of a call to a plain service that routing uses.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServiceWork {
-  /// The service's name.
   pub service: Name,
-  /// Whether HTTP allows the method to be sent again (GET, HEAD, PUT, DELETE, OPTIONS).
+  /// Whether the HTTP method is idempotent (GET, HEAD, PUT, DELETE, OPTIONS).
   pub idempotent: bool,
 }
 
-/// A request, as ingress hands it over.
+/// A request that ingress has accepted.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Arrival {
-  /// The request's number.
   pub request: RequestId,
-  /// The organisation that the bearer key belongs to.
+  /// The organisation of the bearer key.
   pub organisation: Name,
-  /// The kind of work.
   pub work: Work,
-  /// The caller's own name for the kind of task (`summary`, `checkout`), for policy.
+  /// The caller's label for the kind of task, such as `summary`; an input of the policy program.
   pub task: Name,
-  /// Whether the caller forbids a second run.
+  /// Whether the caller forbids running the request more than once.
   pub not_repeatable: bool,
-  /// The caller's `Idempotency-Key`, if it gave one.
+  /// The caller's `Idempotency-Key`.
   pub idempotency_key: Option<Name>,
-  /// Time the caller gives for the first byte, counted from arrival.
+  /// The caller's deadline for the first byte, from arrival.
   pub deadline_ms: Option<u64>,
 }
