--- a/src/decide/configuration_view.rs
+++ b/src/decide/configuration_view.rs
@@ -1,4 +1,4 @@
-//! The part of the configuration in force that `decide` goes by.
+//! The part of the applied configuration that `decide` uses.
 
 use {
   super::{Document, DocumentRevision, Tuning},
@@ -7,30 +7,24 @@
   std::{collections::BTreeMap, sync::Arc},
 };
 
-/// What an organisation may do.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OrganisationLimits {
-  /// Requests in progress on one box.
+  /// Maximum requests in progress on one box.
   pub in_progress: Option<usize>,
 }
 
-/// The configuration in force on this box.
+/// The configuration that this box has applied.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationView {
-  /// The documents, as stored.
   pub documents: Vec<Document>,
-  /// The policy program, if the platform's document has one.
   pub policy: Option<Arc<Program>>,
-  /// Limits by organisation.
   pub organisations: BTreeMap<Name, OrganisationLimits>,
-  /// The knobs.
   pub tuning: Tuning,
-  /// Local time less UTC, for policy.
+  /// Offset of local time from UTC, for the policy program.
   pub utc_offset_minutes: i64,
 }
 
 impl ConfigurationView {
-  /// The revisions in force.
   pub fn revisions(&self) -> Vec<DocumentRevision> {
     self
       .documents
@@ -42,7 +36,7 @@
       .collect()
   }
 
-  /// A digest of the revisions in force: equal on boxes that apply the same configuration.
+  /// Digest of the applied revisions: equal on boxes that have applied the same configuration.
   ///
   /// ```
   /// use rillford::decide::ConfigurationView;
@@ -60,13 +54,12 @@
     u64::from_be_bytes(bytes)
   }
 
-  /// The highest revision in force; revisions count up over all documents of the service.
+  /// The highest applied revision. The store numbers the revisions of all its documents in one sequence.
   pub fn latest_revision(&self) -> u64 {
     let revisions = self.documents.iter().map(|document| document.revision);
     revisions.max().unwrap_or(0)
   }
 
-  /// The documents of higher revisions than this.
   pub fn after(&self, revision: u64) -> Vec<Document> {
     let documents = self.documents.iter();
     documents
@@ -75,7 +68,7 @@
       .collect()
   }
 
-  /// The documents that somebody with these revisions lacks.
+  /// The documents of which a peer with these revisions has no or an older version.
   pub fn newer_than(&self, revisions: &[DocumentRevision]) -> Vec<Document> {
     self
       .documents
