--- a/src/decide/context.rs
+++ b/src/decide/context.rs
@@ -1,5 +1,5 @@
-//! What all requests of a box share: the fleet, the peers, the grants, the budget; and the actions
-//! that came of the event at hand.
+//! The state that all requests of a box share: endpoints, peers, slot tables, retry budget; and the actions
+//! that the current event has caused.
 
 use {
   super::{
@@ -13,18 +13,15 @@
   std::{collections::BTreeMap, sync::Arc},
 };
 
-/// Who a box is.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Identity {
-  /// Its name.
   pub name: Name,
-  /// Its hall.
   pub hall: Name,
-  /// Its start, as milliseconds of the Unix epoch.
+  /// Start of the box, in Unix milliseconds.
   pub incarnation: u64,
 }
 
-/// What all requests of a box share.
+/// The state that all requests of a box share.
 pub struct Context {
   pub(crate) identity: Identity,
   pub(crate) now_ms: u64,
@@ -85,17 +82,17 @@
     std::mem::take(&mut self.actions)
   }
 
-  /// Remembers that an order leaves for an endpoint.
+  /// Tracks a command that is sent to an endpoint.
   pub(crate) fn open_command(&mut self, attempt: &AttemptId, endpoint: &Name) {
     self.open_commands.open(command_key(attempt, endpoint));
   }
 
-  /// The endpoint holds nothing for the order any more.
+  /// The endpoint holds no memory for the command any more.
   pub(crate) fn close_command(&mut self, attempt: &AttemptId, endpoint: &Name) {
     self.open_commands.close(&command_key(attempt, endpoint));
   }
 
-  /// Cancels an order if it is still open.
+  /// Cancels a command if it is still open.
   pub(crate) fn cancel_command(&mut self, attempt: &AttemptId, endpoint: &Name) {
     let key = command_key(attempt, endpoint);
     if self.open_commands.cancel(self.now_ms, &key) {
@@ -104,7 +101,7 @@
     }
   }
 
-  /// The owner box of an endpoint, if any box of its hall lives.
+  /// The box that owns an endpoint; none if no box of its hall is live.
   pub(crate) fn owner(&mut self, endpoint: &Name) -> Option<Name> {
     if let Some(owner) = self.owners.get(endpoint) {
       return owner.clone();
@@ -116,17 +113,17 @@
     owner
   }
 
-  /// Whether this box is owner of an endpoint.
+  /// Whether this box owns an endpoint.
   pub(crate) fn is_owner(&mut self, endpoint: &Name) -> bool {
     self.owner(endpoint).as_ref() == Some(&self.identity.name)
   }
 
-  /// Homes are worked out anew after the set of live boxes changed.
+  /// To be called when the set of live boxes has changed.
   pub(crate) fn clear_owners(&mut self) {
     self.owners.clear();
   }
 
-  /// Answers an ask for a seat as the engine's owner.
+  /// Decides on a slot request, as owner of the engine.
   pub(crate) fn grant_slot(&mut self, request: &SlotRequest) -> SlotDecision {
     let Some(engine) = self.fleet.get(&request.engine) else {
       return SlotDecision::Full;
@@ -144,7 +141,7 @@
     table.request_slot(self.now_ms, request, view)
   }
 
-  /// Takes a seat back as the engine's owner, and tells a box that waits.
+  /// Releases a slot, as owner of the engine, and notifies a box whose request was rejected.
   pub(crate) fn release_granted_slot(&mut self, attempt: &AttemptId, engine: &Name) {
     let waiting = self
       .slot_tables
@@ -161,12 +158,12 @@
     }
   }
 
-  /// An engine that refused may be asked again.
+  /// Slots of an engine that was full may be requested again.
   pub(crate) fn mark_available(&mut self, engine: &Name) {
     self.fleet.update(engine, |engine| engine.full_until_ms = 0);
   }
 
-  /// Gives a seat back, to whichever box is owner now.
+  /// Returns a slot to the current owner of the engine.
   pub(crate) fn return_slot(&mut self, attempt: &AttemptId, engine: &Name) {
     self.fleet.update(engine, |engine| {
       engine.own_slots = engine.own_slots.saturating_sub(1);
@@ -185,7 +182,7 @@
     }
   }
 
-  /// Answers a peer's ask.
+  /// Answers a peer's slot request.
   pub(crate) fn handle_slot_request(&mut self, from: Name, request: SlotRequest) {
     let decision = self.grant_slot(&request);
     let link_wait_ms = match decision {
