--- a/src/decide/endpoint.rs
+++ b/src/decide/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint: what settings say of it, what it reported, and its request_machine.
+//! One endpoint: its settings, its last load report, and its lifecycle.
 
 use {
   super::{LoadReport, Role},
@@ -10,67 +10,58 @@
 
 const FIRST_BACKOFF_MS: u64 = 1_000;
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// The longest pause that is kept at one word: an endpoint that asks for hours by mistake is asked again after this.
+/// Upper bound on a backoff that an endpoint asks for, in case it asks for hours by mistake.
 const MAX_REQUESTED_BACKOFF_MS: u64 = 5 * 60 * 1_000;
 
-/// What an endpoint is.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointKind {
-  /// A model engine.
   Engine {
-    /// The role it starts with.
+    /// The role in which it starts.
     role: Role,
-    /// The models it serves.
     models: Vec<Name>,
-    /// Whether it refuses orders with an old fence.
+    /// Whether it rejects role commands with an old fence.
     checks_fence: bool,
   },
-  /// An instance of a plain service.
   Service {
-    /// The service's name.
     service: Name,
   },
 }
 
-/// What settings say of an endpoint.
+/// The settings of an endpoint.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EndpointSpec {
-  /// Its name.
   pub name: Name,
-  /// Its hall.
   pub hall: Name,
-  /// What it is.
   pub kind: EndpointKind,
-  /// Requests it may hold at once.
+  /// Batch slots: maximum requests at once.
   pub slots: u32,
-  /// Prompt tokens read a second.
+  /// Prefill throughput.
   pub prefill_tokens_per_s: u64,
-  /// Size of a token in the KV cache.
   pub kv_bytes_per_token: u64,
-  /// Rate of its link for KV transfers.
+  /// Bandwidth of its link for KV transfers.
   pub link_bytes_per_s: u64,
 }
 
-/// What moves an endpoint through its request_machine.
+/// An input of an endpoint's state machine.
 #[derive(Clone, Debug)]
 pub enum EndpointEvent {
-  /// It reported.
+  /// A load report arrived.
   Reported {
-    /// Its start.
+    /// Start of the endpoint's process; higher is later.
     incarnation: u64,
-    /// Whether it says that it is leaving.
+    /// Whether the endpoint reports that it is leaving.
     leaving: bool,
   },
-  /// It has been silent for too long.
+  /// No report arrived within the silence timeout.
   Silent,
-  /// Somebody says that this incarnation is leaving.
+  /// A peer or an operator signals that this incarnation is leaving.
   Leaving(u64),
-  /// An operator takes it back.
+  /// An operator ended the drain.
   Undrained,
 }
 
-/// The request_machine of an endpoint: unseen, live, suspect, leaving.
+/// The state machine of an endpoint: unseen, live, suspect or leaving.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointLifecycle {
   incarnation: u64,
@@ -93,7 +84,7 @@
     self.handle_common(event)
   }
 
-  /// Leaving holds until a new incarnation reports, or an operator takes the endpoint back.
+  /// Left only when a new incarnation reports, or when an operator ends the drain.
   #[state]
   fn leaving(&mut self, event: &EndpointEvent) -> Outcome<State> {
     match event {
@@ -139,44 +130,43 @@
   }
 }
 
-/// Work sent since the last report, which that report can't show.
+/// Work sent since the last report and so not included in it.
 #[derive(Clone, Copy, Debug)]
 struct Sent {
   at_ms: u64,
   amount: u64,
 }
 
-/// An endpoint as this box sees it.
+/// This box's view of an endpoint.
 pub struct Endpoint {
-  /// What settings say.
   pub spec: EndpointSpec,
-  /// Its present role, if it is an engine.
+  /// Current role; none for plain services.
   pub role: Option<Role>,
-  /// When its role was last seen to change.
+  /// When this box last saw the role change.
   pub role_since_ms: u64,
-  /// Its start, as last reported.
+  /// The incarnation of the last report.
   pub incarnation: u64,
-  /// When its last report was made.
+  /// When the endpoint made its last report.
   pub reported_ms: u64,
-  /// When anything was last heard of it.
+  /// When this box last received a report.
   pub last_contact_ms: u64,
-  /// It was full: no seat is asked for here until then, or until its home says sooner.
+  /// It was full: no slot is requested until then, unless its owner announces a free one sooner.
   pub full_until_ms: u64,
-  /// An order failed here: it gets no work until then.
+  /// End of the backoff after a failure.
   pub failure_backoff_until_ms: u64,
-  /// It turned an order away and wanted none until then.
+  /// End of the backoff that the endpoint asked for.
   pub requested_backoff_until_ms: u64,
-  /// OpenCommands that failed here since one came to something.
+  /// Commands that failed in a row.
   pub consecutive_failures: u32,
-  /// Own attempts that hold a seat here.
+  /// Slots held by attempts of this box.
   pub own_slots: u32,
-  request_machine: InitializedStateMachine<EndpointLifecycle>,
+  lifecycle: InitializedStateMachine<EndpointLifecycle>,
   report: LoadReport,
   sent: VecDeque<Sent>,
 }
 
 impl Endpoint {
-  /// An endpoint that has not been heard of yet.
+  /// An endpoint of which no report has arrived.
   pub(crate) fn new(spec: EndpointSpec) -> Self {
     let role = match &spec.kind {
       EndpointKind::Engine { role, .. } => Some(*role),
@@ -196,7 +186,7 @@
       consecutive_failures: 0,
       last_contact_ms: 0,
       incarnation: 0,
-      request_machine: EndpointLifecycle::default()
+      lifecycle: EndpointLifecycle::default()
         .uninitialized_state_machine()
         .init(),
       own_slots: 0,
@@ -212,38 +202,36 @@
     }
   }
 
-  /// An order failed here: it is shunned, each time for longer.
+  /// Starts a backoff that doubles with each failure in a row.
   pub(crate) fn record_failure(&mut self, now_ms: u64) {
     let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
     self.failure_backoff_until_ms = now_ms + (FIRST_BACKOFF_MS << doublings);
     self.consecutive_failures += 1;
   }
 
-  /// It wants no orders for a while; of several pauses the one that ends last counts.
+  /// Applies a backoff that the endpoint asked for; of several, the one that ends last counts.
   pub(crate) fn request_backoff(&mut self, now_ms: u64, wanted_ms: u64) {
     let until_ms = now_ms + wanted_ms.min(MAX_REQUESTED_BACKOFF_MS);
     self.requested_backoff_until_ms = self.requested_backoff_until_ms.max(until_ms);
   }
 
-  /// An order came to something here.
   pub(crate) fn record_success(&mut self) {
     self.consecutive_failures = 0;
     self.failure_backoff_until_ms = 0;
   }
 
-  /// Moves the endpoint through its request_machine; true when its state changed.
+  /// Feeds the state machine; true if the state changed.
   pub(crate) fn apply_event(&mut self, event: &EndpointEvent) -> bool {
-    let before = self.request_machine.state().clone();
-    self.request_machine.handle(event);
-    before != *self.request_machine.state()
+    let before = self.lifecycle.state().clone();
+    self.lifecycle.handle(event);
+    before != *self.lifecycle.state()
   }
 
-  /// Whether it may get new work.
   pub fn is_live(&self) -> bool {
-    *self.request_machine.state() == State::Live {}
+    *self.lifecycle.state() == State::Live {}
   }
 
-  /// Whether it can be asked for anything now.
+  /// Whether it is neither full nor in a backoff.
   pub fn is_available(&self, now_ms: u64) -> bool {
     let unavailable_until_ms = self
       .full_until_ms
@@ -252,17 +240,16 @@
     unavailable_until_ms <= now_ms
   }
 
-  /// Whether it is leaving.
   pub fn is_leaving(&self) -> bool {
-    *self.request_machine.state() == State::Leaving {}
+    *self.lifecycle.state() == State::Leaving {}
   }
 
-  /// Whether nothing was ever heard of it.
+  /// Whether no report ever arrived.
   pub fn is_unseen(&self) -> bool {
-    *self.request_machine.state() == State::Unseen {}
+    *self.lifecycle.state() == State::Unseen {}
   }
 
-  /// Takes in a report; one older than the last is dropped.
+  /// Applies a report; false if it is older than the last one, or of an earlier incarnation.
   pub(crate) fn apply_report(&mut self, now_ms: u64, report: &LoadReport) -> bool {
     let made_ms = now_ms.saturating_sub(report.age_ms);
     if made_ms < self.reported_ms || report.incarnation < self.incarnation {
@@ -282,7 +269,7 @@
     true
   }
 
-  /// Remembers work sent here, until a report can show it.
+  /// Counts work as load until a report includes it.
   pub(crate) fn record_sent(&mut self, now_ms: u64, amount: u64) {
     self.sent.push_back(Sent {
       amount,
@@ -290,14 +277,14 @@
     });
   }
 
-  /// Forgets one unit of sent work that was taken back.
+  /// Removes the latest unit of sent work of that amount, after it was cancelled.
   pub(crate) fn remove_sent(&mut self, amount: u64) {
     if let Some(place) = self.sent.iter().rposition(|sent| sent.amount == amount) {
       self.sent.remove(place);
     }
   }
 
-  /// The last report, as it can be relayed now.
+  /// The last report with its current age, to relay to peers.
   pub(crate) fn relayed_report(&self, now_ms: u64) -> LoadReport {
     LoadReport {
       age_ms: now_ms.saturating_sub(self.reported_ms),
@@ -306,39 +293,39 @@
     }
   }
 
-  /// Seats that the engine has, by its own report.
+  /// Batch slots, by the last report.
   pub fn slots(&self) -> u32 {
     self.report.slots
   }
 
-  /// Seats taken, by the last report and own work since.
+  /// Slots in use: those of the last report, and work that this box has sent since.
   pub fn used_slots(&self) -> u32 {
     let recent = u32::try_from(self.sent.len()).unwrap_or(u32::MAX);
     self.report.used_slots.saturating_add(recent)
   }
 
-  /// Seats taken by the last report alone.
+  /// Slots in use by the last report alone.
   pub fn reported_slots(&self) -> u32 {
     self.report.used_slots
   }
 
-  /// Time at which a prefill engine is expected to have read all that waits.
+  /// When a prefill engine is expected to have finished its queue.
   pub fn prefill_free_at_ms(&self) -> u64 {
     let tokens = self.report.queue_tokens + self.sent.iter().map(|sent| sent.amount).sum::<u64>();
     self.reported_ms + self.prefill_ms(tokens)
   }
 
-  /// Time to read so many tokens.
+  /// Time to prefill that many tokens.
   pub fn prefill_ms(&self, tokens: u64) -> u64 {
     tokens * 1_000 / self.spec.prefill_tokens_per_s.max(1)
   }
 
-  /// Time to move a KV cache of so many tokens over the engine's link.
+  /// Time to transfer the KV cache of that many tokens over the engine's link.
   pub fn transfer_ms(&self, tokens: u64) -> u64 {
     tokens * self.spec.kv_bytes_per_token * 1_000 / self.spec.link_bytes_per_s.max(1)
   }
 
-  /// The order in which endpoints of one pool are tried: least first.
+  /// Sort key within a pool, least loaded first: end of the queue for prefill, share of used slots otherwise.
   pub(crate) fn load_key(&self) -> u64 {
     match self.role {
       Some(Role::Prefill) => self.prefill_free_at_ms(),
