--- a/src/decide/event.rs
+++ b/src/decide/event.rs
@@ -1,4 +1,4 @@
-//! All that `decide` can be told.
+//! The events that [`Machine`](super::Machine) handles.
 
 use {
   super::{Arrival, ConfigurationView, PeerMessage},
@@ -7,182 +7,154 @@
   std::sync::Arc,
 };
 
-/// How a claim on a not-repeatable request was settled.
+/// Result of writing the claim of a request that must not run twice.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ClaimOutcome {
-  /// The claim is ours.
+  /// This box holds the claim.
   Held,
-  /// Another holds it.
+  /// Another request holds it.
   Taken,
-  /// The platform's service gave no answer that settles it.
+  /// The store gave no conclusive answer.
   Unavailable,
 }
 
-/// How far a failed order may have come.
+/// Whether a failed command may have begun to run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Began {
-  /// The endpoint never saw the order, or says that it never began.
+  /// The command never reached the endpoint, or the endpoint confirms that it never began.
   Never,
-  /// It may have begun.
   Perhaps,
 }
 
-/// What became of one order at one endpoint.
+/// Result of a command at an endpoint.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum StageOutcome {
-  /// The prompt has been read; its result is kept for a short time.
+  /// Prefill is done; the engine keeps the KV cache for a short time.
   Prefilled {
-    /// Tokens in the prompt.
     prompt_tokens: u64,
-    /// Of these, found in the prefix cache.
+    /// Prompt tokens that were in the prefix cache.
     cached_tokens: u64,
-    /// Size of the KV cache to move.
+    /// Size of the KV cache to transfer.
     kv_bytes: u64,
   },
-  /// The decode engine holds the KV cache; the export is freed.
+  /// The decode engine has the KV cache, and the prefill engine has freed its export.
   Imported,
-  /// The first byte of this attempt's stream came.
+  /// The first chunk of the attempt's stream has arrived.
   FirstChunk,
-  /// The normal end came, and all was delivered.
-  Finished {
-    /// Tokens generated.
-    tokens: u64,
-  },
-  /// The endpoint refused because it is full; nothing began there.
+  /// The stream ended normally, and all of it was delivered.
+  Finished { tokens: u64 },
+  /// The endpoint rejected the command because it is full; nothing began.
   Full,
-  /// The order failed.
   Failed {
-    /// Whether the work may have begun.
     began: Began,
-    /// Bytes of the answer delivered so far.
     offset: u64,
-    /// Whether what was delivered can be resumed by the same bytes at this offset.
+    /// Whether another attempt can resume the answer at this offset with the same bytes.
     resumable: bool,
   },
 }
 
-/// A report on one order.
+/// Result of a command, with its attempt and endpoint.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StageReport {
-  /// The attempt.
   pub attempt: AttemptId,
-  /// The endpoint that got the order.
   pub endpoint: Name,
-  /// What became of it.
   pub outcome: StageOutcome,
 }
 
-/// An endpoint's answer to a cancel.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CancelAnswer {
-  /// The work had begun and is stopped.
+  /// The work had begun and has been stopped.
   Cancelled,
-  /// The endpoint never began it and will not.
+  /// The endpoint never began the work and will not begin it.
   NeverBegan,
-  /// The endpoint does not know the attempt and will refuse it if it comes.
+  /// The endpoint does not know the attempt, and rejects it if it arrives later.
   UnknownAttempt,
-  /// No answer.
   Unreachable,
 }
 
-/// What an engine is for at present.
+/// The role of an engine.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-  /// Reads prompts.
+  /// Prefills prompts.
   Prefill,
-  /// Writes answers.
+  /// Decodes answers.
   Decode,
 }
 
-/// An endpoint's load, as it reported it or as its home box relays it.
+/// Load of an endpoint, from the endpoint itself or relayed by the box that owns it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LoadReport {
-  /// The endpoint.
   pub endpoint: Name,
-  /// The endpoint's start; higher is later.
+  /// Start of the endpoint's process; higher is later.
   pub incarnation: u64,
-  /// The engine's role; plain services have none.
+  /// Role of an engine; none for plain services.
   pub role: Option<Role>,
-  /// Whether it is leaving.
   pub leaving: bool,
-  /// Requests held.
+  /// Requests in progress.
   pub used_slots: u32,
-  /// Requests it can hold.
+  /// Maximum requests at once.
   pub slots: u32,
-  /// Prompt tokens waiting to be read.
+  /// Prompt tokens queued for prefill.
   pub queue_tokens: u64,
-  /// Age of the report when it was relayed.
   pub age_ms: u64,
 }
 
-/// An attempt that an engine holds memory for.
+/// An attempt for which an engine holds memory.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HeldAttempt {
-  /// The attempt.
   pub attempt: AttemptId,
-  /// Time left until the engine itself may drop it, negative when past.
+  /// Time left until the engine may free it; negative if that time has passed.
   pub hold_left_ms: i64,
 }
 
-/// One entry of the platform's box list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BoxEntry {
-  /// The box's name.
   pub name: Name,
-  /// The box's hall.
   pub hall: Name,
-  /// Where its peers reach it.
+  /// Address for its peers.
   pub peer_address: Name,
-  /// Whether the box is leaving.
   pub leaving: bool,
 }
 
-/// All that `decide` can be told.
+/// The events that [`Machine`](super::Machine) handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-  /// A caller asks.
   Arrived(Arrival),
-  /// A caller has gone.
   CallerDisconnected(RequestId),
-  /// A claim was settled.
+  /// Result of writing a claim.
   ClaimSettled(RequestId, ClaimOutcome),
-  /// An order came to something.
   Stage(StageReport),
-  /// A cancel was answered, or not.
+  /// Answer to a cancel, or its absence.
   CancelSettled(AttemptId, Name, CancelAnswer),
-  /// An endpoint reported its load.
   LoadReported(LoadReport),
-  /// An endpoint did not answer a poll.
+  /// An endpoint did not answer a poll of its load.
   PollFailed(Name),
-  /// An endpoint turned an order away, and wants none for so many milliseconds.
+  /// An endpoint rejected a command and asks for a backoff of this many milliseconds.
   EndpointBackoff(Name, u64),
-  /// Cache events of an engine: prefix blocks it now holds.
+  /// Cache events of an engine: hashes of prefix blocks that it now holds.
   CacheReported(Name, Vec<u64>),
-  /// The answer to a listing.
+  /// The attempts for which an engine holds memory.
   AttemptsListed(Name, Vec<HeldAttempt>),
-  /// A batch of holds was extended.
+  /// An engine has extended the holds on this box's attempts.
   HoldsExtended(Name),
-  /// A batch of holds could not be extended.
+  /// An engine did not extend the holds.
   HoldExtensionFailed(Name),
-  /// A peer said something.
+  /// A message from a peer.
   Peer(Name, PeerMessage),
-  /// The platform's box list.
   Boxes(Vec<BoxEntry>),
-  /// A configuration is in force on this box.
+  /// This box has applied a configuration.
   Configured(Arc<ConfigurationView>),
-  /// This box holds its hall's steward lease until the time, with this fence.
+  /// This box holds the lease of its hall's role leader.
   LeaseHeld {
-    /// End of the lease on this box's clock, less the margin.
+    /// End of the lease on this box's clock, minus the safety margin.
     until_ms: u64,
-    /// Key-value revision of the lease's key.
+    /// Store revision of the lease's key.
     fence: u64,
   },
-  /// An operator drains an endpoint, or takes it back.
+  /// An operator drains an endpoint (true) or ends the drain (false).
   Drain(Name, bool),
-  /// A planned stop begins.
   Stopping,
-  /// Time has passed.
   Tick,
 }
