--- a/src/decide/fair_queue.rs
+++ b/src/decide/fair_queue.rs
@@ -1,4 +1,4 @@
-//! QueueEntry requests of one lane: strict priority, and deficit round robin over organisations within one.
+//! A queue with strict priorities, and deficit round robin over organisations within a priority.
 
 use {
   crate::ids::{Name, RequestId},
@@ -8,52 +8,49 @@
   },
 };
 
+/// Added to an organisation's deficit in each round.
 const QUANTUM_TOKENS: i64 = 2_048;
 
-/// A request that waits.
+/// A queued request.
 #[derive(Clone, Debug)]
 pub struct QueueEntry {
-  /// The request.
   pub request: RequestId,
-  /// Whose it is.
   pub organisation: Name,
-  /// Higher goes first.
+  /// Higher is served first.
   pub priority: i64,
-  /// Whether it may be shed.
+  /// Whether it may be shed when the queue is full.
   pub may_wait: bool,
-  /// The lowest is shed first.
   pub weight: f64,
-  /// What it costs its organisation's share, in tokens.
+  /// Cost charged to the organisation's deficit, in tokens.
   pub cost_tokens: u64,
 }
 
 #[derive(Default)]
 struct Level {
+  /// Organisations in round-robin order.
   rotation: VecDeque<Name>,
   queues: BTreeMap<Name, VecDeque<QueueEntry>>,
   deficits: BTreeMap<Name, i64>,
 }
 
 impl Level {
-  fn push(&mut self, waiting: QueueEntry, front: bool) {
-    let organisation = waiting.organisation.clone();
+  fn push(&mut self, entry: QueueEntry, front: bool) {
+    let organisation = entry.organisation.clone();
     let queue = self.queues.entry(organisation.clone()).or_default();
     if queue.is_empty() {
       self.rotation.push_back(organisation);
     }
     if front {
-      // It was charged when it was taken out.
-      *self
-        .deficits
-        .entry(waiting.organisation.clone())
-        .or_default() += i64::try_from(waiting.cost_tokens).unwrap_or(0);
-      queue.push_front(waiting);
+      // It was charged when it was popped.
+      *self.deficits.entry(entry.organisation.clone()).or_default() +=
+        i64::try_from(entry.cost_tokens).unwrap_or(0);
+      queue.push_front(entry);
     } else {
-      queue.push_back(waiting);
+      queue.push_back(entry);
     }
   }
 
-  /// Turns the ring until the first organisation can pay for its first request.
+  /// Rotates until the deficit of the first organisation covers its first request.
   fn advance_rotation(&mut self) {
     while let Some(organisation) = self.rotation.front().cloned() {
       let Some(first) = self.queues.get(&organisation).and_then(VecDeque::front) else {
@@ -79,15 +76,15 @@
   fn pop(&mut self) -> Option<QueueEntry> {
     self.advance_rotation();
     let organisation = self.rotation.front()?.clone();
-    let waiting = self.queues.get_mut(&organisation)?.pop_front()?;
+    let entry = self.queues.get_mut(&organisation)?.pop_front()?;
     *self.deficits.entry(organisation.clone()).or_default() -=
-      i64::try_from(waiting.cost_tokens).unwrap_or(i64::MAX);
+      i64::try_from(entry.cost_tokens).unwrap_or(i64::MAX);
     if self.queues[&organisation].is_empty() {
       self.queues.remove(&organisation);
       self.deficits.remove(&organisation);
       self.rotation.pop_front();
     }
-    Some(waiting)
+    Some(entry)
   }
 
   fn remove(&mut self, organisation: &Name, request: RequestId) -> bool {
@@ -95,7 +92,7 @@
       return false;
     };
     let before = queue.len();
-    queue.retain(|waiting| waiting.request != request);
+    queue.retain(|entry| entry.request != request);
     let removed = queue.len() < before;
     if queue.is_empty() {
       self.queues.remove(organisation);
@@ -110,17 +107,17 @@
   }
 }
 
-/// The requests of one lane that wait for a place.
+/// Requests that wait for the same endpoints.
 ///
 /// ```
 /// use rillford::{decide::{FairQueue, QueueEntry}, ids::RequestId};
 /// let mut queue = FairQueue::default();
-/// let waiting = |request, priority| QueueEntry {
+/// let entry = |request, priority| QueueEntry {
 ///   request: RequestId(request), organisation: "a".into(), priority,
 ///   may_wait: false, weight: 1.0, cost_tokens: 10,
 /// };
-/// queue.push(waiting(1, 0));
-/// queue.push(waiting(2, 5));
+/// queue.push(entry(1, 0));
+/// queue.push(entry(2, 5));
 /// assert_eq!(queue.pop().unwrap().request, RequestId(2));
 /// ```
 #[derive(Default)]
@@ -130,43 +127,39 @@
 }
 
 impl FairQueue {
-  /// The number of requests that wait.
   pub fn len(&self) -> usize {
     self.length
   }
 
-  /// Whether nothing waits.
   pub fn is_empty(&self) -> bool {
     self.length == 0
   }
 
-  /// Puts a request behind those of its organisation.
-  pub fn push(&mut self, waiting: QueueEntry) {
+  /// Queues a request behind those of its organisation.
+  pub fn push(&mut self, entry: QueueEntry) {
     self.length += 1;
-    let level = self.levels.entry(Reverse(waiting.priority)).or_default();
-    level.push(waiting, false);
+    let level = self.levels.entry(Reverse(entry.priority)).or_default();
+    level.push(entry, false);
   }
 
-  /// Puts a request back before those of its organisation.
-  pub fn push_front(&mut self, waiting: QueueEntry) {
+  /// Puts a request back in front of those of its organisation.
+  pub fn push_front(&mut self, entry: QueueEntry) {
     self.length += 1;
-    let level = self.levels.entry(Reverse(waiting.priority)).or_default();
-    level.push(waiting, true);
+    let level = self.levels.entry(Reverse(entry.priority)).or_default();
+    level.push(entry, true);
   }
 
-  /// The next request.
   pub fn peek(&mut self) -> Option<&QueueEntry> {
     self.levels.values_mut().find_map(Level::peek)
   }
 
-  /// Takes the next request.
   pub fn pop(&mut self) -> Option<QueueEntry> {
-    let waiting = self.levels.values_mut().find_map(Level::pop)?;
-    self.drop_empty_level(waiting.priority);
-    Some(waiting)
+    let entry = self.levels.values_mut().find_map(Level::pop)?;
+    self.drop_empty_level(entry.priority);
+    Some(entry)
   }
 
-  /// Takes a request out, wherever it stands.
+  /// Removes a request from any position.
   pub fn remove(&mut self, priority: i64, organisation: &Name, request: RequestId) {
     let removed = self
       .levels
@@ -177,26 +170,23 @@
     }
   }
 
-  /// The request to be shed first: may wait, lowest priority, then lowest weight, then youngest.
+  /// The request to shed first: among those that may wait, by lowest priority, lowest weight, latest arrival.
   pub fn shed_candidate(&self) -> Option<QueueEntry> {
     self
       .levels
       .values()
       .rev()
       .find_map(|level| {
-        level
-          .iter()
-          .filter(|waiting| waiting.may_wait)
-          .min_by(|a, b| {
-            a.weight
-              .total_cmp(&b.weight)
-              .then(b.request.cmp(&a.request))
-          })
+        level.iter().filter(|entry| entry.may_wait).min_by(|a, b| {
+          a.weight
+            .total_cmp(&b.weight)
+            .then(b.request.cmp(&a.request))
+        })
       })
       .cloned()
   }
 
-  /// Requests that stand before a newcomer of that priority.
+  /// Number of requests ahead of a new one of that priority.
   pub fn count_ahead(&self, priority: i64) -> usize {
     self
       .levels
@@ -205,7 +195,6 @@
       .sum()
   }
 
-  /// All that wait.
   pub fn iter(&self) -> impl Iterator<Item = &QueueEntry> {
     self.levels.values().flat_map(Level::iter)
   }
