--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -1,4 +1,4 @@
-//! All endpoints, in pools that are kept in order of load.
+//! All endpoints, in pools sorted by load.
 
 use {
   super::{Endpoint, EndpointEvent, EndpointKind, EndpointSpec, LeavingEndpoint, LoadReport, Role},
@@ -6,14 +6,13 @@
   std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Endpoints that can stand in for each other.
+/// A pool of interchangeable endpoints.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct PoolKey {
-  /// The hall.
   pub hall: Name,
-  /// The model, or the plain service.
+  /// The model or the plain service.
   pub subject: Name,
-  /// The role; none for plain services.
+  /// None for plain services.
   pub role: Option<Role>,
 }
 
@@ -23,7 +22,7 @@
   index: usize,
 }
 
-/// All endpoints that settings name.
+/// All endpoints of the settings.
 pub struct Fleet {
   endpoints: Vec<Endpoint>,
   by_name: BTreeMap<Name, usize>,
@@ -33,7 +32,6 @@
 }
 
 impl Fleet {
-  /// Takes over the endpoints of the settings.
   pub fn new(specs: Vec<EndpointSpec>) -> Self {
     let endpoints = specs.into_iter().map(Endpoint::new).collect::<Vec<_>>();
     let by_name = endpoints
@@ -50,17 +48,15 @@
     }
   }
 
-  /// The endpoint of that name.
   pub fn get(&self, name: &Name) -> Option<&Endpoint> {
     self.by_name.get(name).map(|index| &self.endpoints[*index])
   }
 
-  /// All endpoints.
   pub fn iter(&self) -> impl Iterator<Item = &Endpoint> {
     self.endpoints.iter()
   }
 
-  /// Changes an endpoint and puts it back in its pool_key in the pools.
+  /// Updates an endpoint and its positions in the pools.
   pub(crate) fn update<T>(
     &mut self,
     name: &Name,
@@ -72,14 +68,14 @@
     Some(result)
   }
 
-  /// Moves an endpoint through its request_machine; true when its state changed.
+  /// Feeds an endpoint's state machine; true if the state changed.
   pub(crate) fn apply_event(&mut self, name: &Name, event: &EndpointEvent) -> bool {
     self
       .update(name, |endpoint| endpoint.apply_event(event))
       .unwrap_or(false)
   }
 
-  /// Takes in a load report; true when the endpoint's state changed.
+  /// Applies a load report; true if the endpoint's state changed.
   pub(crate) fn apply_report(&mut self, now_ms: u64, report: &LoadReport) -> bool {
     let event = EndpointEvent::Reported {
       incarnation: report.incarnation,
@@ -92,7 +88,6 @@
       .unwrap_or(false)
   }
 
-  /// Endpoints of a pool, least loaded first.
   pub(crate) fn pool(&self, key: &PoolKey) -> impl Iterator<Item = &Endpoint> {
     self
       .pools
@@ -102,12 +97,11 @@
       .map(|entry| &self.endpoints[entry.index])
   }
 
-  /// The number of endpoints in a pool.
   pub(crate) fn pool_size(&self, key: &PoolKey) -> usize {
     self.pools.get(key).map_or(0, BTreeSet::len)
   }
 
-  /// The hall whose pool serves a subject: the own one, or else the first other that has any.
+  /// The hall whose pool serves a subject: this box's own, or else the first other with live endpoints.
   pub(crate) fn serving_hall(
     &self,
     own: &Name,
@@ -129,7 +123,6 @@
       .map(|(pool, _)| pool.hall.clone())
   }
 
-  /// Endpoints known to be leaving.
   pub(crate) fn leaving_endpoints(&self) -> Vec<LeavingEndpoint> {
     self
       .iter()
