--- a/src/decide/link_windows.rs
+++ b/src/decide/link_windows.rs
@@ -1,8 +1,8 @@
-//! Windows of one link, kept by time: a transfer far ahead does not hold up one that is due now.
+//! Reserved time windows of one link. A reservation far ahead does not delay a transfer that fits before it.
 
 use std::collections::BTreeMap;
 
-/// Taken windows of a link, by their begin.
+/// Reserved windows of a link: start to end, in milliseconds.
 ///
 /// ```
 /// use rillford::decide::LinkWindows;
@@ -17,7 +17,7 @@
 }
 
 impl LinkWindows {
-  /// Takes the first window of a length that begins no sooner than wished, and answers with its begin.
+  /// Reserves the first free window of a length that starts no earlier than requested; returns its start.
   pub fn reserve(&mut self, now_ms: u64, requested_ms: u64, length_ms: u64) -> u64 {
     self.reserved.retain(|_, end_ms| *end_ms > now_ms);
     let mut start_ms = requested_ms;
