--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,8 +1,8 @@
-//! The decisions, free of I/O: `handle(now, event) -> actions`.
+//! The decisions of `rillford serve`, without I/O: `handle(now, event) -> actions`.
 //!
-//! A request's way: [`Machine::handle`] takes an [`Arrival`], policy ranks it, a [`RequestQueue`] holds it,
-//! `placement` chooses engines, the decode engine's home box reserves a seat in its [`SlotTable`],
-//! and [`request_machine::RequestMachine`] follows the orders to one of the [`RequestOutcome`]s.
+//! The path of a request: [`Machine::handle`] gets an [`Arrival`], the policy program ranks it, and a [`RequestQueue`]
+//! holds it until `placement` has chosen engines. The box that owns the decode engine reserves a slot in its
+//! [`SlotTable`]. A [`RequestMachine`] issues the commands and ends in a [`RequestOutcome`].
 
 mod action;
 mod admission;
