--- a/src/decide/open_commands.rs
+++ b/src/decide/open_commands.rs
@@ -1,4 +1,4 @@
-//! OpenCommands that an endpoint may still hold memory for, and cancels until they are acknowledged.
+//! Commands for which an endpoint may still hold memory, and their cancels until these are acknowledged.
 
 use {
   super::CancelAnswer,
@@ -15,35 +15,33 @@
   interval_ms: u64,
 }
 
-/// One order at one endpoint.
+/// A command at an endpoint.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct CommandKey {
-  /// The endpoint.
   pub endpoint: Name,
-  /// The attempt.
   pub attempt: AttemptId,
 }
 
-/// All orders that have left and whose end is not known.
+/// The commands that were sent and whose end is not known.
 #[derive(Clone, Debug, Default)]
 pub struct OpenCommands {
   open: BTreeMap<CommandKey, Option<PendingCancel>>,
 }
 
 impl OpenCommands {
-  /// An order leaves.
+  /// Tracks a command that is sent.
   pub fn open(&mut self, key: CommandKey) {
     self.open.insert(key, None);
   }
 
-  /// The endpoint holds nothing for the order any more; a cancel under way goes on until acknowledged.
+  /// The endpoint holds no memory for the command any more. A pending cancel is still repeated until acknowledged.
   pub fn close(&mut self, key: &CommandKey) {
     if matches!(self.open.get(key), Some(None)) {
       self.open.remove(key);
     }
   }
 
-  /// Begins to cancel; true when this is news.
+  /// Starts to cancel a command; true if it was open and not being cancelled yet.
   pub fn cancel(&mut self, now_ms: u64, key: &CommandKey) -> bool {
     match self.open.get_mut(key) {
       Some(state @ None) => {
@@ -57,7 +55,7 @@
     }
   }
 
-  /// An endpoint answered a cancel; true when the order is settled by it.
+  /// Applies an endpoint's answer to a cancel; true if it acknowledges a pending cancel.
   pub fn settle(&mut self, key: &CommandKey, answer: CancelAnswer) -> bool {
     if answer == CancelAnswer::Unreachable {
       return false;
@@ -71,7 +69,7 @@
     }
   }
 
-  /// The cancels that are to be sent again now.
+  /// The cancels to repeat now.
   pub fn due(&mut self, now_ms: u64) -> Vec<CommandKey> {
     let mut due = Vec::new();
     for (key, state) in &mut self.open {
@@ -88,14 +86,15 @@
     due
   }
 
-  /// The endpoint started anew and holds nothing of before.
+  /// The endpoint has restarted without its memory: removes its commands that are being cancelled. Open ones stay until
+  /// their streams fail.
   pub fn remove_endpoint(&mut self, endpoint: &Name) {
     self
       .open
       .retain(|key, pending_cancel| key.endpoint != *endpoint || pending_cancel.is_none());
   }
 
-  /// Attempts to be held on to, by endpoint.
+  /// Attempts whose holds are to be extended, by endpoint.
   pub fn held(&self) -> BTreeMap<Name, Vec<AttemptId>> {
     let mut held = BTreeMap::<Name, Vec<AttemptId>>::new();
     for (key, pending_cancel) in &self.open {
@@ -109,17 +108,16 @@
     held
   }
 
-  /// Whether the order is open and not being cancelled.
+  /// Whether the command is open and not being cancelled.
   pub fn is_open(&self, key: &CommandKey) -> bool {
     matches!(self.open.get(key), Some(None))
   }
 
-  /// The number of orders open or being cancelled.
+  /// Number of commands that are open or being cancelled.
   pub fn len(&self) -> usize {
     self.open.len()
   }
 
-  /// Whether no order is open.
   pub fn is_empty(&self) -> bool {
     self.open.is_empty()
   }
