--- a/src/decide/peer_message.rs
+++ b/src/decide/peer_message.rs
@@ -6,97 +6,83 @@
   serde::{Deserialize, Serialize},
 };
 
-/// The highest revision applied of one configuration document.
+/// The applied revision of one configuration document.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DocumentRevision {
-  /// The document's key.
   pub key: Name,
-  /// Its revision.
   pub revision: u64,
 }
 
-/// One configuration document, as stored.
+/// A configuration document, as stored.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Document {
-  /// The document's key.
   pub key: Name,
-  /// Its revision in the platform's service.
+  /// Its revision in the store.
   pub revision: u64,
-  /// Its JSON text.
+  /// JSON.
   pub text: Name,
 }
 
-/// A box's sign of request_machine.
+/// A periodic message that shows that a box is live.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Heartbeat {
-  /// The sender's start; higher is later.
+  /// Start of the sender's process; higher is later.
   pub incarnation: u64,
-  /// Whether the sender is stopping.
   pub leaving: bool,
-  /// Endpoints that the sender knows to be leaving, with their incarnations.
   pub leaving_endpoints: Vec<LeavingEndpoint>,
-  /// Load of the endpoints that the sender is home of.
+  /// Load of endpoints that the sender owns.
   pub loads: Vec<LoadReport>,
-  /// Digest of all configuration revisions that the sender has applied.
+  /// Digest of the configuration revisions that the sender has applied.
   pub configuration_digest: u64,
-  /// The highest of these revisions.
+  /// The highest applied revision.
   pub latest_revision: u64,
 }
 
-/// An endpoint that is on its way out.
+/// An endpoint that is leaving.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct LeavingEndpoint {
-  /// The endpoint.
   pub endpoint: Name,
-  /// The incarnation that is leaving; a higher one has come back.
+  /// The incarnation that is leaving; a higher one has returned.
   pub incarnation: u64,
 }
 
-/// A box asks the home of a decode engine for a seat and a link window.
+/// A request to the owner of a decode engine for a batch slot and a window of its link.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SlotRequest {
-  /// The attempt.
   pub attempt: AttemptId,
-  /// The decode engine.
   pub engine: Name,
-  /// When the prefill is expected to be done, counted from now.
+  /// Expected time until prefill is done.
   pub ready_in_ms: u64,
-  /// How long the seat is expected to be held after that.
+  /// Expected time for which the slot is used after that.
   pub hold_ms: u64,
-  /// Bytes to move over the engine's link.
+  /// Bytes to transfer over the engine's link.
   pub kv_bytes: u64,
 }
 
-/// The home's answer.
+/// The owner's response.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SlotResponse {
-  /// The attempt.
   pub attempt: AttemptId,
-  /// The decode engine.
   pub engine: Name,
-  /// Whether the seat is reserved.
+  /// Whether the slot is reserved.
   pub granted: bool,
-  /// Wait for the link window beyond the time asked for.
+  /// Wait for the link window after `ready_in_ms`.
   pub link_wait_ms: u64,
 }
 
-/// What one box tells another.
+/// A message between boxes.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum PeerMessage {
-  /// A sign of request_machine.
   Heartbeat(Heartbeat),
-  /// Asks for a seat.
   SlotRequest(SlotRequest),
-  /// Answers an ask.
   SlotResponse(SlotResponse),
-  /// Gives a seat back.
+  /// Returns a slot.
   SlotReturn(AttemptId, Name),
-  /// A seat is free again at an engine that refused the receiver.
+  /// A slot is free again at an engine for which the receiver's request was rejected.
   SlotFreed(Name),
-  /// Asks for documents of higher revisions than this: enough for who has only fallen behind.
+  /// Requests documents of higher revisions than this one; sent by a box that has fallen behind.
   DocumentsAfter(u64),
-  /// Asks for documents newer than these: for who has missed one in between.
+  /// Requests documents newer than these; sent by a box that has missed one in between.
   DocumentsWanted(Vec<DocumentRevision>),
-  /// Documents that the sender has applied.
   Documents(Vec<Document>),
 }
