--- a/src/decide/prefix_hints.rs
+++ b/src/decide/prefix_hints.rs
@@ -1,11 +1,11 @@
-//! Which engine probably has which prompt prefix cached.
+//! Hints on which engine has which prompt prefix in its cache.
 
 use {
   crate::ids::Name,
   std::collections::{BTreeMap, VecDeque},
 };
 
-/// Tokens in one hashed block of a prompt.
+/// Prompt tokens per hashed block.
 pub const BLOCK_TOKENS: u64 = 128;
 
 const CAPACITY: usize = 16_384;
@@ -18,22 +18,23 @@
   observed_ms: u64,
 }
 
-/// Hints from own dispatches and from late, gappy cache events. A wrong one costs time, nothing else.
+/// Hints from this box's own requests and from cache events, which may be late or incomplete. A wrong hint costs only
+/// prefill time.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixHints {
   blocks: BTreeMap<u64, Vec<Observation>>,
-  order: VecDeque<u64>,
+  insertion_order: VecDeque<u64>,
 }
 
 impl PrefixHints {
-  /// An engine holds these blocks.
+  /// Records that an engine has these blocks in its cache.
   pub fn record_cached(&mut self, now_ms: u64, engine: &Name, blocks: &[u64]) {
     for block in blocks {
       self.record_block(now_ms, engine, *block);
     }
   }
 
-  /// An engine's own answer showed that these blocks were not cached.
+  /// Removes blocks that an engine reported as not cached.
   pub fn record_missing(&mut self, engine: &Name, blocks: &[u64]) {
     for block in blocks {
       if let Some(observations) = self.blocks.get_mut(block) {
@@ -42,7 +43,7 @@
     }
   }
 
-  /// Tokens of the prefix that an engine can be expected to have.
+  /// Expected number of the prefix's tokens in an engine's cache.
   pub fn expected_tokens(&self, now_ms: u64, engine: &Name, blocks: &[u64]) -> u64 {
     let mut expected = 0.0;
     for block in blocks {
@@ -55,7 +56,7 @@
     expected as u64
   }
 
-  /// Engines that were seen with the first block.
+  /// Engines that were observed to have the first block.
   pub fn engines(&self, blocks: &[u64]) -> impl Iterator<Item = &Name> {
     blocks
       .first()
@@ -75,9 +76,9 @@
 
   fn record_block(&mut self, now_ms: u64, engine: &Name, block: u64) {
     if !self.blocks.contains_key(&block) {
-      self.order.push_back(block);
-      if self.order.len() > CAPACITY
-        && let Some(oldest) = self.order.pop_front()
+      self.insertion_order.push_back(block);
+      if self.insertion_order.len() > CAPACITY
+        && let Some(oldest) = self.insertion_order.pop_front()
       {
         self.blocks.remove(&oldest);
       }
