--- a/src/decide/request_outcome.rs
+++ b/src/decide/request_outcome.rs
@@ -1,67 +1,55 @@
-//! The three endings of a request.
+//! The outcomes of a request, with their reasons.
 
 use serde::{Deserialize, Serialize};
 
-/// Why a request was not run.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NotRunReason {
-  /// The organisation has too many requests in progress.
   OrganisationLimit,
-  /// The queue is full and nothing in it ranks lower.
+  /// The queue is full and holds no request that ranks lower.
   QueueFull,
-  /// It rendezvous_order lowest when the queue was full.
+  /// Shed from a full queue for a request that ranks higher.
   Shed,
-  /// The predicted first token lies past the deadline.
+  /// The first token is predicted to come after the deadline.
   TooLate,
-  /// No endpoint is known that could do the work.
+  /// No live endpoint serves the model or service.
   NoEndpoint,
-  /// The platform's service can't be reached, so the claim can't be made.
+  /// The store can't be reached, so that no claim can be written.
   ClaimUnavailable,
-  /// Another request with the same key was taken on before.
+  /// An earlier request with the same idempotency key holds the claim.
   AlreadyClaimed,
-  /// Each endpoint that was tried confirmed that the work never began.
+  /// Each endpoint tried has confirmed that the work never began.
   NeverBegan,
-  /// The retry budget is empty.
   RetryBudget,
-  /// The box is stopping.
   Stopping,
-  /// A ring between two duties is full.
+  /// A ring buffer between two tasks is full.
   Busy,
-  /// The box has no configuration yet.
   NotReady,
 }
 
-/// Why it is not known whether a request ran.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UnknownReason {
-  /// An endpoint failed after the work may have begun.
   EndpointFailed,
-  /// The answer did not come in time.
   TimedOut,
-  /// Part of the answer was lost and could not be resumed.
+  /// Part of the answer was lost, and the stream could not be resumed.
   AnswerBroken,
 }
 
-/// How a request ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "outcome")]
 pub enum RequestOutcome {
-  /// The whole answer was delivered.
   Answered,
-  /// The work truly did not run.
+  /// Certain that the work did not run.
   NotRun {
-    /// Why.
     reason: NotRunReason,
-    /// When to come back.
+    /// Delay after which the caller may retry.
     retry_after_ms: u64,
   },
   /// The work may have run.
   Unknown {
-    /// Why.
     reason: UnknownReason,
   },
-  /// The caller left before the end.
+  /// The caller disconnected before the end.
   Abandoned,
 }
