--- a/src/decide/retry_budget.rs
+++ b/src/decide/retry_budget.rs
@@ -1,6 +1,6 @@
-//! A token bucket that bounds retries to a share of the traffic.
+//! A token bucket that bounds retries to a share of the requests.
 
-/// The retries that are left.
+/// The retries that remain.
 ///
 /// ```
 /// let mut budget = rillford::decide::RetryBudget::new(0.5, 1.0);
@@ -18,7 +18,7 @@
 }
 
 impl RetryBudget {
-  /// A full bucket of `burst` retries, filled by `share` for each request.
+  /// A full bucket of `burst` retries, refilled by `share` of a retry for each request.
   pub fn new(share: f64, burst: f64) -> Self {
     Self {
       burst,
@@ -27,19 +27,18 @@
     }
   }
 
-  /// Changes the share and the burst.
   pub fn configure(&mut self, share: f64, burst: f64) {
     self.share = share;
     self.burst = burst;
     self.tokens = self.tokens.min(burst);
   }
 
-  /// A first try was made.
+  /// Refills the bucket for a new request.
   pub fn earn(&mut self) {
     self.tokens = (self.tokens + self.share).min(self.burst);
   }
 
-  /// Takes a retry, if one is left.
+  /// Takes a retry if one remains.
   pub fn take_retry(&mut self) -> bool {
     if self.tokens < 1.0 {
       return false;
