--- a/src/decide/role_switch.rs
+++ b/src/decide/role_switch.rs
@@ -1,42 +1,39 @@
-//! Which engine changes its role next: wanted split, dead band, least stay.
+//! Which engine switches its role next, given the wanted split, a dead band and a minimum dwell time.
 
 use {
   super::Role,
   crate::{ids::Name, policy::RoleSplit},
 };
 
-/// An engine as the steward sees it.
+/// An engine that may switch its role.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-  /// The engine.
   pub engine: Name,
-  /// Its present role.
   pub role: Role,
-  /// How long it has had that role.
+  /// Time in its current role.
   pub dwell_ms: u64,
-  /// Requests it holds; the least busy turns first.
+  /// Requests in progress; the least loaded engine switches first.
   pub used_slots: u32,
 }
 
-/// One change of role.
+/// An engine's change of role.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RoleSwitch {
-  /// The engine.
   pub engine: Name,
-  /// The role it is to take.
+  /// The new role.
   pub role: Role,
 }
 
-/// Bounds on changes of role.
+/// Limits on changes of role.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RoleSwitchLimits {
-  /// Difference between wanted and present share that is left alone.
+  /// Difference between the wanted and the current share up to which no engine switches.
   pub dead_band: f64,
-  /// Least time in a role.
+  /// Minimum time in a role.
   pub min_dwell_ms: u64,
 }
 
-/// The one engine of a model that is to turn now, if any. Each role keeps at least one engine.
+/// The engine of a model that switches its role now, if any. Each role keeps at least one engine.
 ///
 /// ```
 /// use rillford::{decide::{next_role_switch, Candidate, Role, RoleSwitchLimits}, policy::RoleSplit};
@@ -48,13 +45,13 @@
 ///   engine("c", Role::Decode), engine("d", Role::Decode),
 /// ];
 /// let split = RoleSplit { model: "m".into(), prefill_share: 0.5 };
-/// let bounds = RoleSwitchLimits { dead_band: 0.1, min_dwell_ms: 60_000 };
-/// assert_eq!(next_role_switch(&engines, &split, bounds).unwrap().engine, "b".into());
+/// let limits = RoleSwitchLimits { dead_band: 0.1, min_dwell_ms: 60_000 };
+/// assert_eq!(next_role_switch(&engines, &split, limits).unwrap().engine, "b".into());
 /// ```
 pub fn next_role_switch(
   engines: &[Candidate],
   split: &RoleSplit,
-  bounds: RoleSwitchLimits,
+  limits: RoleSwitchLimits,
 ) -> Option<RoleSwitch> {
   let total = engines.len();
   if total < 2 {
@@ -65,7 +62,7 @@
     .filter(|engine| engine.role == Role::Prefill)
     .count();
   let current = prefill_engines as f64 / total as f64;
-  if (split.prefill_share - current).abs() <= bounds.dead_band {
+  if (split.prefill_share - current).abs() <= limits.dead_band {
     return None;
   }
   let wanted = (split.prefill_share * total as f64).round() as usize;
@@ -77,7 +74,7 @@
   };
   engines
     .iter()
-    .filter(|engine| engine.role == from && engine.dwell_ms >= bounds.min_dwell_ms)
+    .filter(|engine| engine.role == from && engine.dwell_ms >= limits.min_dwell_ms)
     .min_by_key(|engine| (engine.used_slots, engine.engine.clone()))
     .map(|engine| RoleSwitch {
       engine: engine.engine.clone(),
