--- a/src/decide/slot_table.rs
+++ b/src/decide/slot_table.rs
@@ -1,4 +1,4 @@
-//! What a home box has granted on one decode engine: slots, and windows of its link.
+//! The slots and link windows of one decode engine that its owner has granted.
 
 use {
   super::{LinkWindows, SlotRequest},
@@ -6,6 +6,7 @@
   std::collections::{BTreeMap, VecDeque},
 };
 
+/// A grant whose release was lost expires after this multiple of its expected time.
 const LOST_RELEASE_FACTOR: u64 = 3;
 const RESERVATION_SLACK_MS: u64 = 2_000;
 
@@ -16,41 +17,40 @@
   expires_at_ms: u64,
 }
 
-/// What the home knows of the engine at the time of an request.
+/// State of the engine at the time of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineView {
-  /// Seats that the engine has.
   pub slots: u32,
-  /// Seats taken by its last report.
+  /// Slots in use by its last report.
   pub reported_slots: u32,
-  /// Rate of its link.
   pub link_bytes_per_s: u64,
-  /// From 0 (count on every expected end) to 1 (count on none).
+  /// From 0 (count on every expected end of a grant) to 1 (count only on slots that are free now).
   pub certainty: f64,
 }
 
-/// The home's decision on one request.
+/// The owner's decision on a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SlotDecision {
-  /// Reserved; the transfer has to wait so long beyond the time asked for.
+  /// A slot and a link window are reserved.
   Granted {
-    /// The wait.
+    /// Wait for the link window after the requested time.
     link_wait_ms: u64,
   },
-  /// No seat is expected to be free in time.
+  /// No slot is expected to be free in time.
   Full,
 }
 
-/// The grants on one decode engine. A hint that saves waste; the engine itself has the last word.
+/// The grants on one decode engine. They only save wasted prefill: the engine itself still rejects work when it is full.
 #[derive(Clone, Debug, Default)]
 pub struct SlotTable {
   grants: BTreeMap<AttemptId, Grant>,
   windows: LinkWindows,
+  /// Boxes to notify, one for each slot that becomes free.
   rejected: VecDeque<Name>,
 }
 
 impl SlotTable {
-  /// Decides on an request. The same attempt asked twice has one grant.
+  /// Decides on a request. An attempt that requests twice has one grant.
   pub fn request_slot(
     &mut self,
     now_ms: u64,
@@ -60,12 +60,12 @@
     self.expire(now_ms);
     self.grants.remove(&request.attempt);
     let ready_at_ms = now_ms + request.ready_in_ms;
-    let held = u32::try_from(self.grants.len())
+    let in_use = u32::try_from(self.grants.len())
       .unwrap_or(u32::MAX)
       .max(engine.reported_slots);
     let ending = self.count_ending_by(ready_at_ms);
     let expected_free = (f64::from(ending) * (1.0 - engine.certainty)).floor() as u32;
-    if held >= engine.slots.saturating_add(expected_free) {
+    if in_use >= engine.slots.saturating_add(expected_free) {
       self.record_rejected(&request.attempt.box_name);
       return SlotDecision::Full;
     }
@@ -86,13 +86,13 @@
     SlotDecision::Granted { link_wait_ms }
   }
 
-  /// Takes a seat back; answers which box to tell that a seat is free.
+  /// Releases a slot; returns the box to notify that a slot is free.
   pub fn release(&mut self, attempt: &AttemptId) -> Option<Name> {
     self.grants.remove(attempt)?;
     self.rejected.pop_front()
   }
 
-  /// Drops the grants of a box that is gone.
+  /// Removes the grants of a lost box up to this incarnation.
   pub fn remove_box(&mut self, box_name: &Name, incarnation: u64) {
     self
       .grants
@@ -100,17 +100,15 @@
     self.rejected.retain(|name| name != box_name);
   }
 
-  /// The number of grants.
   pub fn len(&self) -> usize {
     self.grants.len()
   }
 
-  /// Whether nothing is granted.
   pub fn is_empty(&self) -> bool {
     self.grants.is_empty()
   }
 
-  /// Grants that lapsed without a return are dropped.
+  /// Removes grants that have expired without a release.
   pub fn expire(&mut self, now_ms: u64) {
     self.grants.retain(|_, grant| grant.expires_at_ms > now_ms);
   }
