--- a/src/decide/status.rs
+++ b/src/decide/status.rs
@@ -1,4 +1,4 @@
-//! What an operator can see of a box.
+//! The status page of a box; its field names are those of the JSON.
 
 use {
   super::Role,
@@ -6,75 +6,63 @@
   serde::{Deserialize, Serialize},
 };
 
-/// An endpoint's state, as a word.
+/// The state of an endpoint.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointState {
-  /// Never heard of.
+  /// No report has arrived yet.
   Unseen,
-  /// Gets new work.
   Live,
-  /// Silent; gets no new work.
+  /// Not responding; gets no new work.
   Suspect,
-  /// Leaving; gets no new work.
+  /// Drained or stopping; gets no new work.
   Leaving,
 }
 
-/// One endpoint as this box sees it.
+/// This box's view of an endpoint.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EndpointStatus {
-  /// Its name.
   pub name: Name,
-  /// Its hall.
   pub hall: Name,
-  /// Its state.
   pub state: EndpointState,
-  /// Its role.
   pub role: Option<Role>,
-  /// Seats taken.
+  /// Batch slots in use.
   pub used_seats: u32,
-  /// Seats it has.
+  /// Batch slots.
   pub seats: u32,
-  /// Prompt tokens that wait.
+  /// Predicted time to prefill the queued prompts.
   pub queue_tokens_ms: u64,
-  /// The box that is its home.
+  /// The box that owns the endpoint.
   pub home: Option<Name>,
 }
 
-/// One peer as this box sees it.
+/// This box's view of a peer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PeerStatus {
-  /// Its name.
   pub name: Name,
-  /// Its hall.
   pub hall: Name,
-  /// Whether it counts as alive.
   pub live: bool,
-  /// Whether it is stopping.
   pub leaving: bool,
 }
 
-/// A box as it sees itself.
+/// The status of a box.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Status {
-  /// Whether it takes requests.
+  /// Whether the box accepts requests.
   pub ready: bool,
-  /// Whether it is stopping.
   pub stopping: bool,
-  /// Requests in progress, waiting ones included.
+  /// Requests in progress, including queued ones.
   pub in_progress: usize,
-  /// Requests that wait.
+  /// Queued requests.
   pub waiting: usize,
-  /// OpenCommands open or being cancelled at endpoints.
+  /// Commands that are open or being cancelled at endpoints.
   pub open_orders: usize,
-  /// Seats granted as home.
+  /// Batch slots granted as owner of decode engines.
   pub seats_granted: usize,
-  /// Whether it holds its hall's steward lease.
+  /// Whether the box holds the lease of its hall's role leader.
   pub steward: bool,
-  /// Digest of the configuration in force.
+  /// Digest of the applied configuration revisions.
   pub configuration_digest: u64,
-  /// All endpoints.
   pub endpoints: Vec<EndpointStatus>,
-  /// All peers.
   pub peers: Vec<PeerStatus>,
 }
