--- a/src/decide/tuning.rs
+++ b/src/decide/tuning.rs
@@ -1,35 +1,34 @@
-//! The knobs of `decide`, from settings and the platform's configuration.
+//! Tuning parameters of `decide`, from the platform's configuration document.
 
 use serde::{Deserialize, Serialize};
 
-/// Who decides on the slots of a nearly full decode engine.
+/// How the slots of a decode engine are allocated to boxes.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SlotMode {
-  /// The engine's home box reserves slots one by one.
+  /// The box that owns the engine grants slots one by one.
   #[default]
   #[serde(rename = "home_grants")]
   OwnerGrants,
-  /// Each box goes by the load it last heard of.
+  /// Each box uses the last reported load.
   LaggingLoad,
-  /// Each box owns an equal share of each engine's slots.
+  /// Each box has an equal share of each engine's slots.
   FixedShares,
 }
 
-/// How engines are chosen.
+/// The algorithm that chooses engines.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlacementMode {
-  /// Least predicted time to the first token.
   #[default]
   PredictedTime,
-  /// One engine after the other.
+  /// Round robin.
   RoundRobin,
-  /// The less loaded of two drawn at random.
+  /// The less loaded of two engines chosen at random.
   TwoChoices,
 }
 
-/// The knobs of `decide`. Each has a default; configuration names only what it changes.
+/// Tuning parameters of `decide`. A document names only those that differ from the defaults.
 ///
 /// ```
 /// let tuning = rillford::decide::Tuning::default();
@@ -38,55 +37,53 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tuning {
-  /// Who decides on slots.
   #[serde(rename = "seat_mode")]
   pub slot_mode: SlotMode,
-  /// How engines are chosen.
+  /// The algorithm that chooses engines.
   pub placement: PlacementMode,
-  /// Whether a seat and a link window are reserved before prefill begins.
+  /// Whether a slot and a link window are reserved before prefill begins.
   pub reserve_before_prefill: bool,
-  /// From 0 (count on every expected end) to 1 (only slots that are free now): the knob
-  /// between goodput and wasted prefill.
+  /// From 0 (count on every slot that is expected to become free) to 1 (only slots that are free now): trades goodput for
+  /// less wasted prefill.
   #[serde(rename = "seat_certainty")]
   pub slot_certainty: f64,
-  /// Whether requests predicted to be late are told "not run" at once.
+  /// Whether requests that are predicted to miss their deadline are rejected on arrival.
   pub early_refusal: bool,
-  /// Retries allowed, as a share of requests.
+  /// Maximum share of retries among requests.
   pub retry_share: f64,
-  /// Retries that may be saved up.
+  /// Burst of the retry budget.
   pub retry_burst: f64,
-  /// Tries per request.
+  /// Maximum attempts per request.
   pub max_attempts: u32,
-  /// Requests that may wait in one lane.
+  /// Maximum requests in the queue of one model or service.
   pub queue_limit: usize,
-  /// Requests in progress for one organisation, where its document says nothing.
+  /// Maximum requests in progress of an organisation, unless its document has a limit.
   pub organisation_limit: usize,
-  /// Time that an engine keeps an attempt without an extension.
+  /// Time to live of a hold, after which the engine may free the attempt.
   pub hold_ms: u64,
-  /// Time between heartbeats to peers.
   pub heartbeat_ms: u64,
-  /// Time between polls of an endpoint by its home.
+  /// Interval at which a box polls the endpoints that it owns.
   pub poll_ms: u64,
-  /// Silence after which an endpoint gets no new work.
+  /// Time without a report after which an endpoint gets no new work.
   pub endpoint_silence_ms: u64,
-  /// Silence after which a peer is taken for dead.
+  /// Time without a heartbeat after which a peer counts as lost.
   pub peer_silence_ms: u64,
-  /// Time after which a seat ask counts as lost.
+  /// Timeout of a slot request to another box.
   #[serde(rename = "ask_timeout_ms")]
   pub slot_request_timeout_ms: u64,
-  /// Time for which a prefill result can be counted on; less than engines keep it.
+  /// Time for which a prefill result is expected to be available; less than engines keep it.
   pub export_keep_ms: u64,
-  /// Time between tokens that is expected of decode engines.
+  /// Expected time between tokens of a decode engine.
   pub token_ms: u64,
-  /// Difference between wanted and present share of roles that is left alone.
+  /// Difference between the wanted and the current share of a role up to which no engine switches.
   pub role_dead_band: f64,
-  /// Least time an engine keeps its role.
+  /// Minimum time for which an engine keeps its role.
   #[serde(rename = "role_least_stay_ms")]
   pub role_min_dwell_ms: u64,
-  /// Time that a full engine is not asked for a seat, unless its home says sooner that one is free.
+  /// Backoff from a full engine, unless its owner announces a free slot sooner.
   #[serde(rename = "full_pause_ms")]
   pub full_backoff_ms: u64,
-  /// Jump of the own clock after which the box suspects itself.
+  /// Gap between two events after which a box assumes that it was paused.
   pub clock_jump_ms: u64,
 }
 
