--- a/src/decide/timeline_event.rs
+++ b/src/decide/timeline_event.rs
@@ -85,7 +85,6 @@
 }
 
 impl TimelineEvent {
-  ///
   /// ```
   /// use rillford::decide::{TimelineEvent, EventKind};
   /// let event = TimelineEvent::new(EventKind::PeerLost, "north-2", "");
--- a/src/decide/timers.rs
+++ b/src/decide/timers.rs
@@ -338,7 +338,7 @@
       model: model.clone(),
       prefill_engines: 0,
       queue_tokens: 0,
-      seats_used: 0.0,
+      slots_used: 0.0,
     };
     let mut used = 0;
     let mut slots = 0;
@@ -353,7 +353,7 @@
         slots += engine.slots();
       }
     }
-    stats.seats_used = f64::from(used) / f64::from(slots.max(1));
+    stats.slots_used = f64::from(used) / f64::from(slots.max(1));
     stats
   }
 
--- a/src/gateway/roles/role_steward.rs
+++ b/src/gateway/roles/role_steward.rs
@@ -250,7 +250,7 @@
       model: service.clone(),
       prefill_engines: with_role(engines, Role::Prefill).count() as u64,
       queue_tokens: queue_tokens * boxes,
-      seats_used: (seats_taken * boxes) as f64 / seats.max(1) as f64,
+      slots_used: (seats_taken * boxes) as f64 / seats.max(1) as f64,
     }
   }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,13 +1,13 @@
-//! Operators' policy programs: `rhai` scripts with bounds on work, depth and sizes.
+//! Operators' policy programs: `rhai` scripts with limits on operations, depth and sizes.
 //!
-//! Two functions: `rank(request, now)` for each request, `shift(now, pools)` for roles.
+//! A program has two functions: `rank(request, now)` ranks each request, `shift(now, pools)` splits engines into roles.
 
-mod facts;
 mod policy_error;
 mod program;
+mod types;
 
 pub use self::{
-  facts::{Clock, PoolStats, RequestAttributes, RoleSplit},
   policy_error::PolicyError,
   program::Program,
+  types::{Clock, PoolStats, RequestAttributes, RoleSplit},
 };
--- a/src/policy/policy_error.rs
+++ b/src/policy/policy_error.rs
@@ -1,39 +1,34 @@
-//! What can be wrong with a policy program.
+//! Errors of a policy program.
 
-/// What can be wrong with a policy program.
+/// Errors of a policy program.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum PolicyError {
-  /// The text is not a program.
+  /// The program does not compile.
   #[error("line {line}, column {column}: {message}")]
   Parse {
-    /// Line, from 1.
+    /// From 1.
     line: usize,
-    /// Column, from 1.
+    /// From 1.
     column: usize,
-    /// What is wrong there.
     message: String,
   },
-  /// A function that every policy has is missing.
+  /// A required function is missing.
   #[error("line 1, column 1: function `{0}` is missing")]
   Missing(&'static str),
-  /// The program failed or overran its bounds.
+  /// The program failed or exceeded a limit.
   #[error("line {line}, column {column}: `{function}` failed: {message}")]
   Run {
-    /// The function called.
     function: &'static str,
-    /// Line, from 1; 0 where unknown.
+    /// From 1; 0 if unknown.
     line: usize,
-    /// Column, from 1; 0 where unknown.
+    /// From 1; 0 if unknown.
     column: usize,
-    /// What went wrong.
     message: String,
   },
-  /// The answer has the wrong form.
-  #[error("`{function}` must answer with {wanted}")]
-  Answer {
-    /// The function called.
+  /// The function returned a value of the wrong form.
+  #[error("`{function}` must return {expected}")]
+  ReturnValue {
     function: &'static str,
-    /// What was wanted.
-    wanted: &'static str,
+    expected: &'static str,
   },
 }
--- a/src/policy/facts.rs
+++ b/src/policy/types.rs
@@ -1,11 +1,11 @@
-//! What a policy program is told, and what it answers.
+//! The arguments and results of a policy program.
 
 use crate::ids::Name;
 
 const DAY_MINUTES: u64 = 24 * 60;
 const MINUTE_MS: u64 = 60_000;
 
-/// The local time of day that policy sees.
+/// The local time that a policy program gets.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Clock {
   /// Minutes since local midnight.
@@ -15,7 +15,7 @@
 }
 
 impl Clock {
-  /// The local time at a Unix time.
+  /// Local time at a Unix time.
   ///
   /// ```
   /// use rillford::policy::Clock;
@@ -37,43 +37,36 @@
   }
 }
 
-/// What `rank` is told of a request.
+/// The attributes of a request that `rank` gets.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RequestAttributes {
-  /// The organisation.
   pub organisation: Name,
   /// The model or the plain service.
   pub subject: Name,
   /// `model` or `service`.
   pub kind: Name,
-  /// The caller's own name for the task.
+  /// The caller's label for the kind of task.
   pub task: Name,
-  /// The prompt's length.
   pub prompt_tokens: u64,
-  /// The most tokens that the answer may have.
   pub max_tokens: u64,
 }
 
-/// What `shift` is told of one model's engines in this hall.
+/// Statistics of one model's engines in this hall, for `shift`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolStats {
-  /// The model.
   pub model: Name,
-  /// Engines in the prefill role.
   pub prefill_engines: u64,
-  /// Engines in the decode role.
   pub decode_engines: u64,
-  /// Prompt tokens that wait, over all prefill engines.
+  /// Prompt tokens queued at all prefill engines.
   pub queue_tokens: u64,
-  /// Share of decode seats taken, from 0 to 1.
-  pub seats_used: f64,
+  /// Share of decode slots in use, from 0 to 1; a program reads it as `seats_used`.
+  pub slots_used: f64,
 }
 
-/// What `shift` wants for one model.
+/// The split of roles that `shift` wants for one model.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoleSplit {
-  /// The model.
   pub model: Name,
-  /// Wanted share of engines in the prefill role, from 0 to 1.
+  /// Share of engines in the prefill role, from 0 to 1.
   pub prefill_share: f64,
 }
--- a/src/subcommand/check.rs
+++ b/src/subcommand/check.rs
@@ -48,7 +48,7 @@
   };
   let line = match &error {
     PolicyError::Parse { line, .. } | PolicyError::Run { line, .. } => *line,
-    PolicyError::Missing(_) | PolicyError::Answer { .. } => 1,
+    PolicyError::Missing(_) | PolicyError::ReturnValue { .. } => 1,
   };
   Ok(vec![SettingsError {
     file: path.into(),
--- a/tests/gateway/policy.rs
+++ b/tests/gateway/policy.rs
@@ -84,7 +84,7 @@
     model: "llm".into(),
     prefill_engines: 3,
     queue_tokens: 0,
-    seats_used: 0.5,
+    slots_used: 0.5,
   };
   let policy = policy("fn rank(request, now) { #{} } fn shift(now, pools) { #{ llm: 0.4 } }");
   assert_eq!(policy.prefill_share(&pool), Some(0.4));
