--- a/tests/machine.rs
+++ b/tests/machine.rs
@@ -1,5 +1,5 @@
-//! The real `decide`, held against the engine of the specification over drawn histories: orders and
-//! cancels in any order, lost answers, callers who leave, failures, claims.
+//! Property test of `decide` against simulated engines, over random histories of commands and cancels in any order, lost
+//! responses, disconnects, failures and claims.
 
 use {
   proptest::{
@@ -21,43 +21,42 @@
   },
 };
 
-const HISTORIES: u32 = 400;
+const CASES: u32 = 400;
 const MODEL: &str = "model";
 
-/// What may happen next. Numbers choose among what is there.
+/// A step of a history. Its numbers select among the pending commands, cancels, claims or requests.
 #[derive(Clone, Debug)]
-enum Chance {
+enum Step {
   Arrive {
     not_repeatable: bool,
   },
-  Leave(usize),
-  /// An order reaches its engine and is worked on.
+  Disconnect(usize),
+  /// A command reaches its engine and begins to run.
   Deliver(usize),
-  /// An order is lost on its way, and that is noticed.
-  Refuse(usize),
-  /// An engine's work ends, and its answer comes.
-  Answer(usize),
-  /// An engine's work ends or not, and its answer is lost.
-  LoseAnswer(usize),
-  /// A cancel reaches its engine; its answer comes or is lost.
+  /// A command is lost in transit, and the connection error is reported.
+  LoseCommand(usize),
+  /// An engine completes a command, and its response arrives.
+  Complete(usize),
+  /// The response of a running command is lost.
+  LoseResponse(usize),
+  /// A cancel reaches its engine; its response arrives or is lost.
   Cancel(usize, bool),
-  /// A claim is settled.
-  Claim(usize, u8),
+  SettleClaim(usize, u8),
   Wait(u16),
 }
 
-fn chance() -> impl Strategy<Value = Chance> {
+fn step() -> impl Strategy<Value = Step> {
   let which = 0..64_usize;
   prop_oneof![
-    2 => any::<bool>().prop_map(|not_repeatable| Chance::Arrive { not_repeatable }),
-    1 => which.clone().prop_map(Chance::Leave),
-    6 => which.clone().prop_map(Chance::Deliver),
-    1 => which.clone().prop_map(Chance::Refuse),
-    6 => which.clone().prop_map(Chance::Answer),
-    2 => which.clone().prop_map(Chance::LoseAnswer),
-    3 => (which.clone(), any::<bool>()).prop_map(|(which, lost)| Chance::Cancel(which, lost)),
-    3 => (which, 0..3_u8).prop_map(|(which, how)| Chance::Claim(which, how)),
-    4 => (1..400_u16).prop_map(Chance::Wait),
+    2 => any::<bool>().prop_map(|not_repeatable| Step::Arrive { not_repeatable }),
+    1 => which.clone().prop_map(Step::Disconnect),
+    6 => which.clone().prop_map(Step::Deliver),
+    1 => which.clone().prop_map(Step::LoseCommand),
+    6 => which.clone().prop_map(Step::Complete),
+    2 => which.clone().prop_map(Step::LoseResponse),
+    3 => (which.clone(), any::<bool>()).prop_map(|(which, lost)| Step::Cancel(which, lost)),
+    3 => (which, 0..3_u8).prop_map(|(which, how)| Step::SettleClaim(which, how)),
+    4 => (1..400_u16).prop_map(Step::Wait),
   ]
 }
 
@@ -69,26 +68,26 @@
 }
 
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Order {
+struct Command {
   attempt: AttemptId,
   engine: Name,
   stage: Stage,
 }
 
-/// Boxes' orders on their way, and engines as the specification has them.
-struct World {
+/// A box with its commands in transit, and engines that follow the rules of `model::attempts`.
+struct Simulation {
   machine: Machine,
   now_ms: u64,
   requests: u64,
-  on_the_way: Vec<Order>,
-  working: Vec<Order>,
+  in_transit: Vec<Command>,
+  running: Vec<Command>,
   cancels: Vec<(AttemptId, Name)>,
   claims: Vec<RequestId>,
   held: BTreeSet<(AttemptId, Name)>,
   tombstones: BTreeSet<(AttemptId, Name)>,
   began: BTreeMap<u64, u64>,
   not_repeatable: BTreeSet<u64>,
-  endings: BTreeMap<u64, Vec<RequestOutcome>>,
+  outcomes: BTreeMap<u64, Vec<RequestOutcome>>,
 }
 
 fn engine(name: &str, role: Role) -> EndpointSpec {
@@ -107,7 +106,7 @@
   }
 }
 
-impl World {
+impl Simulation {
   fn new() -> Self {
     let specs = vec![
       engine("p1", Role::Prefill),
@@ -129,28 +128,28 @@
       },
       seed: 1,
     });
-    let mut world = Self {
+    let mut simulation = Self {
       began: BTreeMap::new(),
       cancels: Vec::new(),
       claims: Vec::new(),
-      endings: BTreeMap::new(),
+      outcomes: BTreeMap::new(),
       held: BTreeSet::new(),
       machine,
       not_repeatable: BTreeSet::new(),
       now_ms: 1,
-      on_the_way: Vec::new(),
+      in_transit: Vec::new(),
       requests: 0,
       tombstones: BTreeSet::new(),
-      working: Vec::new(),
+      running: Vec::new(),
     };
-    world.tell(Event::Configured(Arc::new(ConfigurationView::default())));
-    world.report(&names);
-    world
+    simulation.handle(Event::Configured(Arc::new(ConfigurationView::default())));
+    simulation.report(&names);
+    simulation
   }
 
   fn report(&mut self, names: &[Name]) {
     for name in names {
-      self.tell(Event::LoadReported(LoadReport {
+      self.handle(Event::LoadReported(LoadReport {
         age_ms: 0,
         endpoint: name.clone(),
         incarnation: 1,
@@ -167,108 +166,108 @@
     }
   }
 
-  fn tell(&mut self, event: Event) {
+  fn handle(&mut self, event: Event) {
     for action in self.machine.handle(self.now_ms, event) {
-      self.act(action);
+      self.perform(action);
     }
   }
 
-  fn act(&mut self, action: Action) {
-    let order = |attempt, engine, stage| Order {
+  fn perform(&mut self, action: Action) {
+    let new_command = |attempt, engine, stage| Command {
       attempt,
       engine,
       stage,
     };
     match action {
-      Action::Prefill(sent) => {
+      Action::Prefill(command) => {
         self
-          .on_the_way
-          .push(order(sent.attempt, sent.engine, Stage::Prefill));
+          .in_transit
+          .push(new_command(command.attempt, command.engine, Stage::Prefill));
       }
-      Action::Import(sent) => {
+      Action::Import(command) => {
         self
-          .on_the_way
-          .push(order(sent.attempt, sent.engine, Stage::Import));
+          .in_transit
+          .push(new_command(command.attempt, command.engine, Stage::Import));
       }
-      Action::Decode(sent) => {
+      Action::Decode(command) => {
         self
-          .on_the_way
-          .push(order(sent.attempt, sent.engine, Stage::Decode));
+          .in_transit
+          .push(new_command(command.attempt, command.engine, Stage::Decode));
       }
       Action::Cancel(attempt, engine) => {
-        // Egress stops waiting for the attempt's answer.
+        // Egress stops waiting for the attempt's response.
         self.cancels.push((attempt, engine));
       }
       Action::Claim(request, ..) => self.claims.push(request),
-      Action::Complete(request, ending) => {
-        self.endings.entry(request.0).or_default().push(ending);
+      Action::Complete(request, outcome) => {
+        self.outcomes.entry(request.0).or_default().push(outcome);
       }
-      Action::PollLoad(engine) => self.report_later(engine),
-      Action::ExtendHolds(order) => self.extended_later(order.engine),
+      Action::PollLoad(engine) => self.report_load(engine),
+      Action::ExtendHolds(command) => self.extend_holds(command.engine),
       _ => {}
     }
   }
 
-  fn report_later(&mut self, engine: Name) {
+  fn report_load(&mut self, engine: Name) {
     self.report(&[engine]);
   }
 
-  fn extended_later(&mut self, engine: Name) {
-    self.tell(Event::HoldsExtended(engine));
+  fn extend_holds(&mut self, engine: Name) {
+    self.handle(Event::HoldsExtended(engine));
   }
 
-  fn stage(&mut self, order: &Order, outcome: StageOutcome) {
-    self.tell(Event::Stage(StageReport {
-      attempt: order.attempt.clone(),
-      endpoint: order.engine.clone(),
+  fn report_stage(&mut self, command: &Command, outcome: StageOutcome) {
+    self.handle(Event::Stage(StageReport {
+      attempt: command.attempt.clone(),
+      endpoint: command.engine.clone(),
       outcome,
     }));
   }
 
-  fn broke(&mut self, order: &Order, began: Began) {
+  fn fail(&mut self, command: &Command, began: Began) {
     let outcome = StageOutcome::Failed {
       began,
       offset: 0,
       resumable: true,
     };
-    self.stage(order, outcome);
+    self.report_stage(command, outcome);
   }
 
-  fn happen(&mut self, chance: &Chance) {
-    match chance {
-      Chance::Arrive { not_repeatable } => self.arrive(*not_repeatable),
-      Chance::Leave(which) => {
+  fn apply(&mut self, step: &Step) {
+    match step {
+      Step::Arrive { not_repeatable } => self.arrive(*not_repeatable),
+      Step::Disconnect(which) => {
         if self.requests > 0 {
           let request = *which as u64 % self.requests;
-          self.tell(Event::CallerDisconnected(RequestId(request)));
+          self.handle(Event::CallerDisconnected(RequestId(request)));
         }
       }
-      Chance::Deliver(which) => self.deliver(*which),
-      Chance::Refuse(which) => {
-        if let Some(order) = take(&mut self.on_the_way, *which) {
-          self.broke(&order, Began::Never);
+      Step::Deliver(which) => self.deliver(*which),
+      Step::LoseCommand(which) => {
+        if let Some(command) = take(&mut self.in_transit, *which) {
+          self.fail(&command, Began::Never);
         }
       }
-      Chance::Answer(which) => self.answer(*which),
-      Chance::LoseAnswer(which) => {
-        if let Some(order) = take(&mut self.working, *which) {
-          self.broke(&order, Began::Perhaps);
+      Step::Complete(which) => self.complete(*which),
+      Step::LoseResponse(which) => {
+        if let Some(command) = take(&mut self.running, *which) {
+          self.fail(&command, Began::Perhaps);
         }
       }
-      Chance::Cancel(which, lost) => self.cancel(*which, *lost),
-      Chance::Claim(which, how) => {
+      Step::Cancel(which, lost) => self.cancel(*which, *lost),
+      Step::SettleClaim(which, how) => {
         if let Some(request) = take(&mut self.claims, *which) {
           let outcome = [
             ClaimOutcome::Held,
             ClaimOutcome::Taken,
             ClaimOutcome::Unavailable,
           ][usize::from(*how)];
-          self.tell(Event::ClaimSettled(request, outcome));
+          self.handle(Event::ClaimSettled(request, outcome));
         }
       }
-      Chance::Wait(wait_ms) => {
+      Step::Wait(wait_ms) => {
         self.now_ms += u64::from(*wait_ms);
-        self.tell(Event::Tick);
+        self.handle(Event::Tick);
       }
     }
   }
@@ -279,7 +278,7 @@
     if not_repeatable {
       self.not_repeatable.insert(request);
     }
-    self.tell(Event::Arrived(Arrival {
+    self.handle(Event::Arrived(Arrival {
       deadline_ms: Some(5_000),
       idempotency_key: not_repeatable.then(|| "key".into()),
       not_repeatable,
@@ -296,32 +295,32 @@
   }
 
   fn deliver(&mut self, which: usize) {
-    let Some(order) = take(&mut self.on_the_way, which) else {
+    let Some(command) = take(&mut self.in_transit, which) else {
       return;
     };
-    let key = (order.attempt.clone(), order.engine.clone());
+    let key = (command.attempt.clone(), command.engine.clone());
     if self.tombstones.contains(&key) {
-      self.broke(&order, Began::Never);
+      self.fail(&command, Began::Never);
       return;
     }
-    if order.stage == Stage::Prefill {
-      *self.began.entry(order.attempt.sequence).or_default() += 1;
+    if command.stage == Stage::Prefill {
+      *self.began.entry(command.attempt.sequence).or_default() += 1;
     }
     self.held.insert(key);
-    self.working.push(order);
+    self.running.push(command);
   }
 
-  fn answer(&mut self, which: usize) {
-    let Some(order) = take(&mut self.working, which) else {
+  fn complete(&mut self, which: usize) {
+    let Some(command) = take(&mut self.running, which) else {
       return;
     };
-    let key = (order.attempt.clone(), order.engine.clone());
+    let key = (command.attempt.clone(), command.engine.clone());
     if !self.held.contains(&key) {
       return;
     }
-    match order.stage {
-      Stage::Prefill => self.stage(
-        &order,
+    match command.stage {
+      Stage::Prefill => self.report_stage(
+        &command,
         StageOutcome::Prefilled {
           cached_tokens: 0,
           kv_bytes: 100,
@@ -329,17 +328,17 @@
         },
       ),
       Stage::Import => {
-        // The source's export is consumed by the transfer.
-        let attempt = order.attempt.clone();
+        // The transfer consumes the source's export.
+        let attempt = command.attempt.clone();
         self
           .held
           .retain(|(held, engine)| *held != attempt || !engine.starts_with('p'));
-        self.stage(&order, StageOutcome::Imported);
+        self.report_stage(&command, StageOutcome::Imported);
       }
       Stage::Decode => {
         self.held.remove(&key);
-        self.stage(&order, StageOutcome::FirstChunk);
-        self.stage(&order, StageOutcome::Finished { tokens: 10 });
+        self.report_stage(&command, StageOutcome::FirstChunk);
+        self.report_stage(&command, StageOutcome::Finished { tokens: 10 });
       }
     }
   }
@@ -352,41 +351,44 @@
     self.tombstones.insert(key.clone());
     let was_held = self.held.remove(&key);
     self
-      .working
-      .retain(|order| (&order.attempt, &order.engine) != (&attempt, &engine));
+      .running
+      .retain(|command| (&command.attempt, &command.engine) != (&attempt, &engine));
     let answer = match (lost, was_held) {
       (true, _) => CancelAnswer::Unreachable,
       (false, true) => CancelAnswer::Cancelled,
       (false, false) => CancelAnswer::UnknownAttempt,
     };
-    self.tell(Event::CancelSettled(attempt, engine, answer));
+    self.handle(Event::CancelSettled(attempt, engine, answer));
   }
 
-  /// Lets everything end: orders arrive, cancels are answered, time passes.
+  /// Lets all work end: callers disconnect, commands arrive, cancels are acknowledged, time passes.
   fn settle(&mut self) {
     for request in 0..self.requests {
-      self.tell(Event::CallerDisconnected(RequestId(request)));
+      self.handle(Event::CallerDisconnected(RequestId(request)));
     }
     for _ in 0..400 {
       while !self.claims.is_empty() {
-        self.happen(&Chance::Claim(0, 0));
+        self.apply(&Step::SettleClaim(0, 0));
       }
-      while !self.on_the_way.is_empty() {
+      while !self.in_transit.is_empty() {
         self.deliver(0);
       }
       while !self.cancels.is_empty() {
         self.cancel(0, false);
       }
-      self.happen(&Chance::Wait(50));
+      self.apply(&Step::Wait(50));
     }
   }
 
-  fn check_endings(&self) -> Result<(), TestCaseError> {
-    for (request, endings) in &self.endings {
-      prop_assert!(endings.len() <= 1, "request {request} ended as {endings:?}");
+  fn check_outcomes(&self) -> Result<(), TestCaseError> {
+    for (request, outcomes) in &self.outcomes {
+      prop_assert!(
+        outcomes.len() <= 1,
+        "request {request} has outcomes {outcomes:?}"
+      );
       let began = self.began.get(request).copied().unwrap_or(0);
-      if let [RequestOutcome::NotRun { .. }] = endings.as_slice() {
-        prop_assert_eq!(began, 0, "request {} was told not run", request);
+      if let [RequestOutcome::NotRun { .. }] = outcomes.as_slice() {
+        prop_assert_eq!(began, 0, "request {} was reported as not run", request);
       }
     }
     for request in &self.not_repeatable {
@@ -405,33 +407,33 @@
 }
 
 #[test]
-fn any_history_ends_each_request_once_truthfully_and_holds_nothing() {
+fn any_history_gives_each_request_one_true_outcome_and_holds_nothing() {
   let config = Config {
-    cases: HISTORIES,
+    cases: CASES,
     failure_persistence: None,
     ..Config::default()
   };
   let random = TestRng::deterministic_rng(config.rng_algorithm);
   let mut runner = TestRunner::new_with_rng(config, random);
-  let outcome = runner.run(&vec(chance(), 1..120), |history| {
-    let mut world = World::new();
-    for chance in &history {
-      world.happen(chance);
-      world.check_endings()?;
+  let result = runner.run(&vec(step(), 1..120), |history| {
+    let mut simulation = Simulation::new();
+    for step in &history {
+      simulation.apply(step);
+      simulation.check_outcomes()?;
     }
-    world.settle();
-    world.check_endings()?;
+    simulation.settle();
+    simulation.check_outcomes()?;
     prop_assert_eq!(
-      world.endings.len() as u64,
-      world.requests,
-      "some were told nothing"
+      simulation.outcomes.len() as u64,
+      simulation.requests,
+      "some requests have no outcome"
     );
-    prop_assert!(world.held.is_empty(), "held: {:?}", world.held);
-    prop_assert_eq!(world.machine.open_commands(), 0);
-    prop_assert_eq!(world.machine.status().seats_granted, 0);
+    prop_assert!(simulation.held.is_empty(), "held: {:?}", simulation.held);
+    prop_assert_eq!(simulation.machine.open_commands(), 0);
+    prop_assert_eq!(simulation.machine.status().seats_granted, 0);
     Ok(())
   });
-  if let Err(error) = outcome {
+  if let Err(error) = result {
     panic!("{error}");
   }
 }
