--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -1,4 +1,4 @@
-//! No engine memory stays held by a request whose caller has gone.
+//! Engine memory is freed when a caller disconnects or its box fails.
 
 use {
   crate::{Test, test::finish},
@@ -8,7 +8,7 @@
   std::time::Duration,
 };
 
-fn stalled(stage: &str) -> (Role, EngineFaults) {
+fn stall_faults(stage: &str) -> (Role, EngineFaults) {
   match stage {
     "prefill" => (
       Role::Prefill,
@@ -38,14 +38,14 @@
 #[case::prefilling("prefill", 0)]
 #[case::transferring("transfer", 0)]
 #[case::decoding("decode", 0)]
-#[case::decoding_and_cancel_answers_lost("decode", 2)]
+#[case::decoding_and_cancel_responses_lost("decode", 2)]
 #[tokio::test]
-async fn caller_who_leaves_frees_the_engines(#[case] stage: &str, #[case] lost: u32) {
+async fn caller_disconnect_frees_the_engines(#[case] stage: &str, #[case] lost: u32) {
   let test = Test::new()
     .plan(|plan| plan.more_settings = "[limits]\nstall_ms = 30000\n".into())
     .start()
     .await;
-  let (role, faults) = stalled(stage);
+  let (role, faults) = stall_faults(stage);
   let faults = EngineFaults {
     lose_cancel_answers: lost,
     ..faults
@@ -53,16 +53,16 @@
   test.set_faults(role, faults);
   let url = test.url("north-1");
   let caller = test.caller.clone();
-  let waiting = tokio::spawn(async move {
+  let pending = tokio::spawn(async move {
     let ask = Ask::new("A question nobody waits for. ", 500);
     caller.complete(&url, &ask).await
   });
   test.wait_held().await;
-  // The status may be a little old: from here on it is of after the arrival.
+  // The status is refreshed periodically: waits until it includes the request.
   test
     .wait_status("north-1", |status| status.in_progress == 1)
     .await;
-  waiting.abort();
+  pending.abort();
   test.wait_nothing_held().await;
   test
     .wait_status("north-1", |status| {
@@ -72,19 +72,19 @@
 }
 
 #[tokio::test]
-async fn caller_who_leaves_a_whole_answer_frees_the_engines() {
+async fn caller_disconnect_from_an_unstreamed_answer_frees_the_engines() {
   let test = Test::new().slow_answers().start().await;
   let url = test.url("north-1");
   let caller = test.caller.clone();
   let ask = Ask::new("A whole answer nobody waits for. ", 2_000).whole();
-  let waiting = tokio::spawn(async move { caller.complete(&url, &ask).await });
+  let pending = tokio::spawn(async move { caller.complete(&url, &ask).await });
   test.wait_held().await;
-  waiting.abort();
+  pending.abort();
   test.wait_nothing_held().await;
 }
 
 #[tokio::test]
-async fn killed_box_leaves_nothing_held_once_the_homes_have_swept() {
+async fn attempts_of_a_killed_box_are_cancelled_by_the_engines_owners() {
   let mut test = Test::new().slow_answers().start().await;
   let ask = Ask::new("An answer from a box that dies. ", 4_000);
   let stream = test.open("north-1", &ask).await;
@@ -96,7 +96,7 @@
 }
 
 #[tokio::test]
-async fn replaced_box_sweeps_what_its_former_self_left() {
+async fn restarted_box_cancels_attempts_of_its_previous_incarnation() {
   let mut test = Test::halls(vec![emulator::HallPlan::small("north", &["north-1"])])
     .slow_answers()
     .start()
@@ -111,16 +111,16 @@
 }
 
 #[tokio::test]
-async fn frozen_box_loses_its_attempts_and_gives_them_up_when_it_wakes() {
+async fn paused_box_loses_its_attempts_and_aborts_them_on_resume() {
   let test = Test::new().slow_answers().start().await;
   let ask = Ask::new("An answer from a box that freezes. ", 300);
   let stream = test.open("north-1", &ask).await;
   test.deployment.boxes["north-1"].signal(libc::SIGSTOP);
   test.wait_nothing_held().await;
   test.deployment.boxes["north-1"].signal(libc::SIGCONT);
-  let told = finish(stream).await;
+  let result = finish(stream).await;
   let whole = answer_text("An answer from a box that freezes. ", 300);
-  match told {
+  match result {
     Told::Answered(text) => assert_eq!(text, whole),
     Told::Unknown { .. } => {}
     other => panic!("{other:?}"),
@@ -130,16 +130,16 @@
 }
 
 #[tokio::test]
-async fn live_attempts_are_not_swept_while_their_box_holds_on() {
+async fn live_attempts_are_not_cancelled_while_their_holds_are_extended() {
   let test = Test::new().slow_answers().start().await;
-  // Four holds long.
+  // The answer takes four times as long as a hold lives.
   let ask = Ask::new("A long answer. ", 320);
-  let told = test.complete("north-1", &ask).await;
-  assert_eq!(told, Told::Answered(answer_text("A long answer. ", 320)));
+  let result = test.complete("north-1", &ask).await;
+  assert_eq!(result, Told::Answered(answer_text("A long answer. ", 320)));
 }
 
 #[tokio::test]
-async fn engine_deaf_to_holds_loses_its_attempts_to_another() {
+async fn attempts_move_from_an_engine_that_ignores_hold_extensions() {
   let test = Test::new().slow_answers().start().await;
   let ask = Ask::new("An answer that moves. ", 400);
   let stream = test.open("north-1", &ask).await;
@@ -151,13 +151,13 @@
     deaf_to_holds: true,
     ..EngineFaults::default()
   });
-  let left = eventually(Duration::from_secs(60), async || {
+  let freed = eventually(Duration::from_secs(60), async || {
     test.engine(decoding).held().is_empty()
   });
-  assert!(left.await);
-  let told = finish(stream).await;
+  assert!(freed.await);
+  let result = finish(stream).await;
   assert_eq!(
-    told,
+    result,
     Told::Answered(answer_text("An answer that moves. ", 400))
   );
   test.wait_nothing_held().await;
--- a/tests/roles.rs
+++ b/tests/roles.rs
@@ -1,4 +1,4 @@
-//! One steward a hall orders roles, by its fence; a paused one orders nothing late.
+//! One role leader per hall switches roles with its fence; a paused leader sends no stale commands.
 
 use {
   crate::{
@@ -10,7 +10,8 @@
   rstest::rstest,
 };
 
-/// Wants half of the engines to read; with one of three reading, none turns within the dead band.
+/// `SHARE` is the wanted share of prefill engines. One of three engines starts in the prefill role: at 0.34 none switches,
+/// within the dead band.
 const POLICY: &str = "fn rank(request, now) { #{} } fn shift(now, pools) { #{ lecture: SHARE } }";
 
 fn document(share: &str) -> String {
@@ -33,14 +34,14 @@
   hall
 }
 
-fn readers(test: &Running) -> usize {
+fn prefill_engines(test: &Running) -> usize {
   let engines = test.deployment.engines();
   engines
     .filter(|engine| engine.role() == Role::Prefill)
     .count()
 }
 
-async fn steward(test: &Running) -> &'static str {
+async fn leader(test: &Running) -> &'static str {
   let mut found = "";
   let has = eventually(PATIENCE, async || {
     for name in ["north-1", "north-2"] {
@@ -50,7 +51,7 @@
     }
     !found.is_empty()
   });
-  assert!(has.await, "no steward");
+  assert!(has.await, "no leader");
   found
 }
 
@@ -63,60 +64,63 @@
 }
 
 #[tokio::test]
-async fn engines_shift_to_the_wanted_split_and_keep_one_of_each() {
+async fn engines_switch_to_the_wanted_split_and_keep_one_of_each_role() {
   let test = Test::halls(vec![hall(true)])
     .plan(|plan| plan.platform_document = document("1.0"))
     .start()
     .await;
-  let shifted = eventually(PATIENCE, async || readers(&test) == 2);
-  assert!(shifted.await);
+  let switched = eventually(PATIENCE, async || prefill_engines(&test) == 2);
+  assert!(switched.await);
   test.wait_serving("north-1").await;
-  assert_eq!(readers(&test), 2);
+  assert_eq!(prefill_engines(&test), 2);
 }
 
 #[rstest]
 #[case::engines_check_fences(true)]
-#[case::engines_check_nothing(false)]
+#[case::engines_check_no_fences(false)]
 #[tokio::test]
-async fn steward_that_wakes_after_its_lease_orders_nothing_old(#[case] checks_fence: bool) {
+async fn leader_that_resumes_after_its_lease_sends_no_stale_commands(#[case] checks_fence: bool) {
   let test = Test::halls(vec![hall(checks_fence)])
     .plan(|plan| plan.platform_document = document("0.34"))
     .start()
     .await;
-  let first = steward(&test).await;
+  let first = leader(&test).await;
   test.deployment.boxes[first].signal(libc::SIGSTOP);
   let next = other(first);
   test.wait_status(next, |status| status.steward).await;
-  // Now the wanted split changes: the new steward turns an engine.
+  // After a change of the wanted split the new leader switches an engine.
   let key = "rillford/configuration/platform";
   test.deployment.key_value.put(key, &document("0.7"));
-  let shifted = eventually(PATIENCE, async || readers(&test) == 2);
-  assert!(shifted.await);
+  let switched = eventually(PATIENCE, async || prefill_engines(&test) == 2);
+  assert!(switched.await);
   test.deployment.boxes[first].signal(libc::SIGCONT);
   test.wait_status(first, |status| !status.steward).await;
   for engine in test.deployment.engines() {
-    let orders = engine.tally().role_orders;
-    assert!(orders.is_sorted(), "an old order came late: {orders:?}");
+    let commands = engine.tally().role_orders;
+    assert!(
+      commands.is_sorted(),
+      "a stale command was obeyed: {commands:?}"
+    );
   }
-  assert_eq!(readers(&test), 2);
+  assert_eq!(prefill_engines(&test), 2);
 }
 
 #[tokio::test]
-async fn roles_stay_as_they_are_without_a_lease() {
+async fn no_role_switches_without_a_lease() {
   let test = Test::halls(vec![hall(true)])
     .plan(|plan| plan.platform_document = document("0.34"))
     .start()
     .await;
-  let name = steward(&test).await;
+  let name = leader(&test).await;
   test.deployment.doors["north"].set(emulator::KeyValueFaults {
     down: true,
     ..emulator::KeyValueFaults::default()
   });
   test.wait_status(name, |status| !status.steward).await;
   test.wait_serving("north-1").await;
-  let orders = test
+  let commands = test
     .deployment
     .engines()
     .map(|engine| engine.tally().role_orders.len());
-  assert_eq!(orders.sum::<usize>(), 0);
+  assert_eq!(commands.sum::<usize>(), 0);
 }
