--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,11 +1,11 @@
-//! Which boxes count as alive, in halls small and large.
+//! Which boxes count as live, in small and large halls.
 
 use rillford::{
   decide::{BoxEntry, FULL_MESH_BOXES, Heartbeat, Membership},
   ids::Name,
 };
 
-const SILENCE_MS: u64 = 1_000;
+const TIMEOUT_MS: u64 = 1_000;
 
 fn entries(count: usize) -> Vec<BoxEntry> {
   (0..count)
@@ -35,7 +35,8 @@
   members
 }
 
-/// One round in which every box sends to its neighbours; answers whom each box then finds lost.
+/// One round in which every box but the silent ones sends heartbeats to its neighbours; returns how many peers each box
+/// finds lost.
 fn lost_after_a_round(boxes: &[BoxEntry], silent: &[usize]) -> Vec<usize> {
   let names = boxes
     .iter()
@@ -51,24 +52,24 @@
     }
     for neighbour in members[index].hall_neighbours() {
       let to = names.iter().position(|known| *known == neighbour).unwrap();
-      members[to].record_heartbeat(SILENCE_MS, name, &heartbeat());
+      members[to].record_heartbeat(TIMEOUT_MS, name, &heartbeat());
     }
   }
   members
     .iter_mut()
-    .map(|members| members.expire(SILENCE_MS + 1, SILENCE_MS).len())
+    .map(|members| members.expire(TIMEOUT_MS + 1, TIMEOUT_MS).len())
     .collect()
 }
 
 #[test]
-fn small_hall_finds_a_silent_box_everywhere() {
+fn small_hall_detects_a_silent_box_everywhere() {
   let lost = lost_after_a_round(&entries(FULL_MESH_BOXES), &[3]);
-  let wanted = (0..FULL_MESH_BOXES).map(|index| if index == 3 { 0 } else { 1 });
-  assert_eq!(lost, wanted.collect::<Vec<_>>());
+  let expected = (0..FULL_MESH_BOXES).map(|index| if index == 3 { 0 } else { 1 });
+  assert_eq!(lost, expected.collect::<Vec<_>>());
 }
 
 #[test]
-fn large_hall_loses_nobody_who_speaks_and_finds_a_silent_box_among_its_neighbours() {
+fn large_hall_loses_no_live_box_and_detects_a_silent_one_among_its_neighbours() {
   let boxes = entries(43);
   assert!(
     lost_after_a_round(&boxes, &[])
--- a/tests/two_at_once.rs
+++ b/tests/two_at_once.rs
@@ -1,4 +1,4 @@
-//! Two failures at once.
+//! Two simultaneous failures.
 
 use {
   crate::{
@@ -11,14 +11,14 @@
 const PROMPT: &str = "Both at once. ";
 
 #[tokio::test]
-async fn box_and_engine_die_at_once_and_the_other_box_answers_whole() {
+async fn request_completes_when_another_box_and_its_engine_are_killed() {
   let mut test = Test::new().slow_answers().start().await;
   let stream = test.open("north-2", &Ask::new(PROMPT, 160)).await;
-  let dead = ["north-decode-1", "north-decode-2"]
+  let killed = ["north-decode-1", "north-decode-2"]
     .into_iter()
     .find(|name| !test.engine(name).held().is_empty())
     .unwrap();
-  test.deployment.hosts.get_mut(dead).unwrap().kill();
+  test.deployment.hosts.get_mut(killed).unwrap().kill();
   test.deployment.boxes.get_mut("north-1").unwrap().kill();
   assert_eq!(
     finish(stream).await,
@@ -26,8 +26,8 @@
   );
   let free = eventually(PATIENCE, async || {
     let names = ["north-prefill-1", "north-decode-1", "north-decode-2"];
-    let living = names.into_iter().filter(|name| *name != dead);
-    living
+    let live = names.into_iter().filter(|name| *name != killed);
+    live
       .map(|name| test.engine(name).held().len())
       .sum::<usize>()
       == 0
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test]
-async fn box_dies_while_the_platform_is_away_and_the_other_serves_on() {
+async fn box_is_killed_during_a_store_outage_and_the_other_serves() {
   let mut test = Test::new().start().await;
   test.deployment.doors["north"].set(KeyValueFaults {
     cut: true,
@@ -44,23 +44,26 @@
   });
   test.deployment.boxes.get_mut("north-1").unwrap().kill();
   test.wait_serving("north-2").await;
-  let told = test.refund("north-2", "refund-cut").await;
-  assert!(matches!(told, Told::NotRun { status: 503, .. }), "{told:?}");
+  let result = test.refund("north-2", "refund-cut").await;
+  assert!(
+    matches!(result, Told::NotRun { status: 503, .. }),
+    "{result:?}"
+  );
   assert_eq!(test.refund_runs("refund-cut"), 0);
 }
 
 #[tokio::test]
-async fn boxes_cut_from_each_other_both_serve_and_sweep_nothing_that_lives() {
+async fn isolated_boxes_both_serve_and_cancel_no_live_attempts() {
   let test = Test::new().slow_answers().start().await;
   test.deployment.cut_box("north-2");
-  let alone = async |name: &str| {
+  let wait_isolated = async |name: &str| {
     test
       .wait_status(name, |status| status.peers.iter().all(|peer| !peer.live))
       .await;
   };
-  alone("north-1").await;
-  alone("north-2").await;
-  // Each takes itself for home of every engine, and holds for longer than the sweep waits.
+  wait_isolated("north-1").await;
+  wait_isolated("north-2").await;
+  // Each box takes itself for the owner of every engine, and the answers take longer than a hold lives.
   let ask = Ask::new(PROMPT, 240);
   let (one, other) = tokio::join!(
     test.complete("north-1", &ask),
@@ -78,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn caller_leaves_while_its_engine_hears_no_holds_and_loses_cancels() {
+async fn caller_disconnects_while_its_engine_ignores_hold_extensions_and_loses_cancels() {
   let test = Test::new().slow_answers().start().await;
   let stream = test.open("north-1", &Ask::new(PROMPT, 800)).await;
   for name in ["north-decode-1", "north-decode-2"] {
