--- a/tests/contracts.rs
+++ b/tests/contracts.rs
@@ -1,4 +1,4 @@
-//! What each interface does with bad input: fault cases in tables.
+//! Invalid input at each interface: settings, documents, frames, callers' and operators' requests, certificates.
 
 use {
   crate::{
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn settings_without_fault_are_taken() {
+fn valid_settings_are_accepted() {
   Settings::parse("box.toml".as_ref(), SETTINGS).unwrap();
 }
 
@@ -101,14 +101,14 @@
 fn settings_errors_name_file_line_and_key(
   #[case] from: &str,
   #[case] to: &str,
-  #[case] wanted: &str,
+  #[case] expected: &str,
 ) {
   let error = settings_error(from, to);
-  assert!(error.contains(wanted), "{error}");
+  assert!(error.contains(expected), "{error}");
 }
 
 #[test]
-fn all_settings_errors_are_told_at_once() {
+fn all_settings_errors_are_reported_together() {
   let text = SETTINGS
     .replace("name = \"north-1\"", "name = 7")
     .replace("callers = \"127.0.0.1:1\"", "callers = \"x\"")
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn store_never_goes_back_and_applies_nothing_half() {
+fn store_applies_no_older_revision_and_no_partial_document() {
   let mut store = Store::default();
   let one = r#"{"tuning": {"queue_limit": 1}}"#;
   let two = r#"{"tuning": {"queue_limit": 2}}"#;
@@ -157,12 +157,12 @@
 #[case::empty(Vec::new(), FrameError::Empty)]
 #[case::other_version(vec![9, 1, 2], FrameError::Version(9))]
 #[case::too_large(vec![1; MAX_FRAME_BYTES + 1], FrameError::TooLarge(MAX_FRAME_BYTES + 1))]
-fn refused_frames(#[case] bytes: Vec<u8>, #[case] wanted: FrameError) {
-  assert_eq!(decode(&bytes), Err(wanted));
+fn invalid_frames_are_rejected(#[case] bytes: Vec<u8>, #[case] expected: FrameError) {
+  assert_eq!(decode(&bytes), Err(expected));
 }
 
 #[test]
-fn cut_or_lengthened_frames_are_malformed() {
+fn truncated_or_extended_frames_are_malformed() {
   let bytes = encode(&frame()).unwrap();
   for length in 1..bytes.len() {
     assert!(decode(&bytes[..length]).is_err(), "{length}");
@@ -171,7 +171,7 @@
   assert!(matches!(decode(&longer), Err(FrameError::Malformed(_))));
 }
 
-struct Edge {
+struct Call {
   key: &'static str,
   method: Method,
   path: &'static str,
@@ -179,8 +179,8 @@
   body: String,
 }
 
-fn edge(path: &'static str, body: &str) -> Edge {
-  Edge {
+fn call(path: &'static str, body: &str) -> Call {
+  Call {
     body: body.into(),
     header: None,
     key: CALLER_KEY,
@@ -191,58 +191,58 @@
 
 const ASK: &str = r#"{"model": "lecture", "prompt": "x", "max_tokens": 1}"#;
 
-async fn send(test: &Running, edge: Edge) -> (StatusCode, String) {
+async fn send(test: &Running, call: Call) -> (StatusCode, String) {
   let mut request = Request::builder()
-    .method(edge.method)
-    .uri(format!("{}{}", test.url("north-1"), edge.path))
-    .header("authorization", format!("Bearer {}", edge.key));
-  if let Some((name, value)) = edge.header {
+    .method(call.method)
+    .uri(format!("{}{}", test.url("north-1"), call.path))
+    .header("authorization", format!("Bearer {}", call.key));
+  if let Some((name, value)) = call.header {
     request = request.header(name, value);
   }
-  let request = request.body(Full::new(Bytes::from(edge.body))).unwrap();
+  let request = request.body(Full::new(Bytes::from(call.body))).unwrap();
   Caller::new("").raw(request).await.unwrap()
 }
 
 #[tokio::test]
-async fn callers_mistakes_get_a_clear_error() {
+async fn invalid_caller_requests_get_a_clear_error() {
   let test = Test::new().start().await;
   let path = "/v1/completions";
   let big = format!("{{\"prompt\": \"{}\"}}", "x".repeat(2 * 1024 * 1024));
-  let header = |name, value| Edge {
+  let header = |name, value| Call {
     header: Some((name, value)),
-    ..edge(path, ASK)
+    ..call(path, ASK)
   };
   let cases = [
     (
-      Edge {
+      Call {
         key: "wrong",
-        ..edge(path, ASK)
+        ..call(path, ASK)
       },
       401,
       "bearer key",
     ),
-    (edge(path, "{"), 400, "body: EOF"),
+    (call(path, "{"), 400, "body: EOF"),
     (
-      edge(path, r#"{"model": "lecture"}"#),
+      call(path, r#"{"model": "lecture"}"#),
       400,
       "missing field `prompt`",
     ),
     (
-      edge(path, &ASK.replace("lecture", "no")),
+      call(path, &ASK.replace("lecture", "no")),
       404,
       "model `no` is not served",
     ),
     (
-      edge(path, &ASK.replace("\"x\"", "\"\"")),
+      call(path, &ASK.replace("\"x\"", "\"\"")),
       400,
       "the prompt is empty",
     ),
     (
-      edge(path, &ASK.replace(": 1", ": 0")),
+      call(path, &ASK.replace(": 1", ": 0")),
       400,
       "max_tokens must lie between",
     ),
-    (edge(path, &big), 413, "larger than 1048576 bytes"),
+    (call(path, &big), 413, "larger than 1048576 bytes"),
     (
       header("x-rillford-deadline-ms", "soon"),
       400,
@@ -254,26 +254,26 @@
       "must be `true` or `false`",
     ),
     (header("idempotency-key", ""), 400, "idempotency-key"),
-    (edge("/nowhere", ""), 404, "no such path"),
-    (edge("/services/unknown/x", ""), 503, "no live endpoint"),
+    (call("/nowhere", ""), 404, "no such path"),
+    (call("/services/unknown/x", ""), 503, "no live endpoint"),
   ];
-  for (edge, status, wanted) in cases {
-    let shown = format!("{} {:?}", edge.path, edge.header);
-    let (found, body) = send(&test, edge).await;
+  for (call, status, expected) in cases {
+    let shown = format!("{} {:?}", call.path, call.header);
+    let (found, body) = send(&test, call).await;
     assert_eq!(found.as_u16(), status, "{shown}: {body}");
     assert!(
-      body.contains(wanted) && body.contains("\"outcome\":\"not_run\""),
+      body.contains(expected) && body.contains("\"outcome\":\"not_run\""),
       "{shown}: {body}"
     );
   }
 }
 
 #[tokio::test]
-async fn models_and_health_are_told() {
+async fn models_and_health_are_reported() {
   let test = Test::new().start().await;
-  let get = |path| Edge {
+  let get = |path| Call {
     method: Method::GET,
-    ..edge(path, "")
+    ..call(path, "")
   };
   let (status, body) = send(&test, get("/v1/models")).await;
   assert!(
@@ -285,7 +285,7 @@
 }
 
 #[tokio::test]
-async fn operators_mistakes_get_a_clear_error_and_change_nothing() {
+async fn invalid_operator_requests_get_a_clear_error_and_change_nothing() {
   let test = Test::new().start().await;
   let before = test.status("north-1").await.configuration_digest;
   let platform = "/configuration/platform";
@@ -375,10 +375,10 @@
     ),
     (Method::GET, "/nowhere", None, "", 404, "no such path"),
   ];
-  for (method, path, if_match, body, status, wanted) in cases {
+  for (method, path, if_match, body, status, expected) in cases {
     let (found, text) = test.admin("north-1", method, path, if_match, body).await;
     assert_eq!(found.as_u16(), status, "{path} {body}: {text}");
-    assert!(text.contains(wanted), "{path} {body}: {text}");
+    assert!(text.contains(expected), "{path} {body}: {text}");
   }
   let uri = format!("{}/status", test.deployment.boxes["north-1"].admin_url());
   let request = Request::get(uri)
@@ -391,7 +391,7 @@
 }
 
 #[tokio::test]
-async fn box_with_a_foreign_certificate_is_refused_until_its_keys_are_mended_without_a_restart() {
+async fn box_with_an_untrusted_certificate_is_rejected_until_its_keys_are_replaced() {
   let mut test = Test::new()
     .plan(|plan| plan.start_boxes = false)
     .start_unready();
@@ -399,20 +399,20 @@
   let read = |name: &str| std::fs::read(folder.join(name)).unwrap();
   let write = |name: &str, bytes: &[u8]| std::fs::write(folder.join(name), bytes).unwrap();
   let files = ["authority.pem", "north-2.pem", "north-2.key"];
-  let right = files.map(|name| (name, read(name)));
+  let valid = files.map(|name| (name, read(name)));
   emulator::Authority::new()
     .unwrap()
     .issue(&folder, "north-2")
     .unwrap();
-  write(files[0], &right[0].1);
+  write(files[0], &valid[0].1);
   for name in ["north-1", "north-2"] {
     test.deployment.start_box(name).unwrap();
   }
   assert!(test.deployment.ready(PATIENCE).await);
-  let refused = eventually(PATIENCE, async || {
+  let rejected = eventually(PATIENCE, async || {
     test.deployment.boxes["north-1"].log().contains("refused")
   });
-  assert!(refused.await);
+  assert!(rejected.await);
   let is_live = async || {
     let status = test.status("north-1").await;
     status
@@ -421,14 +421,14 @@
       .any(|peer| peer.name.as_ref() == "north-2" && peer.live)
   };
   assert!(!is_live().await);
-  for (name, bytes) in &right {
+  for (name, bytes) in &valid {
     write(name, bytes);
   }
   assert!(eventually(PATIENCE, is_live).await, "keys are not reloaded");
 }
 
 #[tokio::test]
-async fn peer_without_a_certificate_is_refused() {
+async fn peer_without_a_certificate_is_rejected() {
   let test = Test::halls(vec![HallPlan::small("north", &["north-1"])])
     .start()
     .await;
@@ -437,7 +437,7 @@
   let mut endpoint = quinn::Endpoint::client(([127, 0, 0, 1], 0).into()).unwrap();
   endpoint.set_default_client_config(client);
   let address = test.deployment.boxes["north-1"].peers;
-  // TLS 1.3 lets the client go first: the refusal shows on the first use.
+  // With TLS 1.3 the client's handshake may complete before the server rejects it.
   let outcome = match endpoint.connect(address, "north-1").unwrap().await {
     Ok(connection) => Err(connection.closed().await),
     Err(error) => Err::<(), _>(error),
@@ -447,7 +447,7 @@
 }
 
 #[tokio::test]
-async fn box_that_the_list_shows_late_is_taken_in() {
+async fn box_that_is_listed_late_becomes_a_peer() {
   let mut test = Test::new()
     .plan(|plan| plan.start_boxes = false)
     .start_unready();
@@ -476,7 +476,7 @@
     .await;
   let process = &test.deployment.boxes["north-1"];
   let (address, bound) = (process.callers, std::time::Duration::from_millis(900));
-  // A stopped process accepts nothing: only the backlog can hold what comes.
+  // A stopped process accepts nothing: only the listen backlog holds new connections.
   process.signal(libc::SIGSTOP);
   let connected = (0..CONNECTIONS)
     .map_while(|_| std::net::TcpStream::connect_timeout(&address, bound).ok())
@@ -485,19 +485,19 @@
   assert_eq!(connected.len(), CONNECTIONS);
 }
 
-/// A box that wakes extends its old lease: were its id another's by then, both would be steward.
+/// A box that resumes extends its old lease. If the id were in use for a later lease, both boxes would be leader.
 #[tokio::test]
-async fn lapsed_lease_is_not_extended_by_the_id_of_a_later_one() {
+async fn expired_lease_is_not_extended_by_the_id_of_a_later_one() {
   let (router, _faults) = KeyValueStandIn::default().door();
   let host = Host::start(router).unwrap();
   let service = KeyValueClient::new(&host.url(), PATIENCE, Arc::new(|| {}));
-  let lapsed = service.grant_lease(Duration::from_secs(1)).await.unwrap();
-  let over = eventually(PATIENCE, async || {
+  let expired = service.grant_lease(Duration::from_secs(1)).await.unwrap();
+  let is_expired = eventually(PATIENCE, async || {
     tokio::time::sleep(Duration::from_millis(1_100)).await;
-    !service.keep_alive(&lapsed).await.unwrap()
+    !service.keep_alive(&expired).await.unwrap()
   });
-  assert!(over.await, "the lease does not lapse");
+  assert!(is_expired.await, "the lease does not expire");
   let later = service.grant_lease(PATIENCE).await.unwrap();
-  assert_ne!(lapsed, later);
-  assert!(!service.keep_alive(&lapsed).await.unwrap());
+  assert_ne!(expired, later);
+  assert!(!service.keep_alive(&expired).await.unwrap());
 }
