--- a/model/src/attempts.rs
+++ b/model/src/attempts.rs
@@ -1,66 +1,60 @@
-//! Two attempts, one answer: orders and cancels that overtake each other, lost cancels, late chunks,
-//! a caller who leaves, a box that dies.
+//! At most two attempts for one answer: reordered commands and cancels, lost cancels, late chunks, a caller that
+//! disconnects, a box that crashes.
 
 use crate::{Exploration, Spec, explore};
 
-/// A change to the rules that the search must find out.
+/// A change to the rules that the search must detect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Mutant {
-  /// The rules as they are.
+  /// The unchanged rules.
   None,
-  /// Engines forget a cancel for an attempt that they do not know yet.
+  /// Engines do not remember a cancel of an attempt that they do not know yet.
   NoTombstone,
-  /// A cancel is sent once, not until acknowledged.
+  /// A cancel is sent once and not repeated until acknowledged.
   CancelsOnce,
-  /// Chunks of an abandoned attempt are joined.
-  JoinsAnyAttempt,
-  /// The home never sweeps.
+  /// Chunks of an abandoned attempt are accepted.
+  AcceptsAnyAttempt,
+  /// The owner of an engine cancels no orphans.
   NoSweep,
-  /// A second attempt begins while the first still counts.
+  /// A second attempt begins while the first is live.
   TwoLive,
 }
 
-/// An attempt at its engine, with what is on its way.
+/// An attempt at its engine, with its messages in transit.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
 pub struct Attempt {
-  /// Its order has been sent.
+  /// Its command has been sent.
   pub sent: bool,
-  /// Its order is on its way.
-  pub order_pending: bool,
-  /// Its cancel is on its way.
+  /// Its command is in transit.
+  pub command_pending: bool,
+  /// Its cancel is in transit.
   pub cancel_pending: bool,
-  /// The box wants it cancelled and has no acknowledgement.
+  /// The box cancels it and has no acknowledgement yet.
   pub cancelling: bool,
   /// The engine holds memory for it.
   pub held: bool,
   /// The engine has finished it.
   pub finished: bool,
-  /// The engine refuses it if its order comes.
+  /// The engine rejects its command if it arrives.
   pub tombstone: bool,
-  /// Its final chunk is on its way.
+  /// Its final chunk is in transit.
   pub chunk_pending: bool,
 }
 
-/// A state.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct State {
-  /// The attempts; at most two.
   pub attempts: [Attempt; 2],
-  /// The one whose chunks count.
+  /// The attempt whose chunks are accepted.
   pub live: Option<usize>,
-  /// Whether the caller still waits.
   pub waiting: bool,
-  /// Whether the box lives.
-  pub box_lives: bool,
-  /// Normal ends told to the caller.
+  pub box_live: bool,
+  /// Complete answers to the caller.
   pub answers: u8,
-  /// Losses that may still happen.
+  /// Losses that may still occur.
   pub losses: u8,
 }
 
-/// The specification.
 pub struct Attempts {
-  /// The change to the rules.
   pub mutant: Mutant,
 }
 
@@ -71,8 +65,8 @@
     next
   }
 
-  /// Leaves the live attempt: its cancel goes out.
-  fn leave(&self) -> Self {
+  /// Abandons the live attempt and sends its cancel.
+  fn abandon(&self) -> Self {
     let mut next = self.clone();
     if let Some(index) = next.live.take() {
       next.attempts[index].cancelling = true;
@@ -85,9 +79,9 @@
 impl Attempts {
   fn messages(&self, state: &State, index: usize, next: &mut Vec<State>) {
     let own = state.attempts[index];
-    if own.order_pending {
+    if own.command_pending {
       next.push(state.set(index, |own| {
-        own.order_pending = false;
+        own.command_pending = false;
         own.held = !own.tombstone;
       }));
     }
@@ -104,21 +98,21 @@
         own.held = false;
         own.tombstone = self.mutant != Mutant::NoTombstone;
       });
-      // Its answer comes, or is lost with the cancel itself having had its effect.
+      // The acknowledgement arrives, the cancel is lost, or the acknowledgement is lost.
       next.push(arrived.set(index, |own| own.cancelling = false));
       if state.losses > 0 {
         let mut lost = state.set(index, |own| own.cancel_pending = false);
         lost.losses -= 1;
         next.push(lost);
-        let mut answer_lost = arrived;
-        answer_lost.losses -= 1;
-        next.push(answer_lost);
+        let mut response_lost = arrived;
+        response_lost.losses -= 1;
+        next.push(response_lost);
       }
     }
     if own.chunk_pending {
       let mut after = state.set(index, |own| own.chunk_pending = false);
       let is_live = state.live == Some(index) && state.waiting;
-      if state.box_lives && (is_live || self.mutant == Mutant::JoinsAnyAttempt) {
+      if state.box_live && (is_live || self.mutant == Mutant::AcceptsAnyAttempt) {
         after.answers += 1;
         after.live = after.live.filter(|live| *live != index);
         after.waiting = false;
@@ -128,31 +122,30 @@
   }
 
   fn box_steps(&self, state: &State, next: &mut Vec<State>) {
-    // A first or second attempt is ordered.
+    // A first or second attempt is sent.
     let unsent = state.attempts.iter().position(|own| !own.sent);
-    let may_order = state.live.is_none() || self.mutant == Mutant::TwoLive;
+    let may_send = state.live.is_none() || self.mutant == Mutant::TwoLive;
     if state.waiting
-      && may_order
+      && may_send
       && state.answers == 0
       && let Some(index) = unsent
     {
-      let mut ordered = state.set(index, |own| {
+      let mut sent = state.set(index, |own| {
         own.sent = true;
-        own.order_pending = true;
+        own.command_pending = true;
       });
-      ordered.live = Some(index);
-      next.push(ordered);
+      sent.live = Some(index);
+      next.push(sent);
     }
-    // The live attempt seems stalled, or the caller leaves.
+    // The live attempt seems stalled.
     if state.live.is_some() && state.waiting {
-      next.push(state.leave());
+      next.push(state.abandon());
     }
     if state.waiting {
-      let mut left = state.leave();
-      left.waiting = false;
-      next.push(left);
+      let mut disconnected = state.abandon();
+      disconnected.waiting = false;
+      next.push(disconnected);
     }
-    // Cancels are repeated until acknowledged.
     if self.mutant != Mutant::CancelsOnce {
       for (index, own) in state.attempts.iter().enumerate() {
         if own.cancelling && !own.cancel_pending {
@@ -160,15 +153,15 @@
         }
       }
     }
-    let mut dead = state.clone();
-    dead.box_lives = false;
-    dead.waiting = false;
-    next.push(dead);
+    let mut crashed = state.clone();
+    crashed.box_live = false;
+    crashed.waiting = false;
+    next.push(crashed);
   }
 }
 
 impl Attempts {
-  /// Explores the specification in full.
+  /// Explores all states.
   pub fn check(&self) -> Exploration<State> {
     explore(self)
   }
@@ -177,29 +170,29 @@
 impl Spec for Attempts {
   type State = State;
 
-  fn start(&self) -> State {
+  fn initial_state(&self) -> State {
     State {
       answers: 0,
       attempts: [Attempt::default(); 2],
-      box_lives: true,
+      box_live: true,
       live: None,
       losses: 2,
       waiting: true,
     }
   }
 
-  fn steps(&self, state: &State) -> Vec<State> {
+  fn successors(&self, state: &State) -> Vec<State> {
     let mut next = Vec::new();
     for index in 0..state.attempts.len() {
       self.messages(state, index, &mut next);
     }
-    if state.box_lives {
+    if state.box_live {
       self.box_steps(state, &mut next);
     } else if self.mutant != Mutant::NoSweep {
-      // The holds lapse, and the engine's home cancels what nobody holds on to.
+      // The holds expire, and the engine's owner cancels the orphans.
       for index in 0..state.attempts.len() {
         let own = state.attempts[index];
-        if own.held || own.cancelling || own.order_pending {
+        if own.held || own.cancelling || own.command_pending {
           next.push(state.set(index, |own| {
             own.held = false;
             own.cancelling = false;
@@ -211,7 +204,7 @@
     next
   }
 
-  fn broken(&self, state: &State) -> Option<&'static str> {
+  fn violation(&self, state: &State) -> Option<&'static str> {
     if state.answers > 1 {
       return Some("answered at most once");
     }
@@ -224,21 +217,21 @@
       return Some("one live attempt");
     }
     let held = state.attempts.iter().any(|own| own.held);
-    (held && self.is_final(state)).then_some("nothing held when all is quiet")
+    (held && self.is_quiescent(state)).then_some("no memory held once idle")
   }
 }
 
 impl Attempts {
-  /// Whether nothing is on its way or will be done any more about what is held.
-  fn is_final(&self, state: &State) -> bool {
-    let on_the_way = state
+  /// Whether nothing is in transit, and nothing more will be done to free what is held.
+  fn is_quiescent(&self, state: &State) -> bool {
+    let in_transit = state
       .attempts
       .iter()
-      .any(|own| own.order_pending || own.cancel_pending || own.chunk_pending);
-    if on_the_way || state.waiting || (state.live.is_some() && state.box_lives) {
+      .any(|own| own.command_pending || own.cancel_pending || own.chunk_pending);
+    if in_transit || state.waiting || (state.live.is_some() && state.box_live) {
       return false;
     }
-    if !state.box_lives {
+    if !state.box_live {
       return self.mutant == Mutant::NoSweep;
     }
     let cancelling = state.attempts.iter().any(|own| own.cancelling);
--- a/model/src/claim.rs
+++ b/model/src/claim.rs
@@ -1,79 +1,71 @@
-//! At most once: a claim written once, lost write answers, crashes, pauses, the caller's retries.
+//! At-most-once execution by claims: lost responses to writes, crashes, pauses, the caller's retries.
 
 use crate::{Exploration, Spec, explore};
 
-/// A change to the rules that the search must find out.
+/// A change to the rules that the search must detect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Mutant {
-  /// The rules as they are.
+  /// The unchanged rules.
   None,
-  /// A box takes over the claim of another that crashed.
-  TakesOver,
-  /// A lost answer counts as success.
-  TrustsLostAnswer,
+  /// A box takes over the claim of a crashed box.
+  TakesOverClaim,
+  /// A lost response to a write counts as success.
+  TrustsLostResponse,
   /// The claim is released although the work may have run.
-  ReleasesInDoubt,
-  /// "Not run" is told after the order left.
-  TellsNotRunInDoubt,
+  ReleasesWhenUncertain,
+  /// "Not run" is reported although the command was sent.
+  ReportsNotRunWhenUncertain,
 }
 
-/// How far one try of the caller has come, at its own box.
+/// The progress of one try of the caller, at its own box.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Phase {
-  /// Not sent yet.
   Unsent,
-  /// The claim's write is on its way.
+  /// The write of the claim is in transit.
   Writing,
-  /// The write's answer was lost: it is read back.
+  /// The response to the write was lost; the claim is read back.
   ReadingBack,
-  /// The claim is held; no order has left.
+  /// The claim is held; no command has been sent.
   Claimed,
-  /// The order has left.
-  Ordered,
-  /// The caller was told the answer.
+  /// The command has been sent.
+  Dispatched,
+  /// The caller has got the answer.
   Answered,
-  /// The caller was told "not run".
+  /// The caller has got "not run".
   NotRun,
-  /// The caller was told "unknown", or the box crashed under it.
+  /// The caller has got "unknown", or the box has crashed.
   Unknown,
 }
 
-/// Where a write is.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Write {
-  /// There is none.
   None,
-  /// On its way; it may still take effect.
+  /// In transit; it may still take effect.
   Pending,
 }
 
-/// One try.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Try {
-  /// How far it has come.
   pub phase: Phase,
-  /// Its claim's write.
+  /// The write of its claim.
   pub write: Write,
-  /// Whether its order reached the service and ran.
+  /// Whether its command reached the service and ran.
   pub ran: bool,
-  /// Whether its order is still on its way.
-  pub order_pending: bool,
-  /// Whether its own claim is to be released.
+  /// Whether its command is still in transit.
+  pub command_pending: bool,
+  /// Whether its claim is to be released.
   pub releasing: bool,
 }
 
-/// A state: the claim's holder, the tries, and how often the work ran.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct State {
-  /// Whose claim is stored.
+  /// The try whose claim is stored.
   pub stored: Option<usize>,
-  /// The tries with the same key, each at its own box.
+  /// Tries with the same key, each at a box of its own.
   pub tries: [Try; 3],
 }
 
-/// The specification.
 pub struct Claim {
-  /// The change to the rules.
   pub mutant: Mutant,
 }
 
@@ -86,9 +78,9 @@
 }
 
 impl Claim {
-  fn steps_of(&self, state: &State, index: usize, next: &mut Vec<State>) {
+  fn try_steps(&self, state: &State, index: usize, next: &mut Vec<State>) {
     let own = state.tries[index];
-    // A write on its way may take effect at any time, also after its box gave up on it.
+    // A write in transit may take effect at any time, even after its box has timed out.
     if own.write == Write::Pending {
       let mut after = state.set(index, |own| own.write = Write::None);
       if after.stored.is_none() {
@@ -96,7 +88,7 @@
       }
       if own.phase == Phase::Writing {
         let won = after.stored == Some(index);
-        // The answer comes, or is lost.
+        // The response arrives, or is lost.
         next.push(after.set(index, |own| {
           own.phase = if won { Phase::Claimed } else { Phase::NotRun }
         }));
@@ -104,7 +96,7 @@
       } else {
         next.push(after);
       }
-      // It may never take effect.
+      // The write is lost.
       let lost = state.set(index, |own| own.write = Write::None);
       next.push(if own.phase == Phase::Writing {
         lost.set(index, |own| own.phase = Phase::ReadingBack)
@@ -112,13 +104,13 @@
         lost
       });
     }
-    // An order on its way runs, or is lost; a pause makes it late.
-    if own.order_pending {
+    // A command in transit runs, possibly late, or is lost.
+    if own.command_pending {
       next.push(state.set(index, |own| {
-        own.order_pending = false;
+        own.command_pending = false;
         own.ran = true;
       }));
-      next.push(state.set(index, |own| own.order_pending = false));
+      next.push(state.set(index, |own| own.command_pending = false));
     }
     match own.phase {
       Phase::Unsent => next.push(state.set(index, |own| {
@@ -126,23 +118,23 @@
         own.write = Write::Pending;
       })),
       Phase::Writing => {
-        // The box gives up waiting while the write is still on its way.
+        // The box times out while the write is in transit.
         next.push(state.set(index, |own| own.phase = Phase::ReadingBack));
       }
       Phase::ReadingBack => self.read_back(state, index, next),
       Phase::Claimed => {
-        // The caller has left: nothing was sent, the claim goes.
+        // The caller has disconnected before anything was sent: the claim is released.
         next.push(state.set(index, |own| {
           own.phase = Phase::NotRun;
           own.releasing = true;
         }));
         next.push(state.set(index, |own| {
-          own.phase = Phase::Ordered;
-          own.order_pending = true;
+          own.phase = Phase::Dispatched;
+          own.command_pending = true;
         }));
         next.push(state.set(index, |own| own.phase = Phase::Unknown));
       }
-      Phase::Ordered => self.ordered(state, index, next),
+      Phase::Dispatched => self.dispatched(state, index, next),
       Phase::Answered | Phase::NotRun | Phase::Unknown => {}
     }
     if own.releasing {
@@ -152,7 +144,7 @@
       }
       next.push(after);
     }
-    if self.mutant == Mutant::TakesOver
+    if self.mutant == Mutant::TakesOverClaim
       && own.phase == Phase::Unsent
       && let Some(other) = state.stored
       && state.tries[other].phase == Phase::Unknown
@@ -164,7 +156,7 @@
   }
 
   fn read_back(&self, state: &State, index: usize, next: &mut Vec<State>) {
-    if self.mutant == Mutant::TrustsLostAnswer {
+    if self.mutant == Mutant::TrustsLostResponse {
       next.push(state.set(index, |own| own.phase = Phase::Claimed));
       return;
     }
@@ -175,40 +167,40 @@
       Some(_) => next.push(state.set(index, |own| own.phase = Phase::NotRun)),
       None => {}
     }
-    // The service can't be reached: told "not run", and a late write is to be released.
+    // The store can't be reached: "not run" is reported, and a late write is to be released.
     next.push(state.set(index, |own| {
       own.phase = Phase::NotRun;
       own.releasing = true;
     }));
   }
 
-  fn ordered(&self, state: &State, index: usize, next: &mut Vec<State>) {
+  fn dispatched(&self, state: &State, index: usize, next: &mut Vec<State>) {
     let own = state.tries[index];
     if own.ran {
       next.push(state.set(index, |own| own.phase = Phase::Answered));
     }
-    // The connection was refused: proof that it never began.
-    if !own.ran && !own.order_pending {
+    // The connection was refused, which proves that the work never began.
+    if !own.ran && !own.command_pending {
       next.push(state.set(index, |own| {
         own.phase = Phase::NotRun;
         own.releasing = true;
       }));
     }
-    // The answer is lost, or the box crashes.
-    let in_doubt = match self.mutant {
-      Mutant::TellsNotRunInDoubt => Phase::NotRun,
+    // The response is lost, or the box crashes.
+    let uncertain = match self.mutant {
+      Mutant::ReportsNotRunWhenUncertain => Phase::NotRun,
       _ => Phase::Unknown,
     };
-    let releases = self.mutant == Mutant::ReleasesInDoubt;
+    let releases = self.mutant == Mutant::ReleasesWhenUncertain;
     next.push(state.set(index, |own| {
-      own.phase = in_doubt;
+      own.phase = uncertain;
       own.releasing = releases;
     }));
   }
 }
 
 impl Claim {
-  /// Explores the specification in full.
+  /// Explores all states.
   pub fn check(&self) -> Exploration<State> {
     explore(self)
   }
@@ -217,9 +209,9 @@
 impl Spec for Claim {
   type State = State;
 
-  fn start(&self) -> State {
+  fn initial_state(&self) -> State {
     let unsent = Try {
-      order_pending: false,
+      command_pending: false,
       phase: Phase::Unsent,
       ran: false,
       releasing: false,
@@ -231,15 +223,15 @@
     }
   }
 
-  fn steps(&self, state: &State) -> Vec<State> {
+  fn successors(&self, state: &State) -> Vec<State> {
     let mut next = Vec::new();
     for index in 0..state.tries.len() {
-      self.steps_of(state, index, &mut next);
+      self.try_steps(state, index, &mut next);
     }
     next
   }
 
-  fn broken(&self, state: &State) -> Option<&'static str> {
+  fn violation(&self, state: &State) -> Option<&'static str> {
     let ran = state.tries.iter().filter(|own| own.ran).count();
     if ran > 1 {
       return Some("run at most once");
@@ -252,10 +244,10 @@
     if answered > 1 {
       return Some("answered at most once");
     }
-    let lied = state
+    let false_not_run = state
       .tries
       .iter()
-      .any(|own| own.phase == Phase::NotRun && (own.ran || own.order_pending));
-    lied.then_some("\"not run\" did not run and will not")
+      .any(|own| own.phase == Phase::NotRun && (own.ran || own.command_pending));
+    false_not_run.then_some("work reported as not run never runs")
   }
 }
--- a/model/src/configuration.rs
+++ b/model/src/configuration.rs
@@ -1,58 +1,55 @@
-//! Configuration that only goes forward: two operators, boxes that are replaced, halls that are cut.
+//! Monotonic configuration revisions: two operators, replaced boxes, isolated halls.
 
 use crate::{Exploration, Spec, explore};
 
 const BOXES: usize = 3;
-const MOST_WRITES: u8 = 2;
-const MOST_REPLACEMENTS: u8 = 1;
+const MAX_WRITES: u8 = 2;
+const MAX_REPLACEMENTS: u8 = 1;
 
-/// A change to the rules that the search must find out.
+/// A change to the rules that the search must detect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Mutant {
-  /// The rules as they are.
+  /// The unchanged rules.
   None,
-  /// Boxes apply whatever they hear, also what is older.
-  AppliesAnything,
-  /// Operators' writes compare nothing.
-  WritesBlindly,
+  /// Boxes apply older revisions too.
+  AppliesOlder,
+  /// Operators write without compare-and-swap.
+  WritesUnconditionally,
 }
 
-/// A state. Box 0 and 1 are in one hall, box 2 in another, which can be cut off.
+/// A state. Boxes 0 and 1 are in one hall, box 2 in another, which can be isolated.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct State {
-  /// The revision stored; each write raises it.
+  /// The revision in the store; each write increments it.
   pub stored: u8,
-  /// The revision that each operator has read, while it is writing.
+  /// The revision that each operator has read before its write.
   pub read: [Option<u8>; 2],
-  /// The revision on which each accepted write was based.
+  /// Whether an accepted write was overwritten by one that had not read it.
   pub lost_update: bool,
-  /// The revision that each box applies; none while it is not ready.
+  /// The revision that each box has applied; none after a replacement until it applies one.
   pub applied: [Option<u8>; BOXES],
-  /// The highest revision that each box has shown in its present life.
+  /// The highest revision that each box has shown in its current incarnation.
   pub shown: [u8; BOXES],
-  /// A message with a revision on its way to each box, possibly old.
-  pub on_the_way: [Option<u8>; BOXES],
-  /// Whether the second hall is cut off.
-  pub cut: bool,
-  /// Replacements so far.
+  /// A revision in transit to each box, possibly an old one.
+  pub in_transit: [Option<u8>; BOXES],
+  pub isolated: bool,
+  /// Number of boxes replaced so far.
   pub replaced: u8,
 }
 
-/// The specification.
 pub struct Configuration {
-  /// The change to the rules.
   pub mutant: Mutant,
 }
 
 fn reachable(state: &State, from: usize, to: usize) -> bool {
-  !state.cut || (from == 2) == (to == 2)
+  !state.isolated || (from == 2) == (to == 2)
 }
 
 impl Configuration {
   fn operators(&self, state: &State, next: &mut Vec<State>) {
     for operator in 0..state.read.len() {
       match state.read[operator] {
-        None if state.stored < MOST_WRITES => {
+        None if state.stored < MAX_WRITES => {
           let mut after = state.clone();
           after.read[operator] = Some(state.stored);
           next.push(after);
@@ -62,7 +59,7 @@
           after.read[operator] = None;
           if read == state.stored {
             after.stored += 1;
-          } else if self.mutant == Mutant::WritesBlindly && state.stored < MOST_WRITES {
+          } else if self.mutant == Mutant::WritesUnconditionally && state.stored < MAX_WRITES {
             after.stored += 1;
             after.lost_update = true;
           }
@@ -74,17 +71,17 @@
   }
 
   fn send(state: &State, to: usize, revision: u8, next: &mut Vec<State>) {
-    if state.on_the_way[to].is_none() {
+    if state.in_transit[to].is_none() {
       let mut after = state.clone();
-      after.on_the_way[to] = Some(revision);
+      after.in_transit[to] = Some(revision);
       next.push(after);
     }
   }
 
   fn boxes(&self, state: &State, next: &mut Vec<State>) {
     for to in 0..BOXES {
-      // A watch tells the revision stored; the second hall's only while it is not cut off.
-      if to != 2 || !state.cut {
+      // The store's watch sends the stored revision; to the second hall only while it is not isolated.
+      if to != 2 || !state.isolated {
         Self::send(state, to, state.stored, next);
       }
       for from in 0..BOXES {
@@ -95,11 +92,11 @@
           Self::send(state, to, revision, next);
         }
       }
-      if let Some(revision) = state.on_the_way[to] {
+      if let Some(revision) = state.in_transit[to] {
         let mut after = state.clone();
-        after.on_the_way[to] = None;
+        after.in_transit[to] = None;
         let newer = state.applied[to].is_none_or(|applied| revision > applied);
-        if newer || self.mutant == Mutant::AppliesAnything {
+        if newer || self.mutant == Mutant::AppliesOlder {
           after.applied[to] = Some(revision);
         }
         next.push(after);
@@ -116,7 +113,7 @@
 }
 
 impl Configuration {
-  /// Explores the specification in full.
+  /// Explores all states.
   pub fn check(&self) -> Exploration<State> {
     explore(self)
   }
@@ -125,12 +122,12 @@
 impl Spec for Configuration {
   type State = State;
 
-  fn start(&self) -> State {
+  fn initial_state(&self) -> State {
     State {
       applied: [Some(0); BOXES],
-      cut: false,
+      isolated: false,
       lost_update: false,
-      on_the_way: [None; BOXES],
+      in_transit: [None; BOXES],
       read: [None; 2],
       replaced: 0,
       shown: [0; BOXES],
@@ -138,14 +135,14 @@
     }
   }
 
-  fn steps(&self, state: &State) -> Vec<State> {
+  fn successors(&self, state: &State) -> Vec<State> {
     let mut next = Vec::new();
     self.operators(state, &mut next);
     self.boxes(state, &mut next);
     let mut toggled = state.clone();
-    toggled.cut = !state.cut;
+    toggled.isolated = !state.isolated;
     next.push(toggled);
-    if state.replaced < MOST_REPLACEMENTS {
+    if state.replaced < MAX_REPLACEMENTS {
       for index in 0..BOXES {
         let mut after = state.clone();
         after.replaced += 1;
@@ -157,12 +154,12 @@
     next
   }
 
-  fn broken(&self, state: &State) -> Option<&'static str> {
+  fn violation(&self, state: &State) -> Option<&'static str> {
     if state.lost_update {
       return Some("no accepted write is lost");
     }
-    let back = (0..BOXES)
+    let decreased = (0..BOXES)
       .any(|index| state.applied[index].is_some_and(|applied| applied < state.shown[index]));
-    back.then_some("a box never goes back")
+    decreased.then_some("the revisions of a box never decrease")
   }
 }
--- a/model/src/lib.rs
+++ b/model/src/lib.rs
@@ -1,12 +1,12 @@
-//! A small specification of rillford's core protocol: plain states and steps, explored in full.
+//! A model checker and small specifications of rillford's protocols: states and steps that are explored exhaustively.
 //!
-//! Each module is one part of the protocol with its properties and its mutants: changes to the rules
-//! of which each must be found out by the search.
+//! Each module specifies one protocol with its properties and its mutants: changes to the rules that the search must
+//! detect.
 
 pub mod attempts;
 pub mod claim;
 pub mod configuration;
+pub mod leader;
 mod search;
-pub mod steward;
 
 pub use self::search::{Exploration, Spec, explore};
--- a/model/src/main.rs
+++ b/model/src/main.rs
@@ -1,4 +1,4 @@
-//! Explores all specifications and prints states, depth and time.
+//! Explores all specifications and prints the number of states, the depth and the time.
 
 use {
   model::{
@@ -7,17 +7,17 @@
     claim::{self, Claim},
     configuration::{self, Configuration},
     explore,
-    steward::{self, Leadership},
+    leader::{self, Leadership},
   },
   std::time::Instant,
 };
 
-fn show<T: Spec>(name: &str, spec: &T) {
+fn report<T: Spec>(name: &str, spec: &T) {
   let started = Instant::now();
   let found = explore(spec);
   let verdict = match &found.counterexample {
     None => "all properties hold".to_string(),
-    Some((property, path)) => format!("broken after {} steps: {property}", path.len() - 1),
+    Some((property, path)) => format!("violated after {} steps: {property}", path.len() - 1),
   };
   println!(
     "{name:<44} {:>8} states, depth {:>3}, {:>6} ms: {verdict}",
@@ -29,42 +29,42 @@
 
 fn main() {
   use {
-    attempts::Mutant as A, claim::Mutant as C, configuration::Mutant as F, steward::Mutant as S,
+    attempts::Mutant as A, claim::Mutant as C, configuration::Mutant as R, leader::Mutant as L,
   };
   for mutant in [
     C::None,
-    C::TakesOver,
-    C::TrustsLostAnswer,
-    C::ReleasesInDoubt,
-    C::TellsNotRunInDoubt,
+    C::TakesOverClaim,
+    C::TrustsLostResponse,
+    C::ReleasesWhenUncertain,
+    C::ReportsNotRunWhenUncertain,
   ] {
-    show(&format!("claim, {mutant:?}"), &Claim { mutant });
+    report(&format!("claim, {mutant:?}"), &Claim { mutant });
   }
   for mutant in [
     A::None,
     A::NoTombstone,
     A::CancelsOnce,
-    A::JoinsAnyAttempt,
+    A::AcceptsAnyAttempt,
     A::NoSweep,
     A::TwoLive,
   ] {
-    show(&format!("attempts, {mutant:?}"), &Attempts { mutant });
+    report(&format!("attempts, {mutant:?}"), &Attempts { mutant });
   }
-  for mutant in [F::None, F::AppliesAnything, F::WritesBlindly] {
-    show(
+  for mutant in [R::None, R::AppliesOlder, R::WritesUnconditionally] {
+    report(
       &format!("configuration, {mutant:?}"),
       &Configuration { mutant },
     );
   }
   for (mutant, engine_checks) in [
-    (S::None, true),
-    (S::None, false),
-    (S::NoFence, true),
-    (S::NoMargin, false),
-    (S::NoClock, false),
+    (L::None, true),
+    (L::None, false),
+    (L::NoFence, true),
+    (L::NoMargin, false),
+    (L::NoClock, false),
   ] {
-    let name = format!("steward, {mutant:?}, engine checks {engine_checks}");
-    show(
+    let name = format!("leader, {mutant:?}, engine checks {engine_checks}");
+    report(
       &name,
       &Leadership {
         engine_checks,
--- a/model/src/search.rs
+++ b/model/src/search.rs
@@ -1,51 +1,51 @@
-//! Exploring a specification in full, by the library's breadth-first searches.
+//! Exhaustive exploration of a specification.
 
 use {
   pathfinding::directed::{bfs::bfs, dijkstra::dijkstra_all},
   std::{fmt::Debug, hash::Hash},
 };
 
-/// A specification: where it begins, what can happen, what must hold.
+/// A specification: an initial state, its successors, and the properties that must hold.
 pub trait Spec {
-  /// A state.
   type State: Clone + Debug + Eq + Hash;
 
-  /// The first state.
-  fn start(&self) -> Self::State;
+  fn initial_state(&self) -> Self::State;
 
-  /// All states that one step leads to.
-  fn steps(&self, state: &Self::State) -> Vec<Self::State>;
+  /// The states that can follow a state.
+  fn successors(&self, state: &Self::State) -> Vec<Self::State>;
 
-  /// The property that a state breaks, if it breaks one.
-  fn broken(&self, state: &Self::State) -> Option<&'static str>;
+  /// The property that a state violates, if any.
+  fn violation(&self, state: &Self::State) -> Option<&'static str>;
 }
 
-/// What a search came to.
+/// The result of an exploration.
 #[derive(Clone, Debug)]
 pub struct Exploration<S> {
-  /// States reached.
+  /// Number of states reached.
   pub states: usize,
-  /// Steps to the farthest of them.
+  /// Largest number of steps to a state.
   pub depth: usize,
-  /// The property that was broken, and the shortest way there.
+  /// The violated property, and a shortest path to the violation.
   pub counterexample: Option<(&'static str, Vec<S>)>,
 }
 
-/// Explores all states of a specification.
 pub fn explore<T: Spec>(spec: &T) -> Exploration<T::State> {
-  let start = spec.start();
-  let reached = dijkstra_all(&start, |state| {
-    spec.steps(state).into_iter().map(|next| (next, 1_usize))
+  let initial = spec.initial_state();
+  let reached = dijkstra_all(&initial, |state| {
+    spec
+      .successors(state)
+      .into_iter()
+      .map(|next| (next, 1_usize))
   });
   let depth = reached.values().map(|(_, cost)| *cost).max().unwrap_or(0);
   let path = bfs(
-    &start,
-    |state| spec.steps(state),
-    |state| spec.broken(state).is_some(),
+    &initial,
+    |state| spec.successors(state),
+    |state| spec.violation(state).is_some(),
   );
   let counterexample = path.and_then(|path| {
-    let broken = spec.broken(path.last()?)?;
-    Some((broken, path))
+    let violation = spec.violation(path.last()?)?;
+    Some((violation, path))
   });
   Exploration {
     counterexample,
--- a/tests/specification.rs
+++ b/tests/specification.rs
@@ -1,73 +1,76 @@
-//! The specification holds in full, and each mutant of it is found out.
+//! All properties of the specification hold, and each mutant violates one.
 
 use {
   model::{
     attempts::{self, Attempts},
     claim::{self, Claim},
     configuration::{self, Configuration},
-    steward::{self, Leadership},
+    leader::{self, Leadership},
   },
   rstest::rstest,
 };
 
 const ONCE: &str = "run at most once";
 const ANSWERED: &str = "answered at most once";
-const HELD: &str = "nothing held when all is quiet";
-const OLD: &str = "no order of an old steward after one of a new";
+const HELD: &str = "no memory held once idle";
+const STALE: &str = "no command of an old leader after one of a new leader";
 
 #[rstest]
 #[case(claim::Mutant::None, None)]
-#[case(claim::Mutant::TakesOver, Some(ONCE))]
-#[case(claim::Mutant::TrustsLostAnswer, Some(ONCE))]
-#[case(claim::Mutant::ReleasesInDoubt, Some(ONCE))]
+#[case(claim::Mutant::TakesOverClaim, Some(ONCE))]
+#[case(claim::Mutant::TrustsLostResponse, Some(ONCE))]
+#[case(claim::Mutant::ReleasesWhenUncertain, Some(ONCE))]
 #[case(
-  claim::Mutant::TellsNotRunInDoubt,
-  Some("\"not run\" did not run and will not")
+  claim::Mutant::ReportsNotRunWhenUncertain,
+  Some("work reported as not run never runs")
 )]
-fn claims(#[case] mutant: claim::Mutant, #[case] broken: Option<&str>) {
+fn claims(#[case] mutant: claim::Mutant, #[case] violated: Option<&str>) {
   let found = Claim { mutant }.check();
-  assert_eq!(found.counterexample.map(|(property, _)| property), broken);
+  assert_eq!(found.counterexample.map(|(property, _)| property), violated);
 }
 
 #[rstest]
 #[case(attempts::Mutant::None, None)]
 #[case(attempts::Mutant::NoTombstone, Some(HELD))]
 #[case(attempts::Mutant::CancelsOnce, Some(HELD))]
-#[case(attempts::Mutant::JoinsAnyAttempt, Some(ANSWERED))]
+#[case(attempts::Mutant::AcceptsAnyAttempt, Some(ANSWERED))]
 #[case(attempts::Mutant::NoSweep, Some(HELD))]
 #[case(attempts::Mutant::TwoLive, Some("one live attempt"))]
-fn attempts_and_cancels(#[case] mutant: attempts::Mutant, #[case] broken: Option<&str>) {
+fn attempts_and_cancels(#[case] mutant: attempts::Mutant, #[case] violated: Option<&str>) {
   let found = Attempts { mutant }.check();
-  assert_eq!(found.counterexample.map(|(property, _)| property), broken);
+  assert_eq!(found.counterexample.map(|(property, _)| property), violated);
 }
 
 #[rstest]
 #[case(configuration::Mutant::None, None)]
-#[case(configuration::Mutant::AppliesAnything, Some("a box never goes back"))]
 #[case(
-  configuration::Mutant::WritesBlindly,
+  configuration::Mutant::AppliesOlder,
+  Some("the revisions of a box never decrease")
+)]
+#[case(
+  configuration::Mutant::WritesUnconditionally,
   Some("no accepted write is lost")
 )]
-fn configurations(#[case] mutant: configuration::Mutant, #[case] broken: Option<&str>) {
+fn configurations(#[case] mutant: configuration::Mutant, #[case] violated: Option<&str>) {
   let found = Configuration { mutant }.check();
-  assert_eq!(found.counterexample.map(|(property, _)| property), broken);
+  assert_eq!(found.counterexample.map(|(property, _)| property), violated);
 }
 
 #[rstest]
-#[case(steward::Mutant::None, true, None)]
-#[case(steward::Mutant::None, false, None)]
-#[case(steward::Mutant::NoFence, true, Some(OLD))]
-#[case(steward::Mutant::NoMargin, false, Some(OLD))]
-#[case(steward::Mutant::NoClock, false, Some(OLD))]
-fn stewards(
-  #[case] mutant: steward::Mutant,
+#[case(leader::Mutant::None, true, None)]
+#[case(leader::Mutant::None, false, None)]
+#[case(leader::Mutant::NoFence, true, Some(STALE))]
+#[case(leader::Mutant::NoMargin, false, Some(STALE))]
+#[case(leader::Mutant::NoClock, false, Some(STALE))]
+fn leaders(
+  #[case] mutant: leader::Mutant,
   #[case] engine_checks: bool,
-  #[case] broken: Option<&str>,
+  #[case] violated: Option<&str>,
 ) {
   let spec = Leadership {
     engine_checks,
     mutant,
   };
   let found = spec.check();
-  assert_eq!(found.counterexample.map(|(property, _)| property), broken);
+  assert_eq!(found.counterexample.map(|(property, _)| property), violated);
 }
