--- a/src/gateway/limits/admission.rs
+++ b/src/gateway/limits/admission.rs
@@ -7,7 +7,7 @@
   },
   crate::{
     gateway::{
-      decisions::{LocalVerdict, UseRequest, UseVerdict},
+      decisions::{LocalVerdict, UsageRequest, UsageVerdict},
       edge::{CallerFacts, Organisation, UseLimit},
       state::Gateway,
     },
@@ -59,11 +59,11 @@
       CountedBy::Nobody => {}
       CountedBy::Book => {
         let mut book = self.gateway.use_book.borrow_mut();
-        book.count(&self.organisation, units, now_ms);
+        book.charge(&self.organisation, units, now_ms);
       }
       CountedBy::Ledger => {
         let mut ledger = self.gateway.use_ledger.borrow_mut();
-        ledger.note(&self.organisation, units, now_ms);
+        ledger.record(&self.organisation, units, now_ms);
       }
     }
   }
@@ -95,8 +95,11 @@
     (verdict, CountedBy::Ledger)
   };
   match verdict {
-    UseVerdict::Within => Ok(charge(counted_by)),
-    UseVerdict::Beyond { left, wait_ms } => {
+    UsageVerdict::WithinLimit => Ok(charge(counted_by)),
+    UsageVerdict::OverLimit {
+      remaining: left,
+      wait_ms,
+    } => {
       gateway.counters.beyond_limit.inc();
       log_beyond(gateway, facts, name, units, left);
       // Those who are refused together don't come back together.
@@ -114,8 +117,8 @@
   name: &Name,
   limit: UseLimit,
   units: u64,
-) -> UseVerdict {
-  let request = || UseRequest {
+) -> UsageVerdict {
+  let request = || UsageRequest {
     boxes: gateway.box_count(),
     limit,
     now_ms: gateway.now_ms(),
@@ -128,15 +131,15 @@
     LocalVerdict::Settled(verdict) => verdict,
     LocalVerdict::Ask => match ask(gateway, name, units).await {
       Some(verdict) => verdict,
-      None => gateway.use_ledger.borrow_mut().admit_alone(request()),
+      None => gateway.use_ledger.borrow_mut().admit_isolated(request()),
     },
   }
 }
 
 /// Asks the boxes that count; nothing when none answers in time.
-async fn ask(gateway: &Gateway, name: &Name, units: u64) -> Option<UseVerdict> {
+async fn ask(gateway: &Gateway, name: &Name, units: u64) -> Option<UsageVerdict> {
   for address in candidates(gateway).into_iter().take(MOST_ASKED) {
-    let used = gateway.use_ledger.borrow_mut().take_untold();
+    let used = gateway.use_ledger.borrow_mut().take_unreported();
     let message = UseReport {
       asks: Some((name.clone(), units)),
       box_name: gateway.settings.identity.name.clone(),
@@ -147,11 +150,14 @@
         gateway.counting_box.set(Some(address));
         let now_ms = gateway.now_ms();
         let mut ledger = gateway.use_ledger.borrow_mut();
-        ledger.heard(answer.short, now_ms);
+        ledger.record_near_limit(answer.short, now_ms);
         match answer.verdict {
-          Some(UseVerdict::Within) => ledger.note_counted(name, units, now_ms),
-          Some(UseVerdict::Beyond { left, wait_ms }) => {
-            ledger.note_refused(name, left, wait_ms, now_ms);
+          Some(UsageVerdict::WithinLimit) => ledger.record_admitted(name, units, now_ms),
+          Some(UsageVerdict::OverLimit {
+            remaining: left,
+            wait_ms,
+          }) => {
+            ledger.record_rejected(name, left, wait_ms, now_ms);
           }
           None => {}
         }
@@ -159,11 +165,14 @@
       }
       Err(error) => {
         log::info!("E610 not asked: {address} on {name}: {error}");
-        gateway.use_ledger.borrow_mut().untell(message.used);
+        gateway
+          .use_ledger
+          .borrow_mut()
+          .restore_unreported(message.used);
       }
     }
   }
-  gateway.use_ledger.borrow_mut().note_unreached();
+  gateway.use_ledger.borrow_mut().record_unreachable();
   None
 }
 
--- a/src/gateway/permits/figures.rs
+++ b/src/gateway/permits/figures.rs
@@ -2,7 +2,7 @@
 
 use {
   crate::gateway::{
-    decisions::{EndpointLife, HeardLimit},
+    decisions::{AdvertisedLimit, EndpointIncarnation},
     state::Gateway,
   },
   crate::ids::Name,
@@ -17,7 +17,7 @@
   let now_ms = gateway.now_ms();
   let mut text = String::new();
   for (id, heard) in lowest_limits(gateway) {
-    let age_ms = now_ms.saturating_sub(heard.heard_ms);
+    let age_ms = now_ms.saturating_sub(heard.received_ms);
     let per_s = heard.per_s.unwrap_or_default();
     // Writing to a string does not fail.
     let _ = writeln!(
@@ -32,7 +32,7 @@
   text
 }
 
-fn lowest_limits(gateway: &Gateway) -> Vec<(Name, HeardLimit)> {
+fn lowest_limits(gateway: &Gateway) -> Vec<(Name, AdvertisedLimit)> {
   let book = gateway.book.borrow();
   let mut named: Vec<_> = book
     .limits()
@@ -40,7 +40,7 @@
     .map(|(id, heard)| (id.clone(), heard))
     .collect();
   named.sort_by(|one, other| {
-    let per_s = |heard: HeardLimit| heard.per_s.unwrap_or_default();
+    let per_s = |heard: AdvertisedLimit| heard.per_s.unwrap_or_default();
     per_s(one.1)
       .total_cmp(&per_s(other.1))
       .then_with(|| one.0.cmp(&other.0))
@@ -52,6 +52,6 @@
 /// The permits that are left at an endpoint, on the box that counts.
 fn permits_left(gateway: &Gateway, id: &str, now_ms: u64) -> Option<f64> {
   let born_ms = gateway.book.borrow().entry(id)?.born_ms;
-  let life = EndpointLife::of(id, born_ms);
-  gateway.permit_book.borrow_mut().left(life, now_ms)
+  let life = EndpointIncarnation::of(id, born_ms);
+  gateway.permit_book.borrow_mut().remaining(life, now_ms)
 }
--- a/src/gateway/permits/told_limit.rs
+++ b/src/gateway/permits/told_limit.rs
@@ -1,7 +1,7 @@
 //! An endpoint's word on its limit on its way between boxes.
 
 use {
-  crate::gateway::decisions::{HeardLimit, LimitSource},
+  crate::gateway::decisions::{AdvertisedLimit, LimitSource},
   serde::{Deserialize, Serialize},
 };
 
@@ -16,17 +16,17 @@
 
 impl ToldLimit {
   /// A word that was heard here.
-  pub(super) fn new(heard: HeardLimit, now_ms: u64) -> Self {
+  pub(super) fn new(heard: AdvertisedLimit, now_ms: u64) -> Self {
     Self {
-      age_ms: now_ms.saturating_sub(heard.heard_ms),
+      age_ms: now_ms.saturating_sub(heard.received_ms),
       per_s: heard.per_s,
     }
   }
 
   /// It as heard by the box that is told. A figure that no endpoint can name is none.
-  pub(super) fn heard(self, now_ms: u64) -> HeardLimit {
-    HeardLimit {
-      heard_ms: now_ms.saturating_sub(self.age_ms),
+  pub(super) fn heard(self, now_ms: u64) -> AdvertisedLimit {
+    AdvertisedLimit {
+      received_ms: now_ms.saturating_sub(self.age_ms),
       per_s: self
         .per_s
         .filter(|per_s| per_s.is_finite() && *per_s >= 0.0),
--- a/src/gateway/quarantine/endpoint_end.rs
+++ b/src/gateway/quarantine/endpoint_end.rs
@@ -3,7 +3,9 @@
 use {
   super::vetting::share,
   crate::gateway::{
-    decisions::{EndpointLife, Fingerprint, QuarantineKey, QuarantineMark, QuarantineWay},
+    decisions::{
+      EndpointIncarnation, Fingerprint, QuarantineKey, QuarantineMark, QuarantineStrategy,
+    },
     edge::EndpointEntry,
     parts::RoutedRequest,
     state::Gateway,
@@ -54,7 +56,7 @@
 pub(crate) async fn note_lost(gateway: &Rc<Gateway>, request: &Rc<RoutedRequest>, lost: LostPart) {
   let is_near = {
     let book = gateway.quarantine.book.borrow();
-    !book.is_empty() && book.is_near(lost.fingerprint)
+    !book.is_empty() && book.is_near_quarantine(lost.fingerprint)
   };
   // It goes on when the caller leaves meanwhile.
   let judged = spawn_local(judge(gateway.clone(), request.clone(), lost));
@@ -82,7 +84,7 @@
     return;
   }
   gateway.counters.lost_with_endpoint.inc();
-  if gateway.settings.quarantine.way != QuarantineWay::Off {
+  if gateway.settings.quarantine.way != QuarantineStrategy::Off {
     let life = reached_life(&gateway, &entry, fingerprint, sent_ms).await;
     note_end(&gateway, fingerprint, life);
   }
@@ -95,13 +97,13 @@
   chosen: &EndpointEntry,
   fingerprint: Fingerprint,
   sent_ms: u64,
-) -> EndpointLife {
-  let life = EndpointLife::of(&chosen.id, chosen.born_ms);
+) -> EndpointIncarnation {
+  let life = EndpointIncarnation::of(&chosen.id, chosen.born_ms);
   let ended_ms = gateway
     .quarantine
     .book
     .borrow()
-    .ended_since_ms(fingerprint, life);
+    .crashed_since_ms(fingerprint, life);
   if ended_ms.is_none_or(|ended_ms| sent_ms <= ended_ms) {
     return life;
   }
@@ -113,7 +115,7 @@
       .entry(&chosen.id)
       .and_then(|now| now.born_ms);
     if born_ms.is_some() && born_ms != chosen.born_ms {
-      return EndpointLife::of(&chosen.id, born_ms);
+      return EndpointIncarnation::of(&chosen.id, born_ms);
     }
     if gateway.now_ms() >= until_ms {
       return life;
@@ -123,14 +125,14 @@
 }
 
 /// Notes that a life of an endpoint ended with a request.
-fn note_end(gateway: &Gateway, fingerprint: Fingerprint, life: EndpointLife) {
+fn note_end(gateway: &Gateway, fingerprint: Fingerprint, life: EndpointIncarnation) {
   let key = QuarantineKey {
     fingerprint,
-    mark: QuarantineMark::Ended(life),
+    mark: QuarantineMark::Crashed(life),
   };
   let now_ms = gateway.now_ms();
   let mut book = gateway.quarantine.book.borrow_mut();
-  if !book.note(key, now_ms) {
+  if !book.record(key, now_ms) {
     return;
   }
   // Most requests are there at one end only: theirs can wait.
--- a/src/gateway/requests/event_source.rs
+++ b/src/gateway/requests/event_source.rs
@@ -8,7 +8,7 @@
     stream_send::SILENCE_MS,
   },
   crate::gateway::{
-    decisions::PartEnd,
+    decisions::AttemptOutcome,
     parts::{Head, PartError, RoutedRequest},
     quarantine::{LostPart, note_lost, note_whole},
     state::InFlight,
@@ -179,7 +179,7 @@
     );
     note_whole(&gateway, &self.stream.request, RoutedRequest::fingerprint);
     let took_ms = gateway.now_ms() - self.stream.request.arrived_ms;
-    gateway.seat_forecast.borrow_mut().note_stream(took_ms);
+    gateway.seat_forecast.borrow_mut().record_stream(took_ms);
     if let Some(mut head) = self.head.take() {
       head.booking.answered();
       gateway.rest(head.connection, &head.raw_headers);
@@ -197,7 +197,7 @@
       self.stream.last_event_id
     );
     if let Some(mut head) = self.head.take() {
-      head.booking.settle(PartEnd::Lost);
+      head.booking.settle(AttemptOutcome::Lost);
       let lost = LostPart {
         entry: head.entry.clone(),
         error: error.clone(),
--- a/src/gateway/requests/plain.rs
+++ b/src/gateway/requests/plain.rs
@@ -4,7 +4,7 @@
   super::answer::{AnswerBody, OwnAnswer, passed_on, whole_body},
   crate::{
     gateway::{
-      decisions::{RETRY_AFTER_FULL_MS, RETRY_AFTER_NO_ENDPOINT_MS, Wanted},
+      decisions::{EndpointCriteria, RETRY_AFTER_FULL_MS, RETRY_AFTER_NO_ENDPOINT_MS},
       edge::{EndpointEntry, Marks, Part},
       parts::{OutgoingPart, PartError, RoutedRequest, WholeAnswer, send_part},
       quarantine::{LostPart, note_lost, note_whole},
@@ -184,7 +184,7 @@
   /// Endpoints that were asked first and have still not answered count as failing, for the choice to come.
   fn note_slower_endpoints(&self) {
     for endpoint in &self.awaited {
-      self.gateway.book.borrow_mut().outrun(endpoint);
+      self.gateway.book.borrow_mut().mark_outrun(endpoint);
     }
   }
 
@@ -202,10 +202,10 @@
 
   /// The best endpoint not tried yet.
   fn choose(&self) -> Option<EndpointEntry> {
-    let choice = self.gateway.choose(Wanted {
+    let choice = self.gateway.choose(EndpointCriteria {
       allowed_halls: &self.request.allowed_halls,
       hall: self.gateway.preferred_hall(),
-      may_repeat: self.request.route.kind.may_repeat(),
+      is_retryable: self.request.route.kind.may_repeat(),
       role: None,
       service: &self.request.service,
       size: 1,
--- a/src/gateway/requests/seat.rs
+++ b/src/gateway/requests/seat.rs
@@ -4,7 +4,7 @@
   crate::{
     decide::Role,
     gateway::{
-      decisions::{PartEnd, SeatPlace, SeatUrgency, Wanted},
+      decisions::{AttemptOutcome, EndpointCriteria, QueuePosition, SlotUrgency},
       edge::EndpointEntry,
       parts::{Booking, CallFailure, Purpose, Reservation, RoutedRequest, call_engine},
       permits::{Permit, return_permit, take_permit},
@@ -32,7 +32,7 @@
 /// How long a request looks for a seat, and how it stands among the others.
 #[derive(Clone, Copy, Debug)]
 struct SeatWait {
-  urgency: SeatUrgency,
+  urgency: SlotUrgency,
   until_ms: u64,
 }
 
@@ -69,10 +69,10 @@
 fn has_chance(
   gateway: &Gateway,
   request: &RoutedRequest,
-  urgency: SeatUrgency,
+  urgency: SlotUrgency,
   within_ms: u64,
 ) -> bool {
-  if urgency == SeatUrgency::GoesOn || !gateway.settings.mechanisms.refusal_by_forecast {
+  if urgency == SlotUrgency::Resumed || !gateway.settings.mechanisms.refusal_by_forecast {
     return true;
   }
   let ahead = gateway.seat_queue.borrow().len();
@@ -93,7 +93,7 @@
   if !tried.is_empty() || request.facts.last_event_id.is_some() {
     return SeatWait {
       until_ms: gateway.now_ms() + GO_ON_WAIT_MS,
-      urgency: SeatUrgency::GoesOn,
+      urgency: SlotUrgency::Resumed,
     };
   }
   let target_ms = request.rank.target_ms as f64;
@@ -105,31 +105,31 @@
   let wait_ms = in_time_ms.max(target_ms * LEAST_WAIT_SHARE) as u64;
   SeatWait {
     until_ms: (request.arrived_ms + wait_ms).min(request.until_ms),
-    urgency: SeatUrgency::Begins,
+    urgency: SlotUrgency::New,
   }
 }
 
 /// A request in the queue; it leaves when this is dropped.
 struct QueuedRequest<'a> {
   gateway: &'a Gateway,
-  place: SeatPlace,
+  place: QueuePosition,
 }
 
 impl<'a> QueuedRequest<'a> {
-  fn new(gateway: &'a Gateway, urgency: SeatUrgency, priority: u8) -> Self {
+  fn new(gateway: &'a Gateway, urgency: SlotUrgency, priority: u8) -> Self {
     let place = gateway.seat_queue.borrow_mut().join(urgency, priority);
     Self { gateway, place }
   }
 
   /// The request has a seat.
-  fn note_seat(&self) {
+  fn record_slot(&self) {
     let others_wait = self.gateway.seat_queue.borrow().len() > 1;
     let now_ms = self.gateway.now_ms();
     self
       .gateway
       .seat_forecast
       .borrow_mut()
-      .note_seat(now_ms, others_wait);
+      .record_slot(now_ms, others_wait);
   }
 
   fn is_first(&self) -> bool {
@@ -142,7 +142,7 @@
     let mut queue = self.gateway.seat_queue.borrow_mut();
     queue.leave(self.place);
     if queue.is_empty() {
-      self.gateway.seat_forecast.borrow_mut().note_idle();
+      self.gateway.seat_forecast.borrow_mut().record_idle();
     }
     drop(queue);
     self.gateway.seat_queue_moved.notify_waiters();
@@ -154,7 +154,7 @@
   gateway: &Rc<Gateway>,
   request: &RoutedRequest,
   tried: &[Name],
-  urgency: SeatUrgency,
+  urgency: SlotUrgency,
 ) -> Option<(EndpointEntry, Reservation)> {
   let queued = QueuedRequest::new(gateway, urgency, request.rank.priority);
   loop {
@@ -163,10 +163,10 @@
       moved.await;
       continue;
     }
-    let choice = gateway.choose(Wanted {
+    let choice = gateway.choose(EndpointCriteria {
       allowed_halls: &request.allowed_halls,
       hall: gateway.preferred_hall(),
-      may_repeat: request.route.kind.may_repeat(),
+      is_retryable: request.route.kind.may_repeat(),
       role: Some(Role::Decode),
       service: &request.service,
       size: request.tokens().max(1),
@@ -174,10 +174,10 @@
     })?;
     match ask_seat(gateway, request, &choice.entry, request.tokens()).await {
       Some(reservation) => {
-        queued.note_seat();
+        queued.record_slot();
         return Some((choice.entry, reservation));
       }
-      None if choice.left_alone => sleep(SEAT_PAUSE).await,
+      None if choice.is_backing_off => sleep(SEAT_PAUSE).await,
       None => {}
     }
   }
@@ -206,7 +206,7 @@
           request.id(),
           entry.id
         );
-        booking.settle(PartEnd::Lost);
+        booking.settle(AttemptOutcome::Lost);
       }
     },
     Err(failure) => {
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -10,9 +10,9 @@
     gateway::{
       connections::{Connection, ConnectionPool},
       decisions::{
-        BoxList, Choice, ColdSpan, EndpointBook, EndpointCounts, KeptPrompts, PartEnd, PermitBook,
-        RetryWindow, SeatForecast, SeatQueue, Unavailable, UseBook, UseLedger, Wanted,
-        retry_after_pause_ms,
+        AttemptOutcome, BoxList, CachedPrompts, Choice, ColdPeriod, EndpointCounts,
+        EndpointCriteria, EndpointRegistry, LocalUsage, PermitTable, RetryWindow, SlotForecast,
+        SlotQueue, Unavailable, UsageTable, retry_after_backoff_ms,
       },
       edge::{ColdStart, Dialect, EndpointEntry, RouteTable, StoreLease},
       settings::{GatewaySettings, RoutePolicy},
@@ -68,7 +68,7 @@
   pub(crate) dialect: Rc<dyn Dialect>,
   pub(crate) settings: GatewaySettings,
   pub(crate) policy: RoutePolicy,
-  pub(crate) book: RefCell<EndpointBook>,
+  pub(crate) book: RefCell<EndpointRegistry>,
   pub(crate) pool: ConnectionPool,
   pub(crate) counters: Counters,
   pub(crate) phase: watch::Sender<Phase>,
@@ -84,27 +84,27 @@
   /// Requests that end endpoints.
   pub(crate) quarantine: Quarantine,
   /// What is expected of the engines' seats.
-  pub(crate) seat_forecast: RefCell<SeatForecast>,
+  pub(crate) seat_forecast: RefCell<SlotForecast>,
   /// The requests that look for a seat.
-  pub(crate) seat_queue: RefCell<SeatQueue>,
+  pub(crate) seat_queue: RefCell<SlotQueue>,
   /// Told when a request leaves that queue.
   pub(crate) seat_queue_moved: Notify,
   /// Moving mean of the time from a seat to the first event.
   pub(crate) start_ms: Cell<Option<f64>>,
   /// What the engines of each service listed as kept.
-  kept_prompts: RefCell<HashMap<Name, Rc<Mutex<KeptPrompts>>>>,
+  kept_prompts: RefCell<HashMap<Name, Rc<Mutex<CachedPrompts>>>>,
   /// This box's lease in the store, and when it was last renewed.
   pub(crate) lease: Cell<Option<HeldLease>>,
   /// Organisations' use, as far as this box counts it.
-  pub(crate) use_book: RefCell<UseBook>,
+  pub(crate) use_book: RefCell<UsageTable>,
   /// Organisations' use, as far as others count it.
-  pub(crate) use_ledger: RefCell<UseLedger>,
+  pub(crate) use_ledger: RefCell<LocalUsage>,
   /// The box that counts and answered last.
   pub(crate) counting_box: Cell<Option<SocketAddr>>,
   /// Places at endpoints that this box gives out for all boxes.
-  pub(crate) permit_book: RefCell<PermitBook>,
+  pub(crate) permit_book: RefCell<PermitTable>,
   /// Places that it gives out by itself while it does not reach the box that does.
-  pub(crate) lone_permits: RefCell<PermitBook>,
+  pub(crate) lone_permits: RefCell<PermitTable>,
   /// Boxes that did not answer a moment ago.
   pub(crate) unheard_boxes: RefCell<UnheardBoxes>,
   /// For calls to other boxes.
@@ -217,12 +217,12 @@
   pub(crate) fn is_counting(&self) -> bool {
     let identity = &self.settings.identity;
     let boxes = self.boxes.borrow();
-    boxes.is_counting(&identity.name, &identity.hall)
+    boxes.is_coordinator(&identity.name, &identity.hall)
   }
 
   /// Whether this box decides on limits by its own count.
   pub(crate) fn counts_use(&self) -> bool {
-    self.settings.limits.way.is_told() && self.is_counting()
+    self.settings.limits.way.uses_coordinators() && self.is_counting()
   }
 
   /// Whether the store was heard so recently that what this box knows can be trusted.
@@ -253,7 +253,7 @@
   }
 
   /// Chooses an endpoint.
-  pub(crate) fn choose(&self, wanted: Wanted) -> Option<Choice> {
+  pub(crate) fn choose(&self, wanted: EndpointCriteria) -> Option<Choice> {
     self
       .book
       .borrow()
@@ -265,15 +265,15 @@
     let Some(cold_start) = self.cold_start(&entry.service) else {
       return;
     };
-    let noted_ms = self.now_ms();
-    let span = ColdSpan {
-      noted_ms,
+    let recorded_ms = self.now_ms();
+    let span = ColdPeriod {
+      recorded_ms,
       per_s: cold_start.per_s,
-      until_ms: noted_ms.saturating_add(cold_ms),
+      until_ms: recorded_ms.saturating_add(cold_ms),
     };
     let mut book = self.book.borrow_mut();
     let limits = book.limits_mut();
-    limits.note_cold(&entry.id, entry.born_ms, span);
+    limits.record_cold(&entry.id, entry.born_ms, span);
   }
 
   /// The endpoints of a hall whose drain has ended may have turned cold shortly before, and their entries tell so late.
@@ -304,19 +304,19 @@
   /// When a caller may come back whose request found no endpoint of a service that takes work: when the first pause ends, or after
   /// `otherwise_ms` where it is not pauses that keep it waiting.
   pub(crate) fn retry_after_ms(&self, service: &str, otherwise_ms: u64) -> u64 {
-    let reopens_in_ms = self.book.borrow().reopens_in_ms(service, self.now_ms());
-    reopens_in_ms.map_or(otherwise_ms, |reopens_in_ms| {
-      retry_after_pause_ms(reopens_in_ms, self.draw())
+    let available_in_ms = self.book.borrow().available_in_ms(service, self.now_ms());
+    available_in_ms.map_or(otherwise_ms, |available_in_ms| {
+      retry_after_backoff_ms(available_in_ms, self.draw())
     })
   }
 
   /// Books the end of an endpoint's part.
-  pub(crate) fn ended(&self, id: &str, size: u64, units: u64, end: PartEnd) {
+  pub(crate) fn ended(&self, id: &str, size: u64, units: u64, end: AttemptOutcome) {
     self
       .book
       .borrow_mut()
-      .ended(id, size, units, end, self.now_ms());
-    if matches!(end, PartEnd::Lost | PartEnd::Unreachable) {
+      .record_outcome(id, size, units, end, self.now_ms());
+    if matches!(end, AttemptOutcome::Lost | AttemptOutcome::Unreachable) {
       self.pool.close(id);
     }
   }
@@ -343,14 +343,14 @@
   /// An endpoint has owed an answer for too long; its resting connections may be as dead.
   pub(crate) fn overdue(&self, id: &str) {
     log::info!("E514 overdue: {id} is left alone");
-    self.book.borrow_mut().overdue(id, self.now_ms());
+    self.book.borrow_mut().mark_overdue(id, self.now_ms());
     self.pool.close(id);
   }
 
   /// An endpoint is at fault although it answers: it is left alone like a lost one.
   pub(crate) fn blame(&self, id: &str) {
     log::info!("E513 left alone: {id} has a seat and refuses requests, or its exports are gone");
-    self.book.borrow_mut().blame(id, self.now_ms());
+    self.book.borrow_mut().mark_faulty(id, self.now_ms());
   }
 
   /// How many endpoints of a service take work.
@@ -366,11 +366,11 @@
       known,
       leaving,
       limited,
-      pausing,
+      backing_off,
     } = self.book.borrow().count(None, self.now_ms());
     let unknown = self.unknown_names.borrow().count();
     let mut text = format!(
-      "rillford_endpoints {known}\nrillford_endpoints_leaving {leaving}\nrillford_endpoints_pausing {pausing}\n\
+      "rillford_endpoints {known}\nrillford_endpoints_leaving {leaving}\nrillford_endpoints_pausing {backing_off}\n\
        rillford_endpoints_limited {limited}\nrillford_endpoints_drained {drained}\n\
        rillford_unknown_answer_names {unknown}\nrillford_boxes {}\n",
       self.boxes.borrow().len()
@@ -391,7 +391,7 @@
   }
 
   /// What the engines of a service listed as kept; locked while they are asked.
-  pub(crate) fn kept_prompts(&self, service: &Name) -> Rc<Mutex<KeptPrompts>> {
+  pub(crate) fn kept_prompts(&self, service: &Name) -> Rc<Mutex<CachedPrompts>> {
     self
       .kept_prompts
       .borrow_mut()
@@ -408,7 +408,7 @@
       .borrow_mut()
       .entry(service.clone())
       .or_default()
-      .note_request(now_ms);
+      .record_request(now_ms);
   }
 
   /// Whether a repeat could be taken now.
@@ -420,7 +420,7 @@
     windows
       .entry(service.clone())
       .or_default()
-      .left(allowance, boxes, now_ms)
+      .remaining(allowance, boxes, now_ms)
       >= 1.0
   }
 
@@ -428,7 +428,7 @@
   pub(crate) fn give_repeat_back(&self, service: &Name) {
     let now_ms = self.now_ms();
     if let Some(window) = self.windows.borrow_mut().get_mut(service) {
-      window.give_back(now_ms);
+      window.refund(now_ms);
     }
   }
 
@@ -449,12 +449,12 @@
 }
 
 /// A book of endpoints that heeds what the settings say.
-fn new_book(settings: &GatewaySettings) -> EndpointBook {
+fn new_book(settings: &GatewaySettings) -> EndpointRegistry {
   let mechanisms = &settings.mechanisms;
   let book = if mechanisms.endpoint_notices {
-    EndpointBook::default()
+    EndpointRegistry::default()
   } else {
-    EndpointBook::ignoring_notices()
+    EndpointRegistry::ignoring_notices()
   };
   if mechanisms.endpoint_limits {
     book
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,12 @@
 //! A router for separate prefill and decode pools.
 //!
-//! A request's way: [`ingress`](crate) → [`decide`] → [`egress`], with peers, platform and observe at the
-//! side. Each is a folder, a thread, and a filter between bounded rings.
+//! There are two kinds of box. `rillford gateway` is the [`gateway`] module. In `rillford serve`, a request passes through
+//! ingress, [`decide`] and [`egress`], with [`peers`], [`store`] and [`observe`] beside them: a module and a thread each,
+//! connected by bounded rings.
 
 mod admin;
 mod bearer_key;
-mod cause_first;
+mod causal_merge;
 mod chunk;
 mod error;
 mod http_client;
@@ -31,9 +32,9 @@
 
 pub use self::{
   admin::{ConfigurationBody, HistoryBody, ProblemBody, Revision},
-  cause_first::CauseFirst,
+  causal_merge::CausalMerge,
   error::{Error, Result},
   http_client::{CallError, HttpClient},
-  retry_after::{BadRetryAfter, retry_after_ms},
+  retry_after::{InvalidRetryAfter, retry_after_ms},
   run::{RunGateway, run},
 };
--- a/tests/gateway/cold_endpoints.rs
+++ b/tests/gateway/cold_endpoints.rs
@@ -10,8 +10,8 @@
   rand::{RngExt, SeedableRng},
   rand_chacha::ChaCha8Rng,
   rillford::gateway::{
-    ColdSpan, EndpointEntry, EndpointLife, EndpointLimits, HeardLimit, LimitSource, LocalPermit,
-    NamedLimit, PermitBook, PermitRequest, PermitVerdict, counted_limit,
+    AdvertisedLimit, ColdPeriod, EndpointEntry, EndpointIncarnation, EndpointLimits, LimitSource,
+    LocalPermitVerdict, NamedLimit, PermitRequest, PermitTable, PermitVerdict, coordinator_limit,
   },
   rstest::rstest,
   serde_json::{Value, json},
@@ -201,9 +201,9 @@
 fn lower_of_two_limits_holds(#[case] named: &str, #[case] source: LimitSource) {
   let entry = entry();
   let mut limits = EndpointLimits::default();
-  limits.note_answer(&entry, NamedLimit::PerS(named.parse().unwrap()), 0, 10);
-  limits.note_cold(&entry.id, entry.born_ms, span(10, 1_000));
-  let in_force: HeardLimit = limits.in_force(&entry, 500).unwrap();
+  limits.record_response(&entry, NamedLimit::PerS(named.parse().unwrap()), 0, 10);
+  limits.record_cold(&entry.id, entry.born_ms, span(10, 1_000));
+  let in_force: AdvertisedLimit = limits.in_force(&entry, 500).unwrap();
   assert_eq!(in_force.source, source);
   assert_eq!(
     limits.in_force(&entry, 1_000).unwrap().source,
@@ -215,17 +215,17 @@
 fn another_life_is_not_cold_and_a_warm_endpoint_has_no_limit() {
   let entry = entry();
   let mut limits = EndpointLimits::default();
-  limits.note_cold(&entry.id, entry.born_ms, span(0, 0));
-  assert!(!limits.are_heeded());
-  limits.note_cold(&entry.id, entry.born_ms, span(0, 1_000));
+  limits.record_cold(&entry.id, entry.born_ms, span(0, 0));
+  assert!(!limits.are_enforced());
+  limits.record_cold(&entry.id, entry.born_ms, span(0, 1_000));
   assert_eq!(limits.per_s(&entry, 999), Some(COLD_PER_S));
   let later = EndpointEntry {
     born_ms: Some(2),
     ..entry.clone()
   };
   assert_eq!(limits.per_s(&later, 999), None);
-  limits.forget_old(1_000);
-  assert!(!limits.are_heeded());
+  limits.expire(1_000);
+  assert!(!limits.are_enforced());
 }
 
 fn entry() -> EndpointEntry {
@@ -242,9 +242,9 @@
   }
 }
 
-fn span(noted_ms: u64, until_ms: u64) -> ColdSpan {
-  ColdSpan {
-    noted_ms,
+fn span(recorded_ms: u64, until_ms: u64) -> ColdPeriod {
+  ColdPeriod {
+    recorded_ms,
     per_s: COLD_PER_S,
     until_ms,
   }
@@ -265,13 +265,13 @@
 fn replay_cold_endpoint(boxes: usize) -> (Vec<u64>, usize) {
   const WANTED_PER_S: f64 = 200.0;
   let entry = entry();
-  let life = EndpointLife::of(&entry.id, entry.born_ms);
+  let life = EndpointIncarnation::of(&entry.id, entry.born_ms);
   let mut random = ChaCha8Rng::seed_from_u64(boxes as u64);
-  let mut counting = PermitBook::default();
+  let mut counting = PermitTable::default();
   let mut fleet: Vec<ReplayBox> = (0..boxes)
     .map(|number| {
       let mut limits = EndpointLimits::default();
-      limits.note_cold(&entry.id, entry.born_ms, span(0, LASTS_MS));
+      limits.record_cold(&entry.id, entry.born_ms, span(0, LASTS_MS));
       ReplayBox {
         limits,
         name: format!("north-{number}"),
@@ -285,11 +285,11 @@
     }
     let at = random.random_range(0..boxes);
     let here = &mut fleet[at];
-    let local = here.limits.permits().take(&entry.id, now_ms);
+    let local = here.limits.permits().acquire(&entry.id, now_ms);
     let granted = match local {
-      LocalPermit::Granted => true,
-      LocalPermit::Refused { .. } => false,
-      LocalPermit::Ask { permits, unused } => {
+      LocalPermitVerdict::Granted => true,
+      LocalPermitVerdict::Rejected { .. } => false,
+      LocalPermitVerdict::Ask { permits, unused } => {
         questions += 1;
         let wish = PermitRequest {
           box_name: here.name.as_str().into(),
@@ -297,10 +297,10 @@
           priority: 1,
           unused,
         };
-        let limit = counted_limit(here.limits.per_s(&entry, now_ms).unwrap());
-        let verdict: PermitVerdict = counting.ask(life, limit, &wish, now_ms);
+        let limit = coordinator_limit(here.limits.per_s(&entry, now_ms).unwrap());
+        let verdict: PermitVerdict = counting.request(life, limit, &wish, now_ms);
         let ledger = here.limits.permits();
-        ledger.note_verdict(&entry.id, verdict, now_ms)
+        ledger.record_verdict(&entry.id, verdict, now_ms)
       }
     };
     if granted {
--- a/tests/gateway/hall_drain.rs
+++ b/tests/gateway/hall_drain.rs
@@ -20,7 +20,8 @@
   rillford::{
     decide::Role,
     gateway::{
-      AllowedHalls, DrainedHalls, EndpointBook, EndpointEntry, HallDrainNews, Unavailable, Wanted,
+      AllowedHalls, DrainedHalls, EndpointCriteria, EndpointEntry, EndpointRegistry,
+      HallDrainChange, Unavailable,
     },
   },
   rstest::rstest,
@@ -262,14 +263,14 @@
 
 #[test]
 fn choice_and_check_heed_a_drain_and_the_steward_counts_its_engines_as_leaving() {
-  let mut book = EndpointBook::default();
+  let mut book = EndpointRegistry::default();
   book.put(entry("a", OWN_HALL));
   book.put(entry("b", OTHER_HALL));
-  book.drained_halls_mut().note(&OWN_HALL.into(), true, 7);
-  let wanted = Wanted {
+  book.drained_halls_mut().record(&OWN_HALL.into(), true, 7);
+  let wanted = EndpointCriteria {
     allowed_halls: &AllowedHalls::Any,
     hall: OWN_HALL,
-    may_repeat: true,
+    is_retryable: true,
     role: None,
     service: "llm",
     size: 1,
@@ -289,12 +290,12 @@
 fn newest_word_on_a_hall_holds_in_whatever_order_it_comes() {
   let mut halls = DrainedHalls::default();
   let hall = OWN_HALL.into();
-  assert_eq!(halls.note(&hall, true, 10), HallDrainNews::Begins);
-  assert_eq!(halls.note(&hall, true, 10), HallDrainNews::Nothing);
-  assert_eq!(halls.note(&hall, false, 20), HallDrainNews::Ends);
-  assert_eq!(halls.note(&hall, true, 10), HallDrainNews::Nothing);
+  assert_eq!(halls.record(&hall, true, 10), HallDrainChange::Started);
+  assert_eq!(halls.record(&hall, true, 10), HallDrainChange::Unchanged);
+  assert_eq!(halls.record(&hall, false, 20), HallDrainChange::Ended);
+  assert_eq!(halls.record(&hall, true, 10), HallDrainChange::Unchanged);
   assert!(!halls.is_drained(OWN_HALL));
-  assert_eq!(halls.note(&hall, true, 30), HallDrainNews::Begins);
-  assert_eq!(halls.note(&hall, false, 20), HallDrainNews::Nothing);
+  assert_eq!(halls.record(&hall, true, 30), HallDrainChange::Started);
+  assert_eq!(halls.record(&hall, false, 20), HallDrainChange::Unchanged);
   assert!(halls.is_drained(OWN_HALL) && !halls.is_drained(OTHER_HALL));
 }
