--- a/src/configuration/documents.rs
+++ b/src/configuration/documents.rs
@@ -5,7 +5,7 @@
   crate::{
     decide::Tuning,
     ids::Name,
-    policy::{Clock, Program, RequestFacts},
+    policy::{Clock, Program, RequestAttributes},
   },
   serde::{Deserialize, Serialize},
   std::sync::Arc,
@@ -122,7 +122,7 @@
     source,
   };
   let program = Program::compile(policy).map_err(invalid)?;
-  let facts = RequestFacts {
+  let facts = RequestAttributes {
     kind: "model".into(),
     max_tokens: 1,
     organisation: "check".into(),
@@ -148,7 +148,7 @@
     })
   };
   let tuning = &document.tuning;
-  if !(0.0..=1.0).contains(&tuning.seat_certainty) {
+  if !(0.0..=1.0).contains(&tuning.slot_certainty) {
     return invalid("tuning.seat_certainty", "must lie between 0 and 1");
   }
   if !(0.0..=1.0).contains(&tuning.retry_share) {
--- a/src/decide/endpoint.rs
+++ b/src/decide/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint: what settings say of it, what it reported, and its life.
+//! One endpoint: its settings, its last load report, and its lifecycle.
 
 use {
   super::{LoadReport, Role},
@@ -8,117 +8,108 @@
   std::collections::VecDeque,
 };
 
-const FIRST_SHUN_MS: u64 = 1_000;
-const MOST_SHUN_DOUBLINGS: u32 = 4;
-/// The longest pause that is kept at one word: an endpoint that asks for hours by mistake is asked again after this.
-const MOST_PAUSE_MS: u64 = 5 * 60 * 1_000;
+const FIRST_BACKOFF_MS: u64 = 1_000;
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
+/// Upper bound on a backoff that an endpoint asks for, in case it asks for hours by mistake.
+const MAX_REQUESTED_BACKOFF_MS: u64 = 5 * 60 * 1_000;
 
-/// What an endpoint is.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointKind {
-  /// A model engine.
   Engine {
-    /// The role it starts with.
+    /// The role in which it starts.
     role: Role,
-    /// The models it serves.
     models: Vec<Name>,
-    /// Whether it refuses orders with an old fence.
+    /// Whether it rejects role commands with an old fence.
     checks_fence: bool,
   },
-  /// An instance of a plain service.
   Service {
-    /// The service's name.
     service: Name,
   },
 }
 
-/// What settings say of an endpoint.
+/// The settings of an endpoint.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EndpointSpec {
-  /// Its name.
   pub name: Name,
-  /// Its hall.
   pub hall: Name,
-  /// What it is.
   pub kind: EndpointKind,
-  /// Requests it may hold at once.
-  pub seats: u32,
-  /// Prompt tokens read a second.
+  /// Batch slots: maximum requests at once.
+  pub slots: u32,
+  /// Prefill throughput.
   pub prefill_tokens_per_s: u64,
-  /// Size of a token in the KV cache.
   pub kv_bytes_per_token: u64,
-  /// Rate of its link for KV transfers.
+  /// Bandwidth of its link for KV transfers.
   pub link_bytes_per_s: u64,
 }
 
-/// What moves an endpoint through its life.
+/// An input of an endpoint's state machine.
 #[derive(Clone, Debug)]
-pub enum Sign {
-  /// It reported.
+pub enum EndpointEvent {
+  /// A load report arrived.
   Reported {
-    /// Its start.
+    /// Start of the endpoint's process; higher is later.
     incarnation: u64,
-    /// Whether it says that it is leaving.
+    /// Whether the endpoint reports that it is leaving.
     leaving: bool,
   },
-  /// It has been silent for too long.
+  /// No report arrived within the silence timeout.
   Silent,
-  /// Somebody says that this incarnation is leaving.
+  /// A peer or an operator signals that this incarnation is leaving.
   Leaving(u64),
-  /// An operator takes it back.
+  /// An operator ended the drain.
   Undrained,
 }
 
-/// The life of an endpoint: unseen, live, suspect, leaving.
+/// The state machine of an endpoint: unseen, live, suspect or leaving.
 #[derive(Clone, Debug, Default)]
-pub struct EndpointIncarnation {
+pub struct EndpointLifecycle {
   incarnation: u64,
 }
 
 #[state_machine(initial = "State::unseen()", state(derive(Clone, Debug, PartialEq)))]
-impl EndpointIncarnation {
+impl EndpointLifecycle {
   #[state]
-  fn unseen(&mut self, event: &Sign) -> Outcome<State> {
-    self.usual(event)
+  fn unseen(&mut self, event: &EndpointEvent) -> Outcome<State> {
+    self.handle_common(event)
   }
 
   #[state]
-  fn live(&mut self, event: &Sign) -> Outcome<State> {
-    self.usual(event)
+  fn live(&mut self, event: &EndpointEvent) -> Outcome<State> {
+    self.handle_common(event)
   }
 
   #[state]
-  fn suspect(&mut self, event: &Sign) -> Outcome<State> {
-    self.usual(event)
+  fn suspect(&mut self, event: &EndpointEvent) -> Outcome<State> {
+    self.handle_common(event)
   }
 
-  /// Leaving holds until a new incarnation reports, or an operator takes the endpoint back.
+  /// Left only when a new incarnation reports, or when an operator ends the drain.
   #[state]
-  fn leaving(&mut self, event: &Sign) -> Outcome<State> {
+  fn leaving(&mut self, event: &EndpointEvent) -> Outcome<State> {
     match event {
-      Sign::Reported {
+      EndpointEvent::Reported {
         incarnation,
         leaving: false,
       } if *incarnation > self.incarnation => {
         self.incarnation = *incarnation;
         Transition(State::live())
       }
-      Sign::Leaving(incarnation) => {
+      EndpointEvent::Leaving(incarnation) => {
         self.incarnation = self.incarnation.max(*incarnation);
         Handled
       }
-      Sign::Undrained => Transition(State::suspect()),
+      EndpointEvent::Undrained => Transition(State::suspect()),
       _ => Handled,
     }
   }
 }
 
-impl EndpointIncarnation {
-  fn usual(&mut self, event: &Sign) -> Outcome<State> {
+impl EndpointLifecycle {
+  fn handle_common(&mut self, event: &EndpointEvent) -> Outcome<State> {
     match event {
-      Sign::Reported { incarnation, .. } if *incarnation < self.incarnation => Handled,
-      Sign::Reported {
+      EndpointEvent::Reported { incarnation, .. } if *incarnation < self.incarnation => Handled,
+      EndpointEvent::Reported {
         incarnation,
         leaving,
       } => {
@@ -129,8 +120,8 @@
           Transition(State::live())
         }
       }
-      Sign::Silent => Transition(State::suspect()),
-      Sign::Leaving(incarnation) if *incarnation >= self.incarnation => {
+      EndpointEvent::Silent => Transition(State::suspect()),
+      EndpointEvent::Leaving(incarnation) if *incarnation >= self.incarnation => {
         self.incarnation = *incarnation;
         Transition(State::leaving())
       }
@@ -139,44 +130,43 @@
   }
 }
 
-/// Work sent since the last report, which that report can't show.
+/// Work sent since the last report and so not included in it.
 #[derive(Clone, Copy, Debug)]
 struct Sent {
   at_ms: u64,
   amount: u64,
 }
 
-/// An endpoint as this box sees it.
+/// This box's view of an endpoint.
 pub struct Endpoint {
-  /// What settings say.
   pub spec: EndpointSpec,
-  /// Its present role, if it is an engine.
+  /// Current role; none for plain services.
   pub role: Option<Role>,
-  /// When its role was last seen to change.
+  /// When this box last saw the role change.
   pub role_since_ms: u64,
-  /// Its start, as last reported.
+  /// The incarnation of the last report.
   pub incarnation: u64,
-  /// When its last report was made.
+  /// When the endpoint made its last report.
   pub reported_ms: u64,
-  /// When anything was last heard of it.
-  pub heard_ms: u64,
-  /// It was full: no seat is asked for here until then, or until its home says sooner.
-  pub refused_until_ms: u64,
-  /// An order failed here: it gets no work until then.
-  pub shunned_until_ms: u64,
-  /// It turned an order away and wanted none until then.
-  pub paused_until_ms: u64,
-  /// Orders that failed here since one came to something.
-  pub failures_in_a_row: u32,
-  /// Own attempts that hold a seat here.
-  pub own_seats: u32,
-  life: InitializedStateMachine<EndpointIncarnation>,
+  /// When this box last received a report.
+  pub last_contact_ms: u64,
+  /// It was full: no slot is requested until then, unless its owner announces a free one sooner.
+  pub full_until_ms: u64,
+  /// End of the backoff after a failure.
+  pub failure_backoff_until_ms: u64,
+  /// End of the backoff that the endpoint asked for.
+  pub requested_backoff_until_ms: u64,
+  /// Commands that failed in a row.
+  pub consecutive_failures: u32,
+  /// Slots held by attempts of this box.
+  pub own_slots: u32,
+  lifecycle: InitializedStateMachine<EndpointLifecycle>,
   report: LoadReport,
   sent: VecDeque<Sent>,
 }
 
 impl Endpoint {
-  /// An endpoint that has not been heard of yet.
+  /// An endpoint of which no report has arrived.
   pub(crate) fn new(spec: EndpointSpec) -> Self {
     let role = match &spec.kind {
       EndpointKind::Engine { role, .. } => Some(*role),
@@ -189,81 +179,78 @@
       leaving: false,
       queue_tokens: 0,
       role,
-      seats: spec.seats,
-      used_seats: 0,
+      slots: spec.slots,
+      used_slots: 0,
     };
     Self {
-      failures_in_a_row: 0,
-      heard_ms: 0,
+      consecutive_failures: 0,
+      last_contact_ms: 0,
       incarnation: 0,
-      life: EndpointIncarnation::default()
+      lifecycle: EndpointLifecycle::default()
         .uninitialized_state_machine()
         .init(),
-      own_seats: 0,
-      paused_until_ms: 0,
-      refused_until_ms: 0,
+      own_slots: 0,
+      requested_backoff_until_ms: 0,
+      full_until_ms: 0,
       report,
       reported_ms: 0,
       role,
       role_since_ms: 0,
-      shunned_until_ms: 0,
+      failure_backoff_until_ms: 0,
       sent: VecDeque::new(),
       spec,
     }
   }
 
-  /// An order failed here: it is shunned, each time for longer.
-  pub(crate) fn failed(&mut self, now_ms: u64) {
-    let doublings = self.failures_in_a_row.min(MOST_SHUN_DOUBLINGS);
-    self.shunned_until_ms = now_ms + (FIRST_SHUN_MS << doublings);
-    self.failures_in_a_row += 1;
+  /// Starts a backoff that doubles with each failure in a row.
+  pub(crate) fn record_failure(&mut self, now_ms: u64) {
+    let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
+    self.failure_backoff_until_ms = now_ms + (FIRST_BACKOFF_MS << doublings);
+    self.consecutive_failures += 1;
   }
 
-  /// It wants no orders for a while; of several pauses the one that ends last counts.
-  pub(crate) fn pause(&mut self, now_ms: u64, wanted_ms: u64) {
-    let until_ms = now_ms + wanted_ms.min(MOST_PAUSE_MS);
-    self.paused_until_ms = self.paused_until_ms.max(until_ms);
+  /// Applies a backoff that the endpoint asked for; of several, the one that ends last counts.
+  pub(crate) fn request_backoff(&mut self, now_ms: u64, wanted_ms: u64) {
+    let until_ms = now_ms + wanted_ms.min(MAX_REQUESTED_BACKOFF_MS);
+    self.requested_backoff_until_ms = self.requested_backoff_until_ms.max(until_ms);
   }
 
-  /// An order came to something here.
-  pub(crate) fn succeeded(&mut self) {
-    self.failures_in_a_row = 0;
-    self.shunned_until_ms = 0;
+  pub(crate) fn record_success(&mut self) {
+    self.consecutive_failures = 0;
+    self.failure_backoff_until_ms = 0;
   }
 
-  /// Moves the endpoint through its life; true when its state changed.
-  pub(crate) fn sign(&mut self, sign: &Sign) -> bool {
-    let before = self.life.state().clone();
-    self.life.handle(sign);
-    before != *self.life.state()
+  /// Feeds the state machine; true if the state changed.
+  pub(crate) fn apply_event(&mut self, event: &EndpointEvent) -> bool {
+    let before = self.lifecycle.state().clone();
+    self.lifecycle.handle(event);
+    before != *self.lifecycle.state()
   }
 
-  /// Whether it may get new work.
   pub fn is_live(&self) -> bool {
-    *self.life.state() == State::Live {}
+    *self.lifecycle.state() == State::Live {}
   }
 
-  /// Whether it can be asked for anything now.
-  pub fn is_open(&self, now_ms: u64) -> bool {
-    let closed_until_ms = self
-      .refused_until_ms
-      .max(self.shunned_until_ms)
-      .max(self.paused_until_ms);
-    closed_until_ms <= now_ms
+  /// Whether it is neither full nor in a backoff.
+  pub fn is_available(&self, now_ms: u64) -> bool {
+    let unavailable_until_ms = self
+      .full_until_ms
+      .max(self.failure_backoff_until_ms)
+      .max(self.requested_backoff_until_ms);
+    unavailable_until_ms <= now_ms
   }
 
-  /// Whether it is leaving.
   pub fn is_leaving(&self) -> bool {
-    *self.life.state() == State::Leaving {}
+    *self.lifecycle.state() == State::Leaving {}
   }
 
-  /// Whether nothing was ever heard of it.
+  /// Whether no report ever arrived.
   pub fn is_unseen(&self) -> bool {
-    *self.life.state() == State::Unseen {}
+    *self.lifecycle.state() == State::Unseen {}
   }
 
-  /// Takes in a report; one older than the last is dropped.
-  pub(crate) fn take(&mut self, now_ms: u64, report: &LoadReport) -> bool {
+  /// Applies a report; false if it is older than the last one, or of an earlier incarnation.
+  pub(crate) fn apply_report(&mut self, now_ms: u64, report: &LoadReport) -> bool {
     let made_ms = now_ms.saturating_sub(report.age_ms);
     if made_ms < self.reported_ms || report.incarnation < self.incarnation {
       return false;
@@ -274,7 +261,7 @@
     }
     self.incarnation = report.incarnation;
     self.reported_ms = made_ms;
-    self.heard_ms = now_ms;
+    self.last_contact_ms = now_ms;
     self.report = report.clone();
     while self.sent.front().is_some_and(|sent| sent.at_ms < made_ms) {
       self.sent.pop_front();
@@ -282,23 +269,23 @@
     true
   }
 
-  /// Remembers work sent here, until a report can show it.
-  pub(crate) fn note_sent(&mut self, now_ms: u64, amount: u64) {
+  /// Counts work as load until a report includes it.
+  pub(crate) fn record_sent(&mut self, now_ms: u64, amount: u64) {
     self.sent.push_back(Sent {
       amount,
       at_ms: now_ms,
     });
   }
 
-  /// Forgets one unit of sent work that was taken back.
-  pub(crate) fn forget_sent(&mut self, amount: u64) {
+  /// Removes the latest unit of sent work of that amount, after it was cancelled.
+  pub(crate) fn remove_sent(&mut self, amount: u64) {
     if let Some(place) = self.sent.iter().rposition(|sent| sent.amount == amount) {
       self.sent.remove(place);
     }
   }
 
-  /// The last report, as it can be relayed now.
-  pub(crate) fn relay(&self, now_ms: u64) -> LoadReport {
+  /// The last report with its current age, to relay to peers.
+  pub(crate) fn relayed_report(&self, now_ms: u64) -> LoadReport {
     LoadReport {
       age_ms: now_ms.saturating_sub(self.reported_ms),
       leaving: self.is_leaving(),
@@ -306,44 +293,44 @@
     }
   }
 
-  /// Seats that the engine has, by its own report.
-  pub fn seats(&self) -> u32 {
-    self.report.seats
+  /// Batch slots, by the last report.
+  pub fn slots(&self) -> u32 {
+    self.report.slots
   }
 
-  /// Seats taken, by the last report and own work since.
-  pub fn used_seats(&self) -> u32 {
+  /// Slots in use: those of the last report, and work that this box has sent since.
+  pub fn used_slots(&self) -> u32 {
     let recent = u32::try_from(self.sent.len()).unwrap_or(u32::MAX);
-    self.report.used_seats.saturating_add(recent)
+    self.report.used_slots.saturating_add(recent)
   }
 
-  /// Seats taken by the last report alone.
-  pub fn reported_seats(&self) -> u32 {
-    self.report.used_seats
+  /// Slots in use by the last report alone.
+  pub fn reported_slots(&self) -> u32 {
+    self.report.used_slots
   }
 
-  /// Time at which a prefill engine is expected to have read all that waits.
+  /// When a prefill engine is expected to have finished its queue.
   pub fn prefill_free_at_ms(&self) -> u64 {
     let tokens = self.report.queue_tokens + self.sent.iter().map(|sent| sent.amount).sum::<u64>();
-    self.reported_ms + self.read_ms(tokens)
+    self.reported_ms + self.prefill_ms(tokens)
   }
 
-  /// Time to read so many tokens.
-  pub fn read_ms(&self, tokens: u64) -> u64 {
+  /// Time to prefill that many tokens.
+  pub fn prefill_ms(&self, tokens: u64) -> u64 {
     tokens * 1_000 / self.spec.prefill_tokens_per_s.max(1)
   }
 
-  /// Time to move a KV cache of so many tokens over the engine's link.
+  /// Time to transfer the KV cache of that many tokens over the engine's link.
   pub fn transfer_ms(&self, tokens: u64) -> u64 {
     tokens * self.spec.kv_bytes_per_token * 1_000 / self.spec.link_bytes_per_s.max(1)
   }
 
-  /// The order in which endpoints of one pool are tried: least first.
-  pub(crate) fn pool_key(&self) -> u64 {
+  /// Sort key within a pool, least loaded first: end of the queue for prefill, share of used slots otherwise.
+  pub(crate) fn load_key(&self) -> u64 {
     match self.role {
       Some(Role::Prefill) => self.prefill_free_at_ms(),
       Some(Role::Decode) | None => {
-        u64::from(self.used_seats()) * 1_000 / u64::from(self.seats().max(1))
+        u64::from(self.used_slots()) * 1_000 / u64::from(self.slots().max(1))
       }
     }
   }
--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -1,12 +1,13 @@
-//! The decisions of a box: a pure machine from events to actions.
+//! The decisions of a box: a state machine without I/O, from events to actions.
 
 use {
   super::{
-    Action, BoxEntry, CancelAnswer, ConfigurationView, EndpointKind, EndpointSpec, EndpointState,
-    EndpointStatus, Event, Fleet, HeldAttempt, Identity, Lane, LoadReport, NoPermit, NoteKind,
-    PeerStatus, Placed, Rank, Refusal, Role, Scene, Sign, StageOutcome, StageReport, Status, Step,
-    life::{Life, State},
-    scene::order_key,
+    Action, BoxEntry, CancelAnswer, ConfigurationView, Context, EndpointEvent, EndpointKind,
+    EndpointSpec, EndpointState, EndpointStatus, Event, EventKind, Fleet, HeldAttempt, Identity,
+    LoadReport, NotRunReason, PeerStatus, PlacementError, PlacementResult, Rank, RequestEvent,
+    RequestQueue, Role, StageOutcome, StageReport, Status,
+    context::command_key,
+    request_machine::{RequestMachine, State},
   },
   crate::{
     ids::{AttemptId, Name, RequestId},
@@ -16,23 +17,21 @@
   std::{collections::BTreeMap, sync::Arc},
 };
 
-/// When to come back where nothing says better.
-pub(super) const ABSENT_RETRY_MS: u64 = 1_000;
+/// Retry-after delay where no better estimate exists.
+pub(super) const DEFAULT_RETRY_AFTER_MS: u64 = 1_000;
 const EXPIRY_PERIOD_MS: u64 = 50;
 
-/// What a machine starts with.
+/// The initial state of a [`Machine`].
 pub struct Setup {
-  /// Who the box is.
   pub identity: Identity,
-  /// The endpoints of the settings.
   pub endpoints: Vec<EndpointSpec>,
-  /// Unix time at which the box's clock read zero.
+  /// Unix time of zero on the box's clock.
   pub epoch_unix_ms: u64,
-  /// Seed for all that is drawn at random.
+  /// Seed of the random number generator.
   pub seed: u64,
 }
 
-/// The decisions of a box. It has no clock, thread or socket: time comes with each event.
+/// The decisions of a box. It has no clock, thread or socket: each event carries the time.
 ///
 /// ```
 /// use rillford::decide::{Event, Identity, Machine, Setup};
@@ -42,108 +41,112 @@
 /// assert!(machine.handle(0, Event::Tick).is_empty());
 /// ```
 pub struct Machine {
-  pub(super) scene: Scene,
+  pub(super) context: Context,
   pub(super) timers: super::Timers,
-  pub(super) requests: BTreeMap<RequestId, InitializedStateMachine<Life>>,
-  pub(super) lanes: BTreeMap<Name, Lane>,
+  pub(super) requests: BTreeMap<RequestId, InitializedStateMachine<RequestMachine>>,
+  pub(super) queues: BTreeMap<Name, RequestQueue>,
   pub(super) in_progress: BTreeMap<Name, usize>,
-  pub(super) good_ranks: BTreeMap<Name, Rank>,
+  pub(super) last_ranks: BTreeMap<Name, Rank>,
   last_event_ms: u64,
-  expired_ms: u64,
+  last_expiry_ms: u64,
 }
 
 impl Machine {
-  /// A machine at time zero.
   pub fn new(setup: Setup) -> Self {
     let fleet = Fleet::new(setup.endpoints);
     Self {
-      expired_ms: 0,
-      good_ranks: BTreeMap::new(),
+      last_expiry_ms: 0,
+      last_ranks: BTreeMap::new(),
       in_progress: BTreeMap::new(),
-      lanes: BTreeMap::new(),
+      queues: BTreeMap::new(),
       last_event_ms: 0,
       requests: BTreeMap::new(),
-      scene: Scene::new(setup.identity, fleet, setup.epoch_unix_ms, setup.seed),
+      context: Context::new(setup.identity, fleet, setup.epoch_unix_ms, setup.seed),
       timers: super::Timers::default(),
     }
   }
 
-  /// Takes in one event and answers with what is to be done.
+  /// Handles one event and returns the actions to perform.
   pub fn handle(&mut self, now_ms: u64, event: Event) -> Vec<Action> {
-    self.scene.now_ms = now_ms;
+    self.context.now_ms = now_ms;
     self.check_clock();
-    // After its claim a request waits for the next event, so that a caller who left is heard first.
-    let pump = !matches!(event, Event::ClaimSettled(..));
+    // A request whose claim was settled waits for the next event, so that a disconnect of its caller is handled first.
+    let places_queued = !matches!(event, Event::ClaimSettled(..));
     self.dispatch(event);
-    if pump {
-      self.pump();
+    if places_queued {
+      self.place_queued();
     }
-    self.scene.take_actions()
+    self.context.take_actions()
   }
 
   fn dispatch(&mut self, event: Event) {
     match event {
-      Event::Arrived(arrival) => self.arrived(arrival),
-      Event::CallerGone(request) => self.step(request, &Step::CallerGone),
-      Event::ClaimSettled(request, outcome) => self.step(request, &Step::Claim(outcome)),
-      Event::Stage(report) => self.stage(report),
+      Event::Arrived(arrival) => self.handle_arrival(arrival),
+      Event::CallerDisconnected(request) => {
+        self.advance_request(request, &RequestEvent::CallerDisconnected)
+      }
+      Event::ClaimSettled(request, outcome) => {
+        self.advance_request(request, &RequestEvent::Claim(outcome))
+      }
+      Event::Stage(report) => self.handle_stage_report(report),
       Event::CancelSettled(attempt, endpoint, answer) => {
-        self.cancel_settled(&attempt, &endpoint, answer);
+        self.handle_cancel_answer(&attempt, &endpoint, answer);
       }
-      Event::LoadReported(report) => self.load_reported(&report),
-      Event::EndpointPauses(endpoint, wanted_ms) => {
-        let now_ms = self.scene.now_ms;
-        self
-          .scene
-          .fleet
-          .change(&endpoint, |endpoint| endpoint.pause(now_ms, wanted_ms));
+      Event::LoadReported(report) => self.handle_load_report(&report),
+      Event::EndpointBackoff(endpoint, wanted_ms) => {
+        let now_ms = self.context.now_ms;
+        self.context.fleet.update(&endpoint, |endpoint| {
+          endpoint.request_backoff(now_ms, wanted_ms)
+        });
       }
-      Event::ReportMissed(_) | Event::HoldsMissed(_) => {}
+      Event::PollFailed(_) | Event::HoldExtensionFailed(_) => {}
       Event::CacheReported(engine, blocks) => {
-        self.scene.hints.saw(self.scene.now_ms, &engine, &blocks);
+        self
+          .context
+          .hints
+          .record_cached(self.context.now_ms, &engine, &blocks);
       }
-      Event::Listed(engine, held) => self.listed(&engine, held),
-      Event::HoldsExtended(engine) => self.holds_extended(&engine),
-      Event::Peer(from, message) => self.peer(from, message),
-      Event::Boxes(entries) => self.boxes(&entries),
-      Event::Configured(view) => self.configured(view),
-      Event::StewardUntil { until_ms, fence } => self.timers.hold_lease(until_ms, fence),
+      Event::AttemptsListed(engine, held) => self.cancel_orphans(&engine, held),
+      Event::HoldsExtended(engine) => self.record_hold_extension(&engine),
+      Event::Peer(from, message) => self.handle_peer_message(from, message),
+      Event::Boxes(entries) => self.apply_box_list(&entries),
+      Event::Configured(view) => self.apply_configuration(view),
+      Event::LeaseHeld { until_ms, fence } => self.timers.hold_lease(until_ms, fence),
       Event::Drain(endpoint, leaving) => self.drain(&endpoint, leaving),
-      Event::Stopping => self.stop(),
+      Event::Stopping => self.begin_stop(),
       Event::Tick => self.tick(),
     }
   }
 
   /// Whether the box has a configuration and is not stopping.
   pub fn is_ready(&self) -> bool {
-    self.scene.configured && !self.scene.stopping
+    self.context.configured && !self.context.stopping
   }
 
-  /// The number of requests in progress.
   pub fn in_progress(&self) -> usize {
     self.requests.len()
   }
 
-  /// The number of requests that wait.
-  pub fn waiting(&self) -> usize {
-    self.lanes.values().map(|lane| lane.queue.len()).sum()
+  /// The number of queued requests.
+  pub fn queued(&self) -> usize {
+    self.queues.values().map(|queue| queue.entries.len()).sum()
   }
 
-  /// Orders open or being cancelled.
-  pub fn open_orders(&self) -> usize {
-    self.scene.orders.len()
+  /// Commands that are open or being cancelled.
+  pub fn open_commands(&self) -> usize {
+    self.context.open_commands.len()
   }
 
-  /// What an operator can see.
+  /// The state that operators can see.
   pub fn status(&mut self) -> Status {
     let endpoints = self.endpoint_statuses();
-    let scene = &self.scene;
+    let context = &self.context;
     Status {
-      configuration_digest: scene.configuration.digest(),
+      configuration_digest: context.configuration.digest(),
       endpoints,
       in_progress: self.in_progress(),
-      open_orders: scene.orders.len(),
-      peers: scene
+      open_orders: context.open_commands.len(),
+      peers: context
         .members
         .peers()
         .map(|peer| PeerStatus {
@@ -154,16 +157,20 @@
         })
         .collect(),
       ready: self.is_ready(),
-      seats_granted: scene.books.values().map(super::SeatBook::len).sum(),
-      steward: self.timers.holds_lease(scene.now_ms),
-      stopping: scene.stopping,
-      waiting: self.waiting(),
+      seats_granted: context
+        .slot_tables
+        .values()
+        .map(super::SlotTable::len)
+        .sum(),
+      steward: self.timers.holds_lease(context.now_ms),
+      stopping: context.stopping,
+      waiting: self.queued(),
     }
   }
 
   fn endpoint_statuses(&mut self) -> Vec<EndpointStatus> {
     let names = self
-      .scene
+      .context
       .fleet
       .iter()
       .map(|endpoint| endpoint.spec.name.clone())
@@ -171,15 +178,15 @@
     names
       .into_iter()
       .filter_map(|name| {
-        let home = self.scene.home(&name);
-        let now_ms = self.scene.now_ms;
-        let endpoint = self.scene.fleet.get(&name)?;
+        let owner = self.context.owner(&name);
+        let now_ms = self.context.now_ms;
+        let endpoint = self.context.fleet.get(&name)?;
         Some(EndpointStatus {
           hall: endpoint.spec.hall.clone(),
-          home,
+          home: owner,
           queue_tokens_ms: endpoint.prefill_free_at_ms().saturating_sub(now_ms),
           role: endpoint.role,
-          seats: endpoint.seats(),
+          seats: endpoint.slots(),
           state: if endpoint.is_live() {
             EndpointState::Live
           } else if endpoint.is_leaving() {
@@ -189,43 +196,46 @@
           } else {
             EndpointState::Suspect
           },
-          used_seats: endpoint.used_seats(),
+          used_seats: endpoint.used_slots(),
           name,
         })
       })
       .collect()
   }
 
-  /// After a pause the box suspects itself before it suspects others.
+  /// After a jump of the clock this box was probably paused: peers are given a full timeout again, and its own lease and
+  /// holds are treated as lost.
   fn check_clock(&mut self) {
-    let now_ms = self.scene.now_ms;
+    let now_ms = self.context.now_ms;
     let jump_ms = now_ms.saturating_sub(self.last_event_ms);
     let started = self.last_event_ms > 0;
     self.last_event_ms = now_ms;
-    if !started || jump_ms < self.scene.tuning().clock_jump_ms {
+    if !started || jump_ms < self.context.tuning().clock_jump_ms {
       return;
     }
-    self.scene.note(NoteKind::ClockJumped, jump_ms, "");
-    self.scene.members.forgive(now_ms);
+    self.context.record(EventKind::ClockJumped, jump_ms, "");
+    self.context.members.reset_contact_times(now_ms);
     self.timers.drop_lease();
-    self.give_up_lost_holds();
+    self.abort_lost_holds();
   }
 
   pub(super) fn clock(&self) -> Clock {
     Clock::at(
-      self.scene.epoch_unix_ms + self.scene.now_ms,
-      self.scene.configuration.utc_offset_minutes,
+      self.context.epoch_unix_ms + self.context.now_ms,
+      self.context.configuration.utc_offset_minutes,
     )
   }
 
-  fn stage(&mut self, report: StageReport) {
+  fn handle_stage_report(&mut self, report: StageReport) {
     let request = report.attempt.request();
     if matches!(report.outcome, StageOutcome::Finished { .. }) {
-      self.scene.close(&report.attempt, &report.endpoint);
+      self
+        .context
+        .close_command(&report.attempt, &report.endpoint);
     }
-    self.step(
+    self.advance_request(
       request,
-      &Step::Stage {
+      &RequestEvent::Stage {
         attempt: report.attempt,
         endpoint: report.endpoint,
         outcome: report.outcome,
@@ -233,254 +243,264 @@
     );
   }
 
-  /// Moves one request, and puts it where its new state belongs.
-  pub(super) fn step(&mut self, request: RequestId, step: &Step) {
+  /// Feeds the state machine of a request, then queues or removes it as the new state requires.
+  pub(super) fn advance_request(&mut self, request: RequestId, event: &RequestEvent) {
     let Some(machine) = self.requests.get_mut(&request) else {
       return;
     };
     let was_queued = *machine.state() == State::Queued {};
-    machine.handle_with_context(step, &mut self.scene);
+    machine.handle_with_context(event, &mut self.context);
     let is_queued = *machine.state() == State::Queued {};
-    let ended = *machine.state() == State::Ended {};
-    let life = machine.inner();
-    let waiting = life.waiting();
-    let lane = life.lane().clone();
-    let requeue = life.requeue;
+    let finished = *machine.state() == State::Finished {};
+    let request_machine = machine.inner();
+    let entry = request_machine.queue_entry();
+    let queue_name = request_machine.queue_name().clone();
+    let requeue = request_machine.requeue;
     if was_queued
       && !is_queued
-      && let Some(lane) = self.lanes.get_mut(&lane)
+      && let Some(queue) = self.queues.get_mut(&queue_name)
     {
-      lane
-        .queue
-        .remove(waiting.priority, &waiting.organisation, request);
+      queue
+        .entries
+        .remove(entry.priority, &entry.organisation, request);
     }
     if requeue && is_queued {
-      machine.handle_with_context(&Step::Requeued, &mut self.scene);
+      machine.handle_with_context(&RequestEvent::Requeued, &mut self.context);
       self
-        .lanes
-        .entry(lane)
+        .queues
+        .entry(queue_name)
         .or_default()
-        .queue
-        .push_front(waiting.clone());
+        .entries
+        .push_front(entry.clone());
     }
-    if ended {
+    if finished {
       self.requests.remove(&request);
-      if let Some(count) = self.in_progress.get_mut(&waiting.organisation) {
+      if let Some(count) = self.in_progress.get_mut(&entry.organisation) {
         *count -= 1;
         if *count == 0 {
-          self.in_progress.remove(&waiting.organisation);
+          self.in_progress.remove(&entry.organisation);
         }
       }
     }
   }
 
-  /// Whether a request waits for the answer to this very ask.
-  pub(super) fn is_asking(&self, attempt: &AttemptId) -> bool {
+  /// Whether a request waits for the response to this slot request.
+  pub(super) fn is_requesting_slot(&self, attempt: &AttemptId) -> bool {
     self
       .requests
       .get(&attempt.request())
-      .is_some_and(|machine| *machine.state() == State::Asking {})
-      && attempt.incarnation == self.scene.identity.incarnation
+      .is_some_and(|machine| *machine.state() == State::RequestingSlot {})
+      && attempt.incarnation == self.context.identity.incarnation
   }
 
-  /// Places as many waiting requests as there is room for.
-  fn pump(&mut self) {
-    let lanes = self
-      .lanes
+  /// Places as many queued requests as there are free slots for.
+  fn place_queued(&mut self) {
+    let queue_names = self
+      .queues
       .iter()
-      .filter(|(_, lane)| !lane.queue.is_empty())
+      .filter(|(_, queue)| !queue.entries.is_empty())
       .map(|(name, _)| name.clone())
       .collect::<Vec<_>>();
-    for lane in lanes {
-      while self.place_next(&lane) {}
+    for queue_name in queue_names {
+      while self.place_next(&queue_name) {}
     }
   }
 
-  /// Places the next request of a lane; false when it has to wait.
-  fn place_next(&mut self, lane_name: &Name) -> bool {
-    let Some(lane) = self.lanes.get_mut(lane_name) else {
+  /// Places the next request of a queue; false if it has to wait.
+  fn place_next(&mut self, queue_name: &Name) -> bool {
+    let Some(queue) = self.queues.get_mut(queue_name) else {
       return false;
     };
-    let Some(next) = lane.queue.peek().map(|waiting| waiting.request) else {
+    let Some(next) = queue.entries.peek().map(|entry| entry.request) else {
       return false;
     };
-    self.place_one(lane_name, next)
+    self.place_one(queue_name, next)
   }
 
-  fn place_one(&mut self, lane_name: &Name, request: RequestId) -> bool {
+  fn place_one(&mut self, queue_name: &Name, request: RequestId) -> bool {
     let Some(machine) = self.requests.get_mut(&request) else {
-      if let Some(lane) = self.lanes.get_mut(lane_name) {
-        lane.queue.pop();
+      if let Some(queue) = self.queues.get_mut(queue_name) {
+        queue.entries.pop();
       }
       return true;
     };
-    machine.handle_with_context(&Step::Place, &mut self.scene);
-    if let Placed::Waits(no_permit) = machine.inner().placed {
-      return no_permit == NoPermit::NoEngine && self.end_without_engine(request);
+    machine.handle_with_context(&RequestEvent::Place, &mut self.context);
+    if let PlacementResult::Waiting(error) = machine.inner().placed {
+      return error == PlacementError::NoEngine && self.reject_without_engine(request);
     }
-    if let Some(lane) = self.lanes.get_mut(lane_name) {
-      lane.queue.pop();
-      lane.started(self.scene.now_ms);
+    if let Some(queue) = self.queues.get_mut(queue_name) {
+      queue.entries.pop();
+      queue.record_start(self.context.now_ms);
     }
-    // The state has moved already: only its consequences are left.
-    self.step(request, &Step::Tick);
+    // The state machine has advanced already; this only applies its new state.
+    self.advance_request(request, &RequestEvent::Tick);
     true
   }
 
-  fn end_without_engine(&mut self, request: RequestId) -> bool {
-    self.step(request, &Step::Refuse(Refusal::NoEndpoint, ABSENT_RETRY_MS));
+  fn reject_without_engine(&mut self, request: RequestId) -> bool {
+    self.advance_request(
+      request,
+      &RequestEvent::Reject(NotRunReason::NoEndpoint, DEFAULT_RETRY_AFTER_MS),
+    );
     true
   }
 
-  fn cancel_settled(&mut self, attempt: &AttemptId, endpoint: &Name, answer: CancelAnswer) {
-    let key = order_key(attempt, endpoint);
-    if self.scene.orders.settled(&key, answer) {
-      self.scene.note(
-        NoteKind::CancelSettled,
+  fn handle_cancel_answer(&mut self, attempt: &AttemptId, endpoint: &Name, answer: CancelAnswer) {
+    let key = command_key(attempt, endpoint);
+    if self.context.open_commands.settle(&key, answer) {
+      self.context.record(
+        EventKind::CancelSettled,
         attempt,
         format!("{endpoint} {answer:?}"),
       );
     }
   }
 
-  fn load_reported(&mut self, report: &LoadReport) {
+  fn handle_load_report(&mut self, report: &LoadReport) {
     let before = self
-      .scene
+      .context
       .fleet
       .get(&report.endpoint)
       .map(|known| known.incarnation);
     if before.is_some_and(|before| before > 0 && report.incarnation > before) {
-      self.scene.orders.forget_endpoint(&report.endpoint);
-      self.scene.books.remove(&report.endpoint);
-      self.scene.note(
-        NoteKind::EndpointReturned,
+      self.context.open_commands.remove_endpoint(&report.endpoint);
+      self.context.slot_tables.remove(&report.endpoint);
+      self.context.record(
+        EventKind::EndpointReturned,
         &report.endpoint,
         report.incarnation,
       );
     }
-    if self.scene.fleet.report(self.scene.now_ms, report) {
-      self.note_endpoint(&report.endpoint);
+    if self.context.fleet.apply_report(self.context.now_ms, report) {
+      self.record_endpoint_state(&report.endpoint);
     }
   }
 
-  pub(super) fn note_endpoint(&mut self, name: &Name) {
-    let Some(endpoint) = self.scene.fleet.get(name) else {
+  pub(super) fn record_endpoint_state(&mut self, name: &Name) {
+    let Some(endpoint) = self.context.fleet.get(name) else {
       return;
     };
     let kind = if endpoint.is_live() {
-      NoteKind::EndpointLive
+      EventKind::EndpointLive
     } else if endpoint.is_leaving() {
-      NoteKind::EndpointLeaving
+      EventKind::EndpointLeaving
     } else {
-      NoteKind::EndpointSuspect
+      EventKind::EndpointSuspect
     };
-    self.scene.note(kind, name, "");
+    self.context.record(kind, name, "");
   }
 
-  /// As home of an engine: cancels what nobody holds on to any more.
-  fn listed(&mut self, engine: &Name, held: Vec<HeldAttempt>) {
+  /// As owner of an engine: cancels attempts that no box holds any more.
+  fn cancel_orphans(&mut self, engine: &Name, held: Vec<HeldAttempt>) {
     for held in held {
       if !self.is_orphan(engine, &held) {
         continue;
       }
       let attempt = held.attempt;
-      let key = order_key(&attempt, engine);
-      if self.scene.orders.is_open(&key) {
+      let key = command_key(&attempt, engine);
+      if self.context.open_commands.is_open(&key) {
         continue;
       }
-      self.scene.note(NoteKind::OrphanSwept, &attempt, engine);
-      self.scene.open(&attempt, engine);
-      self.scene.cancel(&attempt, engine);
+      self
+        .context
+        .record(EventKind::OrphanSwept, &attempt, engine);
+      self.context.open_command(&attempt, engine);
+      self.context.cancel_command(&attempt, engine);
     }
   }
 
   fn is_orphan(&self, engine: &Name, held: &HeldAttempt) -> bool {
     let owner = &held.attempt.box_name;
-    let identity = &self.scene.identity;
+    let identity = &self.context.identity;
     if *owner == identity.name {
-      let key = order_key(&held.attempt, engine);
+      let key = command_key(&held.attempt, engine);
       let ours = held.attempt.incarnation == identity.incarnation;
-      return !ours || held.hold_left_ms <= 0 && !self.scene.orders.is_open(&key);
+      return !ours || held.hold_left_ms <= 0 && !self.context.open_commands.is_open(&key);
     }
     let replaced = self
-      .scene
+      .context
       .members
       .peer(owner)
       .is_some_and(|peer| peer.incarnation > held.attempt.incarnation);
     replaced || held.hold_left_ms <= 0
   }
 
-  fn boxes(&mut self, entries: &[BoxEntry]) {
-    self.scene.members.list(self.scene.now_ms, entries);
-    self.scene.forget_homes();
+  fn apply_box_list(&mut self, entries: &[BoxEntry]) {
+    self
+      .context
+      .members
+      .apply_box_list(self.context.now_ms, entries);
+    self.context.clear_owners();
   }
 
-  fn configured(&mut self, view: Arc<ConfigurationView>) {
+  fn apply_configuration(&mut self, view: Arc<ConfigurationView>) {
     self
-      .scene
+      .context
       .budget
-      .set(view.tuning.retry_share, view.tuning.retry_burst);
-    let first = !self.scene.configured;
-    self.scene.configuration = view;
-    self.scene.configured = true;
-    let digest = self.scene.configuration.digest();
-    self
-      .scene
-      .note(NoteKind::ConfigurationApplied, format!("{digest:016x}"), "");
+      .configure(view.tuning.retry_share, view.tuning.retry_burst);
+    let first = !self.context.configured;
+    self.context.configuration = view;
+    self.context.configured = true;
+    let digest = self.context.configuration.digest();
+    self.context.record(
+      EventKind::ConfigurationApplied,
+      format!("{digest:016x}"),
+      "",
+    );
     if first {
       self
-        .scene
-        .note(NoteKind::BoxReady, self.scene.identity.name.clone(), "");
+        .context
+        .record(EventKind::BoxReady, self.context.identity.name.clone(), "");
     }
   }
 
   fn drain(&mut self, name: &Name, leaving: bool) {
-    let sign = if leaving {
+    let event = if leaving {
       let incarnation = self
-        .scene
+        .context
         .fleet
         .get(name)
         .map_or(0, |known| known.incarnation);
-      Sign::Leaving(incarnation)
+      EndpointEvent::Leaving(incarnation)
     } else {
-      Sign::Undrained
+      EndpointEvent::Undrained
     };
-    if self.scene.fleet.sign(name, &sign) {
-      self.note_endpoint(name);
-      self.timers.hurry();
+    if self.context.fleet.apply_event(name, &event) {
+      self.record_endpoint_state(name);
+      self.timers.send_heartbeat_soon();
     }
   }
 
-  fn stop(&mut self) {
-    self.scene.stopping = true;
-    self.scene.forget_homes();
-    self.timers.hurry();
+  fn begin_stop(&mut self) {
+    self.context.stopping = true;
+    self.context.clear_owners();
+    self.timers.send_heartbeat_soon();
     self
-      .scene
-      .note(NoteKind::StopBegan, self.scene.identity.name.clone(), "");
+      .context
+      .record(EventKind::StopBegan, self.context.identity.name.clone(), "");
   }
 
-  /// Tells "not run" to those that can't be served in time any more, and passes time on to asks.
+  /// Rejects queued requests that can no longer be served in time, and checks slot requests for timeouts.
   pub(super) fn expire_requests(&mut self) {
-    let now_ms = self.scene.now_ms;
-    if now_ms < self.expired_ms + EXPIRY_PERIOD_MS {
+    let now_ms = self.context.now_ms;
+    if now_ms < self.last_expiry_ms + EXPIRY_PERIOD_MS {
       return;
     }
-    self.expired_ms = now_ms;
-    let asking = self
+    self.last_expiry_ms = now_ms;
+    let requesting = self
       .requests
       .iter()
-      .filter(|(_, machine)| *machine.state() == State::Asking {})
+      .filter(|(_, machine)| *machine.state() == State::RequestingSlot {})
       .map(|(request, _)| *request)
       .collect::<Vec<_>>();
-    for request in asking {
-      self.step(request, &Step::Tick);
+    for request in requesting {
+      self.advance_request(request, &RequestEvent::Tick);
     }
     let late = self
-      .lanes
+      .queues
       .values()
-      .flat_map(|lane| lane.queue.iter())
-      .map(|waiting| waiting.request)
+      .flat_map(|queue| queue.entries.iter())
+      .map(|entry| entry.request)
       .filter(|request| {
         self
           .requests
@@ -489,14 +509,17 @@
       })
       .collect::<Vec<_>>();
     for request in late {
-      self.step(request, &Step::Refuse(Refusal::TooLate, ABSENT_RETRY_MS));
+      self.advance_request(
+        request,
+        &RequestEvent::Reject(NotRunReason::TooLate, DEFAULT_RETRY_AFTER_MS),
+      );
     }
   }
 
-  /// Engines of this box's hall that serve a model.
+  /// Live engines of this box's hall that serve a model.
   pub(super) fn engines_of(&self, model: &Name) -> impl Iterator<Item = &super::Endpoint> {
-    self.scene.fleet.iter().filter(move |endpoint| {
-      endpoint.spec.hall == self.scene.identity.hall
+    self.context.fleet.iter().filter(move |endpoint| {
+      endpoint.spec.hall == self.context.identity.hall
         && endpoint.is_live()
         && matches!(&endpoint.spec.kind, EndpointKind::Engine { models, .. } if models.contains(model))
         && matches!(endpoint.role, Some(Role::Prefill | Role::Decode))
--- a/src/decide/membership.rs
+++ b/src/decide/membership.rs
@@ -1,4 +1,4 @@
-//! Which boxes live, and which of them is home of which endpoint.
+//! Which boxes are live, and rendezvous hashing over them.
 
 use {
   super::{BoxEntry, Heartbeat},
@@ -7,54 +7,52 @@
   std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Boxes that exchange heartbeats with all others of their hall; above, each has so many neighbours.
+/// Largest hall in which each box sends heartbeats to all others; in larger ones each has a fixed set of neighbours.
 pub const FULL_MESH_BOXES: usize = 8;
 
-/// A peer as this box sees it.
+/// This box's view of a peer.
 #[derive(Clone, Debug)]
 pub struct Peer {
-  /// Its entry in the platform's box list.
+  /// The peer's entry in the platform's box list.
   pub entry: BoxEntry,
-  /// Its start, from its heartbeats; 0 before the first.
+  /// The incarnation of its last heartbeat; 0 before the first.
   pub incarnation: u64,
-  /// When it was last heard.
-  pub heard_ms: u64,
-  /// Whether it says that it is stopping.
+  /// When its last heartbeat arrived.
+  pub last_contact_ms: u64,
+  /// Whether it reports that it is stopping.
   pub leaving: bool,
-  /// Whether it counts as alive.
   pub live: bool,
 }
 
-/// The boxes of the platform's list, with what heartbeats say of them.
+/// The boxes of the platform's list, with the state that their heartbeats report.
 #[derive(Clone, Debug)]
 pub struct Membership {
-  own: Name,
+  own_name: Name,
   own_hall: Name,
   peers: BTreeMap<Name, Peer>,
-  /// Peers of the own hall that count this box among their neighbours.
-  expected: BTreeSet<Name>,
+  /// Peers of this hall that send their heartbeats to this box.
+  expected_senders: BTreeSet<Name>,
 }
 
 impl Membership {
-  /// A box that knows only itself.
-  pub fn new(own: Name, own_hall: Name) -> Self {
+  pub fn new(own_name: Name, own_hall: Name) -> Self {
     Self {
-      expected: BTreeSet::new(),
-      own,
+      expected_senders: BTreeSet::new(),
+      own_name,
       own_hall,
       peers: BTreeMap::new(),
     }
   }
 
-  /// Takes in the platform's list. A box that is not listed any more stays while it is heard.
-  pub fn list(&mut self, now_ms: u64, entries: &[BoxEntry]) {
-    for entry in entries.iter().filter(|entry| entry.name != self.own) {
+  /// Applies the platform's list. A box that is no longer listed stays while its heartbeats arrive.
+  pub fn apply_box_list(&mut self, now_ms: u64, entries: &[BoxEntry]) {
+    for entry in entries.iter().filter(|entry| entry.name != self.own_name) {
       let peer = self
         .peers
         .entry(entry.name.clone())
         .or_insert_with(|| Peer {
           entry: entry.clone(),
-          heard_ms: now_ms,
+          last_contact_ms: now_ms,
           incarnation: 0,
           leaving: entry.leaving,
           live: true,
@@ -64,53 +62,53 @@
     self.peers.retain(|name, peer| {
       peer.live && peer.incarnation > 0 || entries.iter().any(|entry| entry.name == *name)
     });
-    self.expected = self.expected_senders();
+    self.expected_senders = self.compute_expected_senders();
   }
 
-  /// Boxes of the own hall by name, this one included.
+  /// Names of this hall's boxes, including this one.
   fn hall_boxes(&self) -> Vec<Name> {
     let peers = self.peers.values();
     peers
       .filter(|peer| peer.entry.hall == self.own_hall)
       .map(|peer| peer.entry.name.clone())
-      .chain([self.own.clone()])
+      .chain([self.own_name.clone()])
       .collect()
   }
 
-  fn expected_senders(&self) -> BTreeSet<Name> {
+  fn compute_expected_senders(&self) -> BTreeSet<Name> {
     let hall = self.hall_boxes();
-    let is_sender = |sender: &&Name| neighbours_of(sender, &hall).contains(&self.own);
+    let is_sender = |sender: &&Name| neighbours_of(sender, &hall).contains(&self.own_name);
     hall
       .iter()
-      .filter(|name| **name != self.own)
+      .filter(|name| **name != self.own_name)
       .filter(is_sender)
       .cloned()
       .collect()
   }
 
-  /// Takes in a heartbeat; true when the peer counts as alive only since now.
-  pub fn heard(&mut self, now_ms: u64, from: &Name, heartbeat: &Heartbeat) -> bool {
+  /// Records a heartbeat; true if the peer was not live before.
+  pub fn record_heartbeat(&mut self, now_ms: u64, from: &Name, heartbeat: &Heartbeat) -> bool {
     let Some(peer) = self.peers.get_mut(from) else {
       return false;
     };
     if heartbeat.incarnation < peer.incarnation {
       return false;
     }
-    let news = !peer.live;
+    let became_live = !peer.live;
     peer.incarnation = heartbeat.incarnation;
-    peer.heard_ms = now_ms;
+    peer.last_contact_ms = now_ms;
     peer.leaving = heartbeat.leaving;
     peer.live = true;
-    news
+    became_live
   }
 
-  /// Marks silent peers dead and answers with them. For a box that is not expected to send anything
-  /// here the platform's list alone speaks.
-  pub fn expire(&mut self, now_ms: u64, silence_ms: u64) -> Vec<Peer> {
+  /// Marks peers as lost from which no heartbeat has arrived within the timeout, and returns them. Peers that are not
+  /// expected to send heartbeats to this box are removed by the platform's list alone.
+  pub fn expire(&mut self, now_ms: u64, timeout_ms: u64) -> Vec<Peer> {
     let mut lost = Vec::new();
     for peer in self.peers.values_mut() {
-      let expected = self.expected.contains(&peer.entry.name);
-      if peer.live && expected && now_ms.saturating_sub(peer.heard_ms) > silence_ms {
+      let is_expected = self.expected_senders.contains(&peer.entry.name);
+      if peer.live && is_expected && now_ms.saturating_sub(peer.last_contact_ms) > timeout_ms {
         peer.live = false;
         lost.push(peer.clone());
       }
@@ -118,25 +116,23 @@
     lost
   }
 
-  /// The own clock jumped: peers get a full silence again before they count as dead.
-  pub fn forgive(&mut self, now_ms: u64) {
+  /// After a jump of this box's clock: gives each peer a full timeout again.
+  pub fn reset_contact_times(&mut self, now_ms: u64) {
     for peer in self.peers.values_mut() {
-      peer.heard_ms = now_ms;
+      peer.last_contact_ms = now_ms;
     }
   }
 
-  /// All peers.
   pub fn peers(&self) -> impl Iterator<Item = &Peer> {
     self.peers.values()
   }
 
-  /// A peer by name.
   pub fn peer(&self, name: &Name) -> Option<&Peer> {
     self.peers.get(name)
   }
 
-  /// Boxes of a hall that can be home: alive and not leaving.
-  pub fn candidates(&self, hall: &Name, own_leaving: bool) -> Vec<Name> {
+  /// Boxes of a hall that may own endpoints: live and not leaving.
+  pub fn owner_candidates(&self, hall: &Name, own_leaving: bool) -> Vec<Name> {
     let mut names = self
       .peers
       .values()
@@ -144,12 +140,12 @@
       .map(|peer| peer.entry.name.clone())
       .collect::<Vec<_>>();
     if *hall == self.own_hall && !own_leaving {
-      names.push(self.own.clone());
+      names.push(self.own_name.clone());
     }
     names
   }
 
-  /// Whether the hall is small enough for all its boxes to speak with each other.
+  /// Whether each box of this hall sends heartbeats to all others.
   pub fn is_full_mesh(&self) -> bool {
     let peers = self.peers.values();
     let others = peers
@@ -158,14 +154,13 @@
     others < FULL_MESH_BOXES
   }
 
-  /// The peers of the own hall that get this box's heartbeats: all while the hall is small, else
-  /// fixed neighbours.
+  /// The peers of this hall that get this box's heartbeats.
   pub fn hall_neighbours(&self) -> Vec<Name> {
-    neighbours_of(&self.own, &self.hall_boxes())
+    neighbours_of(&self.own_name, &self.hall_boxes())
   }
 
-  /// One box of each other hall.
-  pub fn far_neighbours(&self) -> Vec<Name> {
+  /// One live box of each other hall.
+  pub fn other_hall_neighbours(&self) -> Vec<Name> {
     let mut halls = BTreeMap::<Name, Vec<Name>>::new();
     for peer in self.peers.values() {
       if peer.entry.hall != self.own_hall && peer.live {
@@ -177,13 +172,12 @@
     }
     halls
       .into_values()
-      .filter_map(|boxes| ranked(&self.own, &boxes).into_iter().next())
+      .filter_map(|boxes| rendezvous_order(&self.own_name, &boxes).into_iter().next())
       .collect()
   }
 }
 
-/// The boxes of its hall that a box sends heartbeats to: all while the hall is small, else a fixed
-/// number by rendezvous order.
+/// The boxes of its hall to which a box sends heartbeats: all in a small hall, else a fixed number in rendezvous order.
 fn neighbours_of(name: &Name, hall: &[Name]) -> Vec<Name> {
   let others = hall
     .iter()
@@ -193,21 +187,21 @@
   if others.len() < FULL_MESH_BOXES {
     return others;
   }
-  let mut ranked = ranked(name, &others);
-  ranked.truncate(FULL_MESH_BOXES - 1);
-  ranked
+  let mut ordered = rendezvous_order(name, &others);
+  ordered.truncate(FULL_MESH_BOXES - 1);
+  ordered
 }
 
-/// Candidates in rendezvous order for a subject, the best first.
+/// Candidates by rendezvous hashing with a subject, best first.
 ///
 /// ```
-/// use rillford::decide::ranked;
+/// use rillford::decide::rendezvous_order;
 /// let boxes = ["a".into(), "b".into(), "c".into()];
-/// let first = ranked(&"engine-1".into(), &boxes);
+/// let first = rendezvous_order(&"engine-1".into(), &boxes);
 /// let fewer = boxes.iter().filter(|name| **name != first[0]).cloned().collect::<Vec<_>>();
-/// assert_eq!(ranked(&"engine-1".into(), &fewer)[0], first[1]);
+/// assert_eq!(rendezvous_order(&"engine-1".into(), &fewer)[0], first[1]);
 /// ```
-pub fn ranked(subject: &Name, candidates: &[Name]) -> Vec<Name> {
+pub fn rendezvous_order(subject: &Name, candidates: &[Name]) -> Vec<Name> {
   let mut scored = candidates
     .iter()
     .map(|name| (score(subject, name), name.clone()))
--- a/src/egress/endpoint_client.rs
+++ b/src/egress/endpoint_client.rs
@@ -41,7 +41,7 @@
       Self::NeverBegan => Began::Never,
       Self::PerhapsBegan => Began::Perhaps,
     };
-    StageOutcome::Broke {
+    StageOutcome::Failed {
       began,
       offset,
       resumable: true,
@@ -113,7 +113,7 @@
     if !is_rejection {
       return;
     }
-    let event = Event::EndpointPauses(self.name.clone(), backoff_ms);
+    let event = Event::EndpointBackoff(self.name.clone(), backoff_ms);
     // If the ring is full, the next rejection reports the delay again.
     let _ = self.to_decide.push(event);
   }
--- a/src/gateway/roles/role_leader.rs
+++ b/src/gateway/roles/role_leader.rs
@@ -10,7 +10,7 @@
       state::{Gateway, Phase},
     },
     ids::Name,
-    policy::PoolFacts,
+    policy::PoolStats,
   },
   std::{collections::HashMap, rc::Rc, time::Duration},
   tokio::time::sleep,
@@ -226,13 +226,13 @@
 
   /// The target share of a service's engines in the prefill role: the policy's, or that of the settings.
   fn prefill_share(&self, service: &Name, engines: &[EndpointEntry]) -> f64 {
-    let pool = self.pool_facts(service, engines);
+    let pool = self.pool_stats(service, engines);
     let share = self.gateway.policy.prefill_share(&pool);
     share.unwrap_or(self.gateway.settings.engines.prefill_share)
   }
 
   /// The input of a policy for a service. The load is extrapolated from this box's own to all boxes.
-  fn pool_facts(&self, service: &Name, engines: &[EndpointEntry]) -> PoolFacts {
+  fn pool_stats(&self, service: &Name, engines: &[EndpointEntry]) -> PoolStats {
     let boxes = self.gateway.boxes.borrow().len().max(1) as u64;
     let endpoints = self.gateway.endpoints.borrow();
     let load = |role| {
@@ -245,12 +245,12 @@
     let slots: u64 = with_role(engines, Role::Decode)
       .map(|engine| u64::from(engine.seats))
       .sum();
-    PoolFacts {
+    PoolStats {
       decode_engines: with_role(engines, Role::Decode).count() as u64,
       model: service.clone(),
       prefill_engines: with_role(engines, Role::Prefill).count() as u64,
       queue_tokens: queue_tokens * boxes,
-      seats_used: (slots_taken * boxes) as f64 / slots.max(1) as f64,
+      slots_used: (slots_taken * boxes) as f64 / slots.max(1) as f64,
     }
   }
 
--- a/src/ingress/caller_guard.rs
+++ b/src/ingress/caller_guard.rs
@@ -37,7 +37,10 @@
     self.state.remove_pending(self.request);
     if !self.is_finished {
       // `IngressState::admit` keeps a ring slot free for this event of each request.
-      let _ = self.state.to_decide.push(Event::CallerGone(self.request));
+      let _ = self
+        .state
+        .to_decide
+        .push(Event::CallerDisconnected(self.request));
     }
   }
 }
--- a/src/observe/stamped_event.rs
+++ b/src/observe/stamped_event.rs
@@ -2,7 +2,7 @@
 
 use {
   super::Stamp,
-  crate::{decide::NoteKind, ids::Name},
+  crate::{decide::EventKind, ids::Name},
   serde::{Deserialize, Serialize},
 };
 
@@ -16,7 +16,7 @@
   /// The event's number in docs/EVENTS.md.
   pub number: u16,
   /// Its kind.
-  pub kind: NoteKind,
+  pub kind: EventKind,
   /// The request, endpoint, box or other object that it concerns.
   pub subject: Name,
   /// Further details, may be empty.
--- a/src/serve/decide_loop.rs
+++ b/src/serve/decide_loop.rs
@@ -3,7 +3,7 @@
 use {
   crate::{
     CausalMerge,
-    decide::{Action, Ending, Event, Machine, Status},
+    decide::{Action, Event, Machine, RequestOutcome, Status},
     egress::EgressInput,
     ids::RequestId,
     observe::{Observation, Observer},
@@ -66,7 +66,7 @@
   pub(super) calls: CausalMerge<Event>,
   pub(super) inputs: Vec<Receiver<Event>>,
   pub(super) to_egress: BufferedSender<EgressInput>,
-  pub(super) to_ingress: BufferedSender<(RequestId, Ending)>,
+  pub(super) to_ingress: BufferedSender<(RequestId, RequestOutcome)>,
   pub(super) to_peers: BufferedSender<PeersInput>,
   pub(super) to_platform: BufferedSender<StoreInput>,
   pub(super) observer: Observer,
@@ -97,7 +97,7 @@
   }
 
   fn tick_period(&self) -> Duration {
-    if self.machine.in_progress() > 0 || self.machine.open_orders() > 0 {
+    if self.machine.in_progress() > 0 || self.machine.open_commands() > 0 {
       TICK_PERIOD
     } else {
       IDLE_TICK_PERIOD
@@ -135,7 +135,7 @@
 
   fn dispatch(&mut self, action: Action) {
     match action {
-      Action::Note(note) => self.observer.record(note),
+      Action::Record(note) => self.observer.record(note),
       Action::Send(to, message) => self.to_peers.send(PeersInput::Send(to, message)),
       Action::Claim(request, organisation, key) => {
         let input = StoreInput::Claim(request, organisation, key);
@@ -145,7 +145,7 @@
         let input = StoreInput::Release(request, organisation, key);
         self.to_platform.send(input);
       }
-      Action::End(request, outcome) => {
+      Action::Complete(request, outcome) => {
         self.to_ingress.send((request, outcome));
         self.to_egress.send(EgressInput::Command(action));
       }
--- a/src/serve/start.rs
+++ b/src/serve/start.rs
@@ -8,7 +8,7 @@
   crate::{
     CausalMerge, Error, Result,
     admin::{self, AdminSetup, AdminState},
-    decide::{Identity, Machine, Note, NoteKind, Setup, Status},
+    decide::{EventKind, Identity, Machine, Setup, Status, TimelineEvent},
     egress::{self, EgressSetup},
     ids::Name,
     ingress::{self, IngressSetup, IngressState, SharedPhase},
@@ -89,7 +89,7 @@
   let (to_platform_documents, documents) = ring(RING_SLOTS, platform_waker);
 
   observer.record_event(
-    NoteKind::BoxStarted,
+    EventKind::BoxStarted,
     &identity.name,
     env!("CARGO_PKG_VERSION"),
   );
@@ -210,7 +210,11 @@
       log::error!("signal handlers not installed: {error}");
     }
     stop(&phase, &status, &from_operators, balancer_lag).await;
-    observer.record(Note::new(NoteKind::BoxStopped, identity.name.clone(), ""));
+    observer.record(TimelineEvent::new(
+      EventKind::BoxStopped,
+      identity.name.clone(),
+      "",
+    ));
   });
   Ok(())
 }
--- a/src/store/worker.rs
+++ b/src/store/worker.rs
@@ -9,7 +9,7 @@
   },
   crate::{
     configuration::{KeyTable, Store},
-    decide::{BoxEntry, ClaimOutcome, Document, Event, Note, NoteKind, Status},
+    decide::{BoxEntry, ClaimOutcome, Document, Event, EventKind, Status, TimelineEvent},
     http_client::HttpClient,
     ids::{Name, RequestId},
     ingress::{Phase, SharedPhase},
@@ -174,7 +174,7 @@
         match store.apply(document) {
           Ok(is_newer) => changed |= is_newer,
           Err(error) => {
-            let note = Note::new(NoteKind::ConfigurationRefused, key, error.to_string());
+            let note = TimelineEvent::new(EventKind::ConfigurationRefused, key, error.to_string());
             self.observer.record(note);
           }
         }
@@ -254,9 +254,9 @@
     if *is_down == is_reachable {
       *is_down = !is_reachable;
       let kind = if is_reachable {
-        NoteKind::PlatformUp
+        EventKind::PlatformUp
       } else {
-        NoteKind::PlatformDown
+        EventKind::PlatformDown
       };
       self.observer.record_event(kind, "key-value service", "");
     }
@@ -265,7 +265,7 @@
   /// Whether this box is the preferred leader of its hall.
   fn is_candidate(&self) -> bool {
     let boxes = self.hall_boxes();
-    let ranked = crate::decide::ranked(&"steward".into(), &boxes);
+    let ranked = crate::decide::rendezvous_order(&"steward".into(), &boxes);
     ranked.first() == Some(&self.identity.name)
   }
 
@@ -293,15 +293,15 @@
         (Some(_), false) => {
           self
             .observer
-            .record_event(NoteKind::StewardTaken, &self.identity.hall, "")
+            .record_event(EventKind::StewardTaken, &self.identity.hall, "")
         }
         (None, true) => self
           .observer
-          .record_event(NoteKind::StewardLost, &self.identity.hall, ""),
+          .record_event(EventKind::StewardLost, &self.identity.hall, ""),
         _ => {}
       }
       if let Some(held) = &held {
-        let event = Event::StewardUntil {
+        let event = Event::LeaseHeld {
           fence: held.fence,
           until_ms: self.since_start_ms(held.valid_until),
         };
--- a/tests/gateway/policy.rs
+++ b/tests/gateway/policy.rs
@@ -4,7 +4,7 @@
   super::{EndpointStandIn, GatewayTest, Reply},
   rillford::{
     gateway::{CallerFacts, Route, RouteKind, RoutePolicy, RouteRank, WeightedService},
-    policy::PoolFacts,
+    policy::PoolStats,
   },
   std::{path::Path, process::Command},
 };
@@ -79,12 +79,12 @@
 
 #[test]
 fn program_shares_out_the_engines() {
-  let pool = PoolFacts {
+  let pool = PoolStats {
     decode_engines: 6,
     model: "llm".into(),
     prefill_engines: 3,
     queue_tokens: 0,
-    seats_used: 0.5,
+    slots_used: 0.5,
   };
   let policy = policy("fn rank(request, now) { #{} } fn shift(now, pools) { #{ llm: 0.4 } }");
   assert_eq!(policy.prefill_share(&pool), Some(0.4));
