--- a/src/decide/action.rs
+++ b/src/decide/action.rs
@@ -52,6 +52,7 @@
   pub hold_ms: u64,
 }
 
+/// A call to a plain service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CallCommand {
   pub attempt: AttemptId,
--- a/src/decide/event.rs
+++ b/src/decide/event.rs
@@ -23,6 +23,7 @@
 pub enum Began {
   /// The command never reached the endpoint, or the endpoint confirms that it never began.
   Never,
+  /// It may have begun.
   Perhaps,
 }
 
@@ -47,6 +48,7 @@
   Full,
   Failed {
     began: Began,
+    /// Bytes of the answer that were delivered.
     offset: u64,
     /// Whether another attempt can resume the answer at this offset with the same bytes.
     resumable: bool,
@@ -61,6 +63,7 @@
   pub outcome: StageOutcome,
 }
 
+/// An endpoint's answer to a cancel.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CancelAnswer {
@@ -70,6 +73,7 @@
   NeverBegan,
   /// The endpoint does not know the attempt, and rejects it if it arrives later.
   UnknownAttempt,
+  /// The endpoint did not answer.
   Unreachable,
 }
 
@@ -98,6 +102,7 @@
   pub slots: u32,
   /// Prompt tokens queued for prefill.
   pub queue_tokens: u64,
+  /// Age of the report when it was sent on.
   pub age_ms: u64,
 }
 
@@ -109,6 +114,7 @@
   pub hold_left_ms: i64,
 }
 
+/// An entry of the platform's box list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BoxEntry {
   pub name: Name,
@@ -125,6 +131,7 @@
   CallerDisconnected(RequestId),
   /// Result of writing a claim.
   ClaimSettled(RequestId, ClaimOutcome),
+  /// Result of a command at an endpoint.
   Stage(StageReport),
   /// Answer to a cancel, or its absence.
   CancelSettled(AttemptId, Name, CancelAnswer),
@@ -155,6 +162,7 @@
   },
   /// An operator drains an endpoint (true) or ends the drain (false).
   Drain(Name, bool),
+  /// A planned stop begins.
   Stopping,
   Tick,
 }
--- a/src/decide/fair_queue.rs
+++ b/src/decide/fair_queue.rs
@@ -20,6 +20,7 @@
   pub priority: i64,
   /// Whether it may be shed when the queue is full.
   pub may_wait: bool,
+  /// The lowest is shed first.
   pub weight: f64,
   /// Cost charged to the organisation's deficit, in tokens.
   pub cost_tokens: u64,
--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -88,6 +88,7 @@
       .unwrap_or(false)
   }
 
+  /// Live endpoints of a pool, least loaded first.
   pub(crate) fn pool(&self, key: &PoolKey) -> impl Iterator<Item = &Endpoint> {
     self
       .pools
--- a/src/decide/machine.rs
+++ b/src/decide/machine.rs
@@ -410,9 +410,9 @@
   }
 
   fn is_orphan(&self, engine: &Name, held: &HeldAttempt) -> bool {
-    let owner = &held.attempt.box_name;
+    let holder = &held.attempt.box_name;
     let identity = &self.context.identity;
-    if *owner == identity.name {
+    if *holder == identity.name {
       let key = command_key(&held.attempt, engine);
       let ours = held.attempt.incarnation == identity.incarnation;
       return !ours || held.hold_left_ms <= 0 && !self.context.open_commands.is_open(&key);
@@ -420,7 +420,7 @@
     let replaced = self
       .context
       .members
-      .peer(owner)
+      .peer(holder)
       .is_some_and(|peer| peer.incarnation > held.attempt.incarnation);
     replaced || held.hold_left_ms <= 0
   }
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -28,6 +28,7 @@
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PlacementError {
+  /// No live engine serves the model.
   NoEngine,
   /// All engines are full or in a backoff.
   NoSlot,
--- a/src/decide/request_outcome.rs
+++ b/src/decide/request_outcome.rs
@@ -5,6 +5,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NotRunReason {
+  /// The organisation has too many requests in progress.
   OrganisationLimit,
   /// The queue is full and holds no request that ranks lower.
   QueueFull,
@@ -20,17 +21,22 @@
   AlreadyClaimed,
   /// Each endpoint tried has confirmed that the work never began.
   NeverBegan,
+  /// The retry budget is empty.
   RetryBudget,
+  /// The box is stopping.
   Stopping,
   /// A ring buffer between two tasks is full.
   Busy,
+  /// The box has no configuration yet.
   NotReady,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UnknownReason {
+  /// An endpoint failed after the work may have begun.
   EndpointFailed,
+  /// The answer did not arrive in time.
   TimedOut,
   /// Part of the answer was lost, and the stream could not be resumed.
   AnswerBroken,
@@ -39,6 +45,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "outcome")]
 pub enum RequestOutcome {
+  /// The whole answer was delivered.
   Answered,
   /// Certain that the work did not run.
   NotRun {
@@ -47,9 +54,7 @@
     retry_after_ms: u64,
   },
   /// The work may have run.
-  Unknown {
-    reason: UnknownReason,
-  },
+  Unknown { reason: UnknownReason },
   /// The caller disconnected before the end.
   Abandoned,
 }
--- a/src/decide/timers.rs
+++ b/src/decide/timers.rs
@@ -14,9 +14,9 @@
 /// Every nth heartbeat is a full one, with all load reports and also to other halls.
 const FULL_HEARTBEAT_INTERVAL: u64 = 4;
 const EXTENSIONS_PER_HOLD: u64 = 3;
-const SCAN_PERIOD_MS: u64 = 100;
+const SILENCE_CHECK_PERIOD_MS: u64 = 100;
 const ROLE_PERIOD_MS: u64 = 2_000;
-const SWEEP_PERIOD_MS: u64 = 2_000;
+const ORPHAN_CHECK_PERIOD_MS: u64 = 2_000;
 
 /// The last run of each periodic task, this box's lease as role leader, and its holds.
 #[derive(Debug, Default)]
@@ -26,12 +26,13 @@
   /// The endpoints that this box owned at the last poll.
   owned_endpoints: Vec<Name>,
   poll_ms: u64,
-  scan_ms: u64,
-  sweep_ms: u64,
+  silence_check_ms: u64,
+  orphan_check_ms: u64,
   holds_ms: u64,
   roles_ms: u64,
   lease_until_ms: u64,
   fence: u64,
+  /// When holds were last extended, by engine.
   holds_extended_ms: BTreeMap<Name, u64>,
 }
 
@@ -69,7 +70,11 @@
     let now_ms = self.context.now_ms;
     self.expire_requests();
     self.send_cancels();
-    if is_due(&mut self.timers.scan_ms, now_ms, SCAN_PERIOD_MS) {
+    if is_due(
+      &mut self.timers.silence_check_ms,
+      now_ms,
+      SILENCE_CHECK_PERIOD_MS,
+    ) {
       self.expire_silent();
     }
     if is_due(
@@ -86,7 +91,11 @@
     ) {
       self.send_heartbeats();
     }
-    if is_due(&mut self.timers.sweep_ms, now_ms, SWEEP_PERIOD_MS) {
+    if is_due(
+      &mut self.timers.orphan_check_ms,
+      now_ms,
+      ORPHAN_CHECK_PERIOD_MS,
+    ) {
       self.list_attempts();
     }
     let extension_ms = self.context.tuning().hold_ms / EXTENSIONS_PER_HOLD;
@@ -249,7 +258,8 @@
     }
   }
 
-  /// Aborts the attempts at an engine where no hold was extended for half its time to live: the engine may free them.
+  /// Aborts attempts at engines where holds were not extended for half their time to live, before the engines may free
+  /// them.
   pub(super) fn abort_lost_holds(&mut self) {
     let now_ms = self.context.now_ms;
     let timeout_ms = self.context.tuning().hold_ms / 2;
@@ -284,7 +294,7 @@
     let Some(policy) = self.context.configuration.policy.clone() else {
       return;
     };
-    let models = self.models();
+    let models = self.served_models();
     let pools = models
       .iter()
       .map(|model| self.pool_stats(model))
@@ -319,7 +329,7 @@
     }
   }
 
-  fn models(&self) -> Vec<Name> {
+  fn served_models(&self) -> Vec<Name> {
     let mut models = BTreeSet::new();
     for endpoint in self.context.fleet.iter() {
       if let EndpointKind::Engine { models: served, .. } = &endpoint.spec.kind
--- a/src/decide/tuning.rs
+++ b/src/decide/tuning.rs
@@ -20,6 +20,7 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlacementMode {
+  /// The shortest predicted time to the first token.
   #[default]
   PredictedTime,
   /// Round robin.
