--- a/src/decide/request_outcome.rs
+++ b/src/decide/request_outcome.rs
@@ -54,7 +54,10 @@
     retry_after_ms: u64,
   },
   /// The work may have run.
-  Unknown { reason: UnknownReason },
+  Unknown {
+    /// What happened after the work may have begun.
+    reason: UnknownReason,
+  },
   /// The caller disconnected before the end.
   Abandoned,
 }
