--- a/src/gateway/decisions/box_list.rs
+++ b/src/gateway/decisions/box_list.rs
@@ -126,8 +126,8 @@
     self.coordinators().map(|(name, _)| name.clone()).collect()
   }
 
-  /// The coordinators for a box that is none, in order of preference: those of its hall come first, and the boxes of a hall
-  /// are
+  /// The coordinators for a box that is none, in order of preference: those of its hall first, rotated to spread the boxes
+  /// of the hall over them.
   pub fn coordinators_for(&self, name: &str, hall: &str) -> Vec<SocketAddr> {
     let (mut own, others): (Vec<_>, Vec<_>) = self
       .coordinators()
--- a/src/gateway/decisions/coordinator_limit.rs
+++ b/src/gateway/decisions/coordinator_limit.rs
@@ -29,7 +29,7 @@
 /// ```
 pub fn coordinator_limit(per_s: f64) -> UseLimit {
   let effective_per_s = per_s.max(MIN_PER_S);
-  // A lower limit is exceeded already: no burst on top.
+  // The minimum rate exceeds a lower limit already, so it gets no extra burst.
   let min_burst = if per_s < MIN_PER_S { 1.0 } else { BURST };
   UseLimit {
     burst: min_burst.max(1.0 + effective_per_s * BURST_INTERVAL_S),
--- a/src/gateway/decisions/unavailable.rs
+++ b/src/gateway/decisions/unavailable.rs
@@ -1,6 +1,6 @@
 //! Why an endpoint gets no requests.
 
-/// Why an endpoint gets no requests, and since when.
+/// Why an endpoint gets no requests.
 ///
 /// ```
 /// use rillford::gateway::Unavailable;
@@ -31,13 +31,13 @@
   BackingOff {
     /// Time since it asked.
     requested_ago_ms: u64,
-    /// How long that holds.
+    /// Remaining time.
     remaining_ms: u64,
   },
   /// No permit is available within its limit over all boxes.
   #[error("no permit within the endpoint's limit for another {remaining_ms} ms")]
   NoPermit {
-    /// How long that holds.
+    /// Remaining time.
     remaining_ms: u64,
   },
 }
--- a/src/gateway/decisions/usage_table.rs
+++ b/src/gateway/decisions/usage_table.rs
@@ -147,10 +147,10 @@
   /// The organisations near their limits, with their remaining units.
   pub fn near_limit(&mut self, now_ms: u64) -> Vec<(Name, f64)> {
     let balances = self.balances(now_ms);
-    let short = balances
+    let near_limit = balances
       .into_iter()
       .filter(|(_, remaining, limit)| *remaining < limit.burst * NEAR_LIMIT_SHARE);
-    short
+    near_limit
       .map(|(name, remaining, _)| (name, remaining))
       .collect()
   }
@@ -200,8 +200,8 @@
     };
     if is_new {
       // What an older box charged before this one started is ignored: the time of that usage is unknown.
-      let counts_from_start = from.uptime_ms <= own_uptime_ms;
-      let peer = Peer::new(from.incarnation, counts_from_start);
+      let is_charged_from_start = from.uptime_ms <= own_uptime_ms;
+      let peer = Peer::new(from.incarnation, is_charged_from_start);
       self.peers.insert(from.box_name.clone(), peer);
     }
     let Some(peer) = self.peers.get_mut(&from.box_name) else {
