--- a/tests/gateway/endpoint.rs
+++ b/tests/gateway/endpoint.rs
@@ -205,9 +205,9 @@
   match reply {
     Reply::Write(text) => Reply::Write(marked(text)),
     Reply::WriteAndClose(text) => Reply::WriteAndClose(marked(text)),
-    Reply::WriteLater(pause, text) => Reply::WriteLater(pause, marked(text)),
-    Reply::WriteInTwoParts(first, pause, rest) => {
-      Reply::WriteInTwoParts(marked(first), pause, rest)
+    Reply::WriteLater(delay, text) => Reply::WriteLater(delay, marked(text)),
+    Reply::WriteInTwoParts(first, delay, rest) => {
+      Reply::WriteInTwoParts(marked(first), delay, rest)
     }
     Reply::NoResponse => Reply::NoResponse,
     Reply::Crash(text, down) => Reply::Crash(marked(text), down),
@@ -255,15 +255,15 @@
     state.seen.lock().unwrap().push(request.clone());
     let text = match (state.script)(&request) {
       Reply::Write(text) => text,
-      Reply::WriteLater(pause, text) => {
-        sleep(pause).await;
+      Reply::WriteLater(delay, text) => {
+        sleep(delay).await;
         text
       }
-      Reply::WriteInTwoParts(first, pause, rest) => {
+      Reply::WriteInTwoParts(first, delay, rest) => {
         if stream.write_all(first.as_bytes()).await.is_err() {
           return;
         }
-        sleep(pause).await;
+        sleep(delay).await;
         rest
       }
       Reply::WriteAndClose(text) => {
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -32,9 +32,9 @@
 }
 
 fn rejected_share_within_limit(replays: &[LimitFigures]) -> f64 {
-  let refused: u32 = replays.iter().map(|replay| replay.refused_inside).sum();
-  let inside: u32 = replays.iter().map(|replay| replay.inside).sum();
-  f64::from(refused) / f64::from(inside)
+  let rejected: u32 = replays.iter().map(|replay| replay.refused_inside).sum();
+  let within: u32 = replays.iter().map(|replay| replay.inside).sum();
+  f64::from(rejected) / f64::from(within)
 }
 
 /// An organisation suddenly sends 7.5 times its usual rate; others are within their limits.
--- a/tests/gateway/load.rs
+++ b/tests/gateway/load.rs
@@ -7,16 +7,16 @@
 
 const SEEDS: std::ops::RangeInclusive<u64> = 11..=14;
 
-fn plays(pattern: Pattern, variant: Variant) -> Vec<Figures> {
+fn replays(pattern: Pattern, variant: Variant) -> Vec<Figures> {
   SEEDS.map(|seed| replay(pattern, variant, seed)).collect()
 }
 
-fn served_share(plays: &[Figures]) -> f64 {
-  plays.iter().map(Figures::served_share).sum::<f64>() / plays.len() as f64
+fn served_share(replays: &[Figures]) -> f64 {
+  replays.iter().map(Figures::served_share).sum::<f64>() / replays.len() as f64
 }
 
-fn sum(plays: &[Figures], count: impl Fn(&Figures) -> u32) -> u32 {
-  plays.iter().map(count).sum()
+fn sum(replays: &[Figures], count: impl Fn(&Figures) -> u32) -> u32 {
+  replays.iter().map(count).sum()
 }
 
 fn ignoring_losses() -> Variant {
@@ -30,11 +30,11 @@
 /// below) is enough for this, without backoff from single endpoints.
 #[test]
 fn crashed_engines_get_fewer_requests_when_losses_are_honoured() {
-  let with = plays(Pattern::BurstWithCrash, Variant::default());
-  let without = plays(Pattern::BurstWithCrash, ignoring_losses());
-  let unreached = |plays: &[Figures]| sum(plays, |play| play.unreached_sends);
-  assert!(2 * unreached(&with) < unreached(&without));
-  assert!(served_share(&with) > served_share(&without) + 0.02);
+  let honoured = replays(Pattern::BurstWithCrash, Variant::default());
+  let ignored = replays(Pattern::BurstWithCrash, ignoring_losses());
+  let unreachable_sends = |replays: &[Figures]| sum(replays, |replay| replay.unreached_sends);
+  assert!(2 * unreachable_sends(&honoured) < unreachable_sends(&ignored));
+  assert!(served_share(&honoured) > served_share(&ignored) + 0.02);
 }
 
 /// The crashed engines are in all halls; a box that takes their halls for unreachable prefers others.
@@ -44,10 +44,10 @@
     notices_cut_halls: false,
     ..Variant::default()
   };
-  let with = plays(Pattern::BurstWithCrash, Variant::default());
-  let without = plays(Pattern::BurstWithCrash, variant);
-  let unreached = |plays: &[Figures]| sum(plays, |play| play.unreached_sends);
-  assert!(2 * unreached(&with) < unreached(&without));
+  let honoured = replays(Pattern::BurstWithCrash, Variant::default());
+  let ignored = replays(Pattern::BurstWithCrash, variant);
+  let unreachable_sends = |replays: &[Figures]| sum(replays, |replay| replay.unreached_sends);
+  assert!(2 * unreachable_sends(&honoured) < unreachable_sends(&ignored));
 }
 
 /// Where the observations of one box don't help, honouring them must not harm. Six engines in ten that lose responses for 4
@@ -59,9 +59,9 @@
 #[case::cut_hall(Pattern::CutHall)]
 #[case::all_return(Pattern::AllReturn)]
 fn honouring_losses_serves_nobody_worse(#[case] pattern: Pattern) {
-  let with = served_share(&plays(pattern, Variant::default()));
-  let without = served_share(&plays(pattern, ignoring_losses()));
-  assert!(with >= without - 0.01, "{with} {without}");
+  let honoured = served_share(&replays(pattern, Variant::default()));
+  let ignored = served_share(&replays(pattern, ignoring_losses()));
+  assert!(honoured >= ignored - 0.01, "{honoured} {ignored}");
 }
 
 #[rstest]
@@ -69,6 +69,6 @@
 #[case::cut_hall(Pattern::CutHall)]
 #[case::all_return(Pattern::AllReturn)]
 fn nearly_all_requests_are_served(#[case] pattern: Pattern) {
-  let share = served_share(&plays(pattern, Variant::default()));
+  let share = served_share(&replays(pattern, Variant::default()));
   assert!(share > 0.99, "{share}");
 }
--- a/tests/gateway/notice_tracker.rs
+++ b/tests/gateway/notice_tracker.rs
@@ -238,18 +238,20 @@
 fn replay_of_an_endpoint_that_sheds_load_serves_all_callers_and_keeps_its_backoffs(
   #[case] seed: u64,
 ) {
-  let replay = |way| replay_notices(NoticePattern::OneSheds, NoticeFleet::SMALL, way, seed);
-  let (before, kept) = (replay(NoticeWay::Off), replay(NoticeWay::OwnBoxSpread));
-  assert!(before.most_in_pause > 2 && before.served < before.callers);
-  assert!(kept.most_in_pause <= 2 && kept.served == kept.callers);
-  assert!(kept.repeats < before.repeats);
+  let replay =
+    |strategy| replay_notices(NoticePattern::OneSheds, NoticeFleet::SMALL, strategy, seed);
+  let (ignored, honoured) = (replay(NoticeWay::Off), replay(NoticeWay::OwnBoxSpread));
+  assert!(ignored.most_in_pause > 2 && ignored.served < ignored.callers);
+  assert!(honoured.most_in_pause <= 2 && honoured.served == honoured.callers);
+  assert!(honoured.repeats < ignored.repeats);
 }
 
 #[rstest]
 #[case(1)]
 #[case(2)]
 fn replay_of_an_endpoint_that_leaves_unlisted_gets_nothing_late(#[case] seed: u64) {
-  let replay = |way| replay_notices(NoticePattern::OneLeaves, NoticeFleet::SMALL, way, seed);
+  let replay =
+    |strategy| replay_notices(NoticePattern::OneLeaves, NoticeFleet::SMALL, strategy, seed);
   assert!(replay(NoticeWay::Off).late_after_word > 0);
   assert_eq!(replay(NoticeWay::OwnBoxSpread).late_after_word, 0);
 }
@@ -257,8 +259,9 @@
 /// All endpoints ask for the same backoff; with jitter more callers are served than when all boxes return at once.
 #[test]
 fn replay_of_many_boxes_that_back_off_together_serves_more_with_jitter() {
-  let served = |way| -> u32 {
-    let replay = |seed| replay_notices(NoticePattern::AllShed, NoticeFleet::WIDE, way, seed).served;
+  let served = |strategy| -> u32 {
+    let replay =
+      |seed| replay_notices(NoticePattern::AllShed, NoticeFleet::WIDE, strategy, seed).served;
     (1..=2).map(replay).sum()
   };
   assert!(served(NoticeWay::OwnBoxSpread) > served(NoticeWay::OwnBox));
