--- a/tests/gateway/crashing_request.rs
+++ b/tests/gateway/crashing_request.rs
@@ -36,7 +36,7 @@
 /// An engine that crashes as soon as it runs the crashing request.
 pub(super) fn fragile(seen: &Seen) -> Reply {
   if is_crashing_run(seen) {
-    return Reply::End(
+    return Reply::Crash(
       Reply::stream_part(seen, "").replace("0\r\n\r\n", ""),
       DOWNTIME,
     );
@@ -57,7 +57,7 @@
     let on_start = move |address, start| {
       GatewayTest::enter_life(&store, &id, "decode", address, 1_000 * start);
     };
-    engines.push(EndpointStandIn::start_in_lives(fragile, on_start).await);
+    engines.push(EndpointStandIn::start_restartable(fragile, on_start).await);
   }
   engines
 }
@@ -237,7 +237,7 @@
   let prefill = EndpointStandIn::engine(EVENTS).await;
   test.enter("e-1", "llm", Some("prefill"), &prefill);
   let script = |seen: &Seen| match is_crashing_run(seen) {
-    true => Reply::End(String::new(), RESTART_DELAY),
+    true => Reply::Crash(String::new(), RESTART_DELAY),
     false => engine_reply(seen, EVENTS),
   };
   let store = test.store.clone();
@@ -253,7 +253,7 @@
       GatewayTest::enter_life(&store, "e-10", "decode", address, 1_000 * start);
     });
   };
-  let engine = EndpointStandIn::start_in_lives(script, on_start).await;
+  let engine = EndpointStandIn::start_restartable(script, on_start).await;
   let gateway = test.start().await;
   for number in 0..12 {
     let mut request = gateway.request("/stream/a", &format!("c-{number}"));
@@ -286,7 +286,7 @@
     let script = move |seen: &Seen| {
       let is_run = seen.path.starts_with("/resumable/") && !seen.is_prompt();
       if is_run && crashes.fetch_add(1, Ordering::SeqCst) < 3 {
-        return Reply::End(String::new(), DOWNTIME);
+        return Reply::Crash(String::new(), DOWNTIME);
       }
       engine_reply(seen, EVENTS)
     };
@@ -299,7 +299,7 @@
         start,
       );
     };
-    engines.push(EndpointStandIn::start_in_lives(script, on_start).await);
+    engines.push(EndpointStandIn::start_restartable(script, on_start).await);
   }
   let gateway = test.start().await;
   let served = async || gateway.ask("/resumable/a", "r").await.status == StatusCode::OK;
@@ -331,7 +331,7 @@
   for number in 0..DECODE_ENGINES {
     let store = test.store.clone();
     let script = move |seen: &Seen| match crashing.is_crashed_by(seen) {
-      true => Reply::End(String::new(), DOWNTIME),
+      true => Reply::Crash(String::new(), DOWNTIME),
       false => engine_reply(seen, EVENTS),
     };
     let on_start = move |address, start| {
@@ -341,7 +341,7 @@
         None => GatewayTest::enter_plain_life(&store, &id, address, start),
       }
     };
-    fragile.push(EndpointStandIn::start_in_lives(script, on_start).await);
+    fragile.push(EndpointStandIn::start_restartable(script, on_start).await);
   }
   let gateway = test.start().await;
   let crashing_runs = || {
--- a/tests/gateway/endpoint_limits.rs
+++ b/tests/gateway/endpoint_limits.rs
@@ -4,7 +4,7 @@
 use {
   super::{
     EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply,
-    endpoint::{engine_reply, leaving, limited, turned_away, with_header},
+    endpoint::{engine_reply, leaving, limited, rejection, with_header},
   },
   emulator::eventually,
   futures_util::future::join_all,
@@ -346,7 +346,7 @@
 
 #[tokio::test]
 async fn limited_endpoint_that_requests_backoff_gets_no_requests_meanwhile() {
-  let one = EndpointStandIn::start(|seen| limited(turned_away(seen, "2"), "100")).await;
+  let one = EndpointStandIn::start(|seen| limited(rejection(seen, "2"), "100")).await;
   let other = EndpointStandIn::start(|seen| delayed(Reply::ok(seen, "other"))).await;
   let gateway = GatewayTest::new().await.with_portals(&one, &other).await;
   let boxes = [gateway];
--- a/tests/gateway/notices.rs
+++ b/tests/gateway/notices.rs
@@ -5,7 +5,7 @@
 use {
   super::{
     EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply, Seen,
-    endpoint::{engine_reply, leaving, turned_away},
+    endpoint::{engine_reply, leaving, rejection},
   },
   emulator::eventually,
   futures_util::future::join_all,
@@ -55,7 +55,7 @@
 
 #[tokio::test]
 async fn endpoint_that_requests_backoff_gets_no_requests_meanwhile() {
-  let one = EndpointStandIn::start(|seen| turned_away(seen, "3")).await;
+  let one = EndpointStandIn::start(|seen| rejection(seen, "3")).await;
   let other = EndpointStandIn::start(|seen| Reply::ok(seen, "other")).await;
   let gateway = GatewayTest::new().await.with_portals(&one, &other).await;
   let statuses = ask_for(&gateway, "/unsafe/a", BACKOFF - Duration::from_millis(500)).await;
@@ -77,7 +77,7 @@
     other => panic!("{other}"),
   };
   if is_rejected {
-    turned_away(seen, "3")
+    rejection(seen, "3")
   } else {
     engine_reply(seen, EVENTS)
   }
@@ -198,7 +198,7 @@
   let decode = EndpointStandIn::start(|seen| {
     if seen.path.starts_with("/stream/") {
       let head = Reply::stream_part(seen, EVENTS);
-      return leaving(Reply::WriteInTwo(
+      return leaving(Reply::WriteInTwoParts(
         head,
         Duration::from_millis(800),
         "0\r\n\r\n".into(),
@@ -250,7 +250,7 @@
 /// Only requests that were in flight before the notice reach the endpoint.
 #[tokio::test]
 async fn no_request_is_sent_after_the_notice() {
-  let one = EndpointStandIn::start(|seen| turned_away(seen, "3")).await;
+  let one = EndpointStandIn::start(|seen| rejection(seen, "3")).await;
   let other = EndpointStandIn::start(|seen| Reply::ok(seen, "other")).await;
   let gateway = GatewayTest::new().await.with_portals(&one, &other).await;
   for round in 0..4 {
@@ -293,7 +293,7 @@
 #[tokio::test]
 async fn callers_are_rejected_at_once_with_the_remaining_backoff_when_all_endpoints_back_off() {
   let backing_off = |seen: &Seen| match seen.id() {
-    "first" => turned_away(seen, "1.5"),
+    "first" => rejection(seen, "1.5"),
     _ => Reply::ok(seen, "fine"),
   };
   let one = EndpointStandIn::start(backing_off).await;
