--- a/soak/src/box_process.rs
+++ b/soak/src/box_process.rs
@@ -5,8 +5,8 @@
     caller_key::{OVERAGE, SLACK_UNITS},
     disturbance::Target,
     error::{Error, Result},
-    ledger::Ledger,
     link::Link,
+    recorder::Recorder,
     records::PlannedStop,
   },
   stand_ins::PlatformStore,
@@ -30,7 +30,7 @@
 /// A box that uses all of its time is not killed within this much more.
 const KILL_MARGIN: Duration = Duration::from_millis(1_000);
 /// Pause before a process that has ended is started again.
-const RESTART_PAUSE: Duration = Duration::from_millis(200);
+const RESTART_DELAY: Duration = Duration::from_millis(200);
 
 /// What all boxes of a run share.
 pub(crate) struct BoxPlan<'a> {
@@ -39,7 +39,7 @@
   /// Where settings and logs go.
   pub(crate) directory: &'a Path,
   pub(crate) store: &'a PlatformStore,
-  pub(crate) ledger: &'a Ledger,
+  pub(crate) recorder: &'a Recorder,
 }
 
 /// One box.
@@ -52,12 +52,12 @@
   /// Where the balancer asks whether it is ready.
   pub(crate) ready: SocketAddr,
   pub(crate) store_link: Link,
-  ledger: Ledger,
+  recorder: Recorder,
   program: PathBuf,
   settings: PathBuf,
   log: PathBuf,
   /// Counts the starts.
-  lives: AtomicU64,
+  process_count: AtomicU64,
   /// Nothing while the box is down.
   process: Mutex<Option<Child>>,
 }
@@ -65,7 +65,7 @@
 impl BoxProcess {
   /// Lays out a box's settings and starts it.
   pub(crate) async fn start(plan: &BoxPlan<'_>, index: usize) -> Result<Self> {
-    let [direct, ready, boxes, metrics] = own_addresses(index);
+    let [direct, ready, boxes, metrics] = loopback_addresses(index);
     let store_link = open_link(plan.store.address).await?;
     let callers = open_link(direct).await?;
     let name = format!("north-{index:03}");
@@ -80,8 +80,8 @@
       callers,
       direct,
       index,
-      ledger: plan.ledger.clone(),
-      lives: AtomicU64::new(0),
+      recorder: plan.recorder.clone(),
+      process_count: AtomicU64::new(0),
       log: plan.directory.join(format!("{name}.log")),
       process: Mutex::new(None),
       program: plan.program.into(),
@@ -94,8 +94,8 @@
   }
 
   /// Which process of this box runs now, or ran last.
-  pub(crate) fn life(&self) -> u64 {
-    self.lives.load(Ordering::Relaxed)
+  pub(crate) fn process_number(&self) -> u64 {
+    self.process_count.load(Ordering::Relaxed)
   }
 
   fn spawn(&self) -> Result<Child> {
@@ -107,7 +107,7 @@
         path: self.log.clone(),
         source,
       })?;
-    self.lives.fetch_add(1, Ordering::Relaxed);
+    self.process_count.fetch_add(1, Ordering::Relaxed);
     Command::new(&self.program)
       .args(["gateway", "--settings"])
       .arg(&self.settings)
@@ -135,7 +135,7 @@
     let Some(mut child) = self.process.lock().await.take() else {
       return Ok(());
     };
-    let _disturbed = self.ledger.disturb(Target::Box(self.index));
+    let _disturbed = self.recorder.begin_disturbance(Target::Box(self.index));
     child.kill().await.map_err(Error::Wait)?;
     sleep(Duration::from_millis(down_ms)).await;
     self.start_again().await
@@ -143,32 +143,32 @@
 
   /// Tells the process to stop, waits until it is gone, and starts it again.
   pub(crate) async fn stop(&self) -> Result {
-    let leaving = self.ledger.disturb(Target::Leaving(self.index));
+    let leaving = self.recorder.begin_disturbance(Target::Leaving(self.index));
     if self.signal(libc::SIGTERM).await.is_none() {
       return Ok(());
     }
     // The lock is not held meanwhile: further signals may come.
     let limit = Duration::from_secs_f64(STOP_S) + KILL_MARGIN;
-    let is_gone = timeout(limit, self.is_gone()).await.is_ok();
+    let exited = timeout(limit, self.exited()).await.is_ok();
     let Some(mut child) = self.process.lock().await.take() else {
       return Ok(());
     };
-    if !is_gone {
+    if !exited {
       child.kill().await.map_err(Error::Wait)?;
     }
     let status = child.wait().await.map_err(Error::Wait)?;
     let stop = PlannedStop {
       box_index: self.index,
-      gone_ms: self.ledger.now_ms(),
-      is_clean: is_gone && status.success(),
+      gone_ms: self.recorder.now_ms(),
+      is_clean: exited && status.success(),
       signalled_ms: leaving.began_ms(),
     };
-    self.ledger.records().stops.push(stop);
-    sleep(RESTART_PAUSE).await;
+    self.recorder.records().stops.push(stop);
+    sleep(RESTART_DELAY).await;
     self.start_again().await
   }
 
-  async fn is_gone(&self) {
+  async fn exited(&self) {
     loop {
       let mut process = self.process.lock().await;
       let Some(child) = process.as_mut() else {
@@ -193,7 +193,7 @@
 
   /// Lets the process stand still for a while.
   pub(crate) async fn pause(&self, for_ms: u64) {
-    let _disturbed = self.ledger.disturb(Target::Box(self.index));
+    let _disturbed = self.recorder.begin_disturbance(Target::Box(self.index));
     if self.signal(libc::SIGSTOP).await.is_none() {
       return;
     }
@@ -229,7 +229,7 @@
 
 /// Addresses of a loopback IP that no other box has: a port that was found free on 127.0.0.1 may be taken by an
 /// outgoing connection before the box listens there.
-fn own_addresses<const COUNT: usize>(index: usize) -> [SocketAddr; COUNT] {
+fn loopback_addresses<const COUNT: usize>(index: usize) -> [SocketAddr; COUNT] {
   let process = std::process::id();
   let ip = Ipv4Addr::new(
     127,
--- a/soak/src/caller.rs
+++ b/soak/src/caller.rs
@@ -26,15 +26,15 @@
 /// How long a caller waits.
 const DEADLINE: Duration = Duration::from_millis(4_000);
 /// A request that has not ended this long after its deadline counts as unanswered.
-const ANSWER_MARGIN: Duration = Duration::from_millis(1_500);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(1_500);
 /// Share of requests whose caller leaves early.
-const LEAVE_CHANCE: f64 = 0.05;
+const DISCONNECT_CHANCE: f64 = 0.05;
 /// When it leaves, after sending.
-const LEAVE_AFTER_MS: (u64, u64) = (5, 400);
+const DISCONNECT_AFTER_MS: (u64, u64) = (5, 400);
 /// Pause between requests.
-const PAUSE_MS: (u64, u64) = (5, 60);
+const THINK_TIME_MS: (u64, u64) = (5, 60);
 /// Pause after a refusal or a broken connection: callers come back, not at once.
-const FAILED_PAUSE: Duration = Duration::from_millis(150);
+const RECONNECT_DELAY: Duration = Duration::from_millis(150);
 
 /// What a caller asks for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -73,20 +73,20 @@
 
   /// Asks until told to end.
   pub(crate) async fn run(mut self, end: watch::Receiver<bool>) {
-    self.move_on();
+    self.reconnect();
     while !*end.borrow() {
       let keeps_box = self.ask().await;
       if !keeps_box {
-        self.move_on();
-        sleep(FAILED_PAUSE).await;
+        self.reconnect();
+        sleep(RECONNECT_DELAY).await;
       }
-      let pause_ms = self.random.random_range(PAUSE_MS.0..=PAUSE_MS.1);
+      let pause_ms = self.random.random_range(THINK_TIME_MS.0..=THINK_TIME_MS.1);
       sleep(Duration::from_millis(pause_ms)).await;
     }
   }
 
   /// Takes a new connection to a box that is ready.
-  fn move_on(&mut self) {
+  fn reconnect(&mut self) {
     self.client = HttpClient::default();
     let draw = self.random.random();
     self.box_index = self.fleet.ready_box(draw);
@@ -97,8 +97,8 @@
       return RequestKind::CrashingStream;
     }
     match self.random.random_range(0..4) {
-      0 => RequestKind::Repeatable,
-      1 => RequestKind::Unrepeatable,
+      0 => RequestKind::Retryable,
+      1 => RequestKind::NonRetryable,
       2 => RequestKind::Stream,
       _ => RequestKind::ResumableStream,
     }
@@ -113,8 +113,8 @@
       0..3 => CallerKey::Captions,
       3..5 => CallerKey::Lectures,
       5..7 => CallerKey::Hot,
-      7..9 => CallerKey::Passed,
-      _ => CallerKey::OfVersion(self.fleet.newest_version()),
+      7..9 => CallerKey::Transferred,
+      _ => CallerKey::ForVersion(self.fleet.newest_version()),
     }
   }
 
@@ -124,32 +124,33 @@
     let key = self.key();
     self.count += 1;
     let id = format!("{}-{}", self.name, self.count);
-    let may_leave = self.work == CallerWork::Mixed;
-    let leaves_after_ms = (may_leave && self.random.random_bool(LEAVE_CHANCE)).then(|| {
-      self
-        .random
-        .random_range(LEAVE_AFTER_MS.0..=LEAVE_AFTER_MS.1)
-    });
-    let ledger = &self.fleet.ledger;
+    let may_disconnect = self.work == CallerWork::Mixed;
+    let disconnects_after_ms =
+      (may_disconnect && self.random.random_bool(DISCONNECT_CHANCE)).then(|| {
+        self
+          .random
+          .random_range(DISCONNECT_AFTER_MS.0..=DISCONNECT_AFTER_MS.1)
+      });
+    let recorder = &self.fleet.recorder;
     let request = self.request(kind, key, &id);
-    ledger.sent(&id, kind, key, self.box_index);
-    let limit = leaves_after_ms.map_or(DEADLINE + ANSWER_MARGIN, Duration::from_millis);
+    recorder.sent(&id, kind, key, self.box_index);
+    let limit = disconnects_after_ms.map_or(DEADLINE + RESPONSE_MARGIN, Duration::from_millis);
     let asked = timeout(limit, self.answer(request)).await;
     let (outcome, keeps_box) = match asked {
       Ok((outcome, keeps_box)) => (outcome, keeps_box),
-      Err(_) if leaves_after_ms.is_some() => (Outcome::Left, false),
+      Err(_) if disconnects_after_ms.is_some() => (Outcome::Disconnected, false),
       Err(_) => (Outcome::Unanswered, false),
     };
-    ledger.ended(&id, outcome);
+    recorder.ended(&id, outcome);
     keeps_box
   }
 
   fn request(&self, kind: RequestKind, key: CallerKey, id: &str) -> Request<Full<Bytes>> {
     let address = self.fleet.boxes[self.box_index].callers.address;
     let (method, name, body): (_, _, &[u8]) = match kind {
-      RequestKind::Repeatable => (Method::GET, id, b""),
+      RequestKind::Retryable => (Method::GET, id, b""),
       RequestKind::CrashingStream => (Method::POST, CRASHING_NAME, CRASHING_BODY),
-      RequestKind::Unrepeatable | RequestKind::Stream | RequestKind::ResumableStream => {
+      RequestKind::NonRetryable | RequestKind::Stream | RequestKind::ResumableStream => {
         (Method::POST, id, b"prompt")
       }
     };
@@ -175,26 +176,32 @@
   }
 
   /// Notes whose answer says that its endpoint leaves, or names a limit.
-  fn note_words(&self, headers: &HeaderMap) {
+  fn record_signals(&self, headers: &HeaderMap) {
     let Some(incarnation) = receipt(headers) else {
       return;
     };
     if headers.contains_key("server-leaving") {
-      self.fleet.ledger.told_leaving(self.box_index, incarnation);
+      self
+        .fleet
+        .recorder
+        .leaving_received(self.box_index, incarnation);
     }
     if headers.contains_key("server-limit") {
-      self.fleet.ledger.told_limit(self.box_index, incarnation);
+      self
+        .fleet
+        .recorder
+        .record_limit_received(self.box_index, incarnation);
     }
   }
 
   async fn answer(&self, request: Request<Full<Bytes>>) -> (Outcome, bool) {
     match self.client.send(request).await {
       Ok(response) => {
-        self.note_words(response.headers());
+        self.record_signals(response.headers());
         read(response).await
       }
       Err(_) => (
-        Outcome::Broken {
+        Outcome::ConnectionLost {
           body: String::new(),
           status: None,
         },
@@ -231,13 +238,13 @@
   }
   let body = String::from_utf8_lossy(&bytes).into_owned();
   let outcome = if is_whole {
-    Outcome::Whole {
+    Outcome::Complete {
       body,
       receipt,
       status,
     }
   } else {
-    Outcome::Broken {
+    Outcome::ConnectionLost {
       body,
       status: Some(status),
     }
--- a/soak/src/caller_key.rs
+++ b/soak/src/caller_key.rs
@@ -10,12 +10,12 @@
 pub(crate) const REQUEST_UNITS: u64 = 150;
 /// The limit of the hot organisation in versions with even numbers; it is cut to this part in the others.
 pub(crate) const HOT_UNITS_PER_S: f64 = 2_000.0;
-const CUT_SHARE: f64 = 0.75;
+const REDUCED_SHARE: f64 = 0.75;
 /// What its use may go beyond a limit in a window, in part and in units.
 pub(crate) const OVERAGE: f64 = 0.1;
 pub(crate) const SLACK_UNITS: f64 = 4_000.0;
 /// Versions in which a version's own key is held, its own included.
-const HELD_VERSIONS: u64 = 2;
+const KEY_LIFETIME_VERSIONS: u64 = 2;
 
 /// A caller's key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -27,14 +27,14 @@
   /// Of the organisation that asks for too much.
   Hot,
   /// Passed from one organisation to the other with each version.
-  Passed,
+  Transferred,
   /// Added with a version and taken away with a later one.
-  OfVersion(u64),
+  ForVersion(u64),
 }
 
 impl CallerKey {
   /// The keys that are never taken away.
-  const LASTING: [Self; 4] = [Self::Captions, Self::Lectures, Self::Hot, Self::Passed];
+  const PERMANENT: [Self; 4] = [Self::Captions, Self::Lectures, Self::Hot, Self::Transferred];
 
   /// The key itself.
   pub(crate) fn text(self) -> String {
@@ -42,8 +42,8 @@
       Self::Captions => "key-of-captions".into(),
       Self::Lectures => "key-of-lectures".into(),
       Self::Hot => "key-of-hot".into(),
-      Self::Passed => "key-passed".into(),
-      Self::OfVersion(version) => format!("key-of-version-{version}"),
+      Self::Transferred => "key-passed".into(),
+      Self::ForVersion(version) => format!("key-of-version-{version}"),
     }
   }
 
@@ -53,17 +53,17 @@
       Self::Captions => Some(CAPTIONS),
       Self::Lectures => Some(LECTURES),
       Self::Hot => Some(HOT),
-      Self::Passed if version.is_multiple_of(2) => Some(CAPTIONS),
-      Self::Passed => Some(LECTURES),
-      Self::OfVersion(own) if version < own || version >= own + HELD_VERSIONS => None,
-      Self::OfVersion(_) => Some(CAPTIONS),
+      Self::Transferred if version.is_multiple_of(2) => Some(CAPTIONS),
+      Self::Transferred => Some(LECTURES),
+      Self::ForVersion(own) if version < own || version >= own + KEY_LIFETIME_VERSIONS => None,
+      Self::ForVersion(_) => Some(CAPTIONS),
     }
   }
 
   /// The version that takes it away.
-  pub(crate) fn taken_with(self) -> Option<u64> {
+  pub(crate) fn revoked_in(self) -> Option<u64> {
     match self {
-      Self::OfVersion(own) => Some(own + HELD_VERSIONS),
+      Self::ForVersion(own) => Some(own + KEY_LIFETIME_VERSIONS),
       _ => None,
     }
   }
@@ -71,9 +71,12 @@
 
 /// The organisations of a version, as the operator writes them.
 pub(crate) fn organisations(version: u64) -> Value {
-  let oldest = version.saturating_sub(HELD_VERSIONS - 1).max(1);
-  let of_versions = (oldest..=version).map(CallerKey::OfVersion);
-  let keys: Vec<CallerKey> = CallerKey::LASTING.into_iter().chain(of_versions).collect();
+  let oldest = version.saturating_sub(KEY_LIFETIME_VERSIONS - 1).max(1);
+  let of_versions = (oldest..=version).map(CallerKey::ForVersion);
+  let keys: Vec<CallerKey> = CallerKey::PERMANENT
+    .into_iter()
+    .chain(of_versions)
+    .collect();
   let organisation = |name: &str| {
     let held: Vec<String> = keys
       .iter()
@@ -86,7 +89,7 @@
   let share = if version.is_multiple_of(2) {
     1.0
   } else {
-    CUT_SHARE
+    REDUCED_SHARE
   };
   hot["ratePerS"] = json!(HOT_UNITS_PER_S * share);
   hot["burst"] = json!(HOT_UNITS_PER_S * share);
--- a/soak/src/cold_check.rs
+++ b/soak/src/cold_check.rs
@@ -12,31 +12,31 @@
 /// The users' bound: in one second so many times that, and so many requests besides.
 const WINDOW_MS: u64 = 1_000;
 const ALLOWED_FACTOR: f64 = 1.5;
-const ALLOWED_BESIDES: f64 = 5.0;
+const ALLOWED_EXTRA: f64 = 5.0;
 
 /// Starts after which the endpoint was sent more than it carried. Boxes that were struck since are left out, and endpoints that
 /// came back under their id: the entry of the life before stood until then.
 pub(crate) fn cold_breaches(records: &Records) -> Vec<Breach> {
   let starts = records.starts.iter();
   starts
-    .filter(|start| is_first_life(records, start))
-    .filter_map(|start| beyond_cold_rate(records, start))
+    .filter(|start| is_first_start(records, start))
+    .filter_map(|start| exceeded_cold_rate(records, start))
     .collect()
 }
 
-fn is_first_life(records: &Records, start: &Start) -> bool {
+fn is_first_start(records: &Records, start: &Start) -> bool {
   let mut earlier = records.starts.iter();
   !earlier.any(|other| other.incarnation == start.incarnation && other.at_ms < start.at_ms)
 }
 
-fn beyond_cold_rate(records: &Records, start: &Start) -> Option<Breach> {
+fn exceeded_cold_rate(records: &Records, start: &Start) -> Option<Breach> {
   let span = start.at_ms..start.at_ms + COLD_MS;
   let mut began_ms: Vec<u64> = Vec::new();
   for request in records.requests.values() {
     let runs = request.runs.iter().filter(|run| {
       run.incarnation == start.incarnation
         && span.contains(&run.began_ms)
-        && records.is_same_life(&run.incarnation, start.at_ms + 1, run.began_ms)
+        && records.has_not_restarted(&run.incarnation, start.at_ms + 1, run.began_ms)
         && records.is_connected(request.box_index, start.at_ms, run.began_ms)
     });
     began_ms.extend(runs.map(|run| run.began_ms));
@@ -49,12 +49,12 @@
       .count()
   };
   let most = began_ms.iter().map(within).max()?;
-  if most as f64 <= COLD_PER_S * ALLOWED_FACTOR + ALLOWED_BESIDES {
+  if most as f64 <= COLD_PER_S * ALLOWED_FACTOR + ALLOWED_EXTRA {
     return None;
   }
   let seen = format!(
     "{} was cold from {} ms on, and got {most} requests in a second",
     start.incarnation, start.at_ms
   );
-  Some(Breach::new(Promise::ColdRateKept, seen))
+  Some(Breach::new(Promise::ColdRateHonoured, seen))
 }
--- a/soak/src/configuration.rs
+++ b/soak/src/configuration.rs
@@ -4,7 +4,7 @@
   super::{
     caller_key::organisations,
     cold_check::{COLD_MS, COLD_PER_S},
-    endpoint_state::SEATS,
+    endpoint_state::SLOTS,
     exports::EXPORT_TTL,
     request_kind::RequestKind,
   },
@@ -14,19 +14,19 @@
 /// The host of all routes.
 pub(crate) const HOST: &str = "lectures.example";
 /// How many versions' routes a configuration has: a box is asked for the newest of them.
-const KEPT_VERSIONS: u64 = 12;
+const VERSION_ROUTES: u64 = 12;
 
 /// A version of the configuration: each has a route of its own by which it is known.
 pub(crate) fn document(version: u64) -> Value {
-  let oldest = version.saturating_sub(KEPT_VERSIONS - 1).max(1);
+  let oldest = version.saturating_sub(VERSION_ROUTES - 1).max(1);
   let mut routes = vec![
-    route(RequestKind::Repeatable, "safe", "portal"),
-    route(RequestKind::Unrepeatable, "unsafe", "portal"),
+    route(RequestKind::Retryable, "safe", "portal"),
+    route(RequestKind::NonRetryable, "unsafe", "portal"),
     route(RequestKind::Stream, "stream", "llm"),
     route(RequestKind::ResumableStream, "stream", "llm"),
   ];
   routes.extend((oldest..=version).map(|kept| {
-    let mut route = route(RequestKind::Repeatable, "safe", "portal");
+    let mut route = route(RequestKind::Retryable, "safe", "portal");
     route["name"] = json!(version_path(kept));
     route["pathPrefix"] = json!(version_path(kept));
     route["allowAnonymous"] = json!(true);
@@ -41,7 +41,7 @@
        "coldPerS": COLD_PER_S},
       {"name": "llm", "healthPath": "/health", "maxConnections": 400, "coldStartS": cold_start_s,
        "coldPerS": COLD_PER_S, "engine": {
-        "slots": SEATS, "kvTokens": 60_000, "handleTtlS": EXPORT_TTL.as_secs_f64(), "holdMs": 2_000.0}},
+        "slots": SLOTS, "kvTokens": 60_000, "handleTtlS": EXPORT_TTL.as_secs_f64(), "holdMs": 2_000.0}},
     ],
     "limits": {"maxHeaderBytes": 16_384, "maxBodyBytes": 65_536, "headerTimeoutMs": 3_000,
       "idleTimeoutMs": 15_000},
@@ -52,7 +52,7 @@
 fn route(kind: RequestKind, word: &str, service: &str) -> Value {
   json!({
     "name": kind.path(), "host": HOST, "pathPrefix": kind.path(), "kind": word, "timeoutMs": 4_000,
-    "targetLatencyMs": 900, "priority": 1, "service": service, "maxAttempts": kind.most_attempts(),
+    "targetLatencyMs": 900, "priority": 1, "service": service, "maxAttempts": kind.max_attempts(),
     "resumable": kind == RequestKind::ResumableStream,
   })
 }
--- a/soak/src/content.rs
+++ b/soak/src/content.rs
@@ -1,7 +1,7 @@
 //! What endpoints answer to a request. Callers know it beforehand, so that a mixed or cut answer shows.
 
 /// The fewest events of a stream.
-const LEAST_EVENTS: u64 = 4;
+const MIN_EVENTS: u64 = 4;
 /// Streams differ in length by up to this many events.
 const EVENT_SPREAD: u64 = 24;
 
@@ -11,14 +11,14 @@
 pub(crate) const CRASHING_NAME: &str = "crashing";
 
 /// The whole answer of a plain endpoint.
-pub(crate) fn plain_answer(id: &str) -> String {
+pub(crate) fn plain_response(id: &str) -> String {
   format!("answer to {id}\n").repeat(8)
 }
 
 /// How many events the stream of a request has.
 pub(crate) fn event_count(id: &str) -> u64 {
   let sum: u64 = id.bytes().map(u64::from).sum();
-  LEAST_EVENTS + sum % EVENT_SPREAD
+  MIN_EVENTS + sum % EVENT_SPREAD
 }
 
 /// One event of a request's stream; events count from 1.
--- a/soak/src/disturbance.rs
+++ b/soak/src/disturbance.rs
@@ -10,7 +10,7 @@
   /// The way from one box to the store.
   StoreLink(usize),
   /// An endpoint's place: its process, its answers or its connections.
-  Place(usize),
+  Endpoint(usize),
   /// The store.
   Store,
 }
--- a/soak/src/endpoint.rs
+++ b/soak/src/endpoint.rs
@@ -3,15 +3,15 @@
 use {
   super::{
     content::{self, CRASHING_BODY},
-    endpoint_state::{EndpointState, SEATS},
-    engine_news::{EngineNewsItem, EngineReports},
+    endpoint_kind::EndpointKind,
+    endpoint_state::{EndpointState, SLOTS},
+    engine_event::{EngineEvent, EngineEventSender},
     event_stream::EventStream,
     exports::Exports,
     fault::EndpointFault,
-    ledger::{Ledger, RunGuard},
-    part::Part,
-    records::OrderRecord,
-    reply::{ReplyBody, cut_body, json_answer, not_run, status, wants_pause, whole},
+    recorder::{Recorder, RunGuard},
+    records::RoleCommandRecord,
+    reply::{ReplyBody, cut_body, json_response, not_run, status, whole, with_retry_after},
   },
   bytes::Bytes,
   http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode, header::AUTHORIZATION},
@@ -29,19 +29,19 @@
 };
 
 /// How long a plain request takes.
-const PLAIN_WORK: Duration = Duration::from_millis(12);
+const PLAIN_DURATION: Duration = Duration::from_millis(12);
 /// How long a prompt takes to be read.
-const PROMPT_WORK: Duration = Duration::from_millis(8);
+const PREFILL_DURATION: Duration = Duration::from_millis(8);
 /// How much longer an engine takes that reads a prompt for itself.
-const OWN_READING: Duration = Duration::from_millis(20);
+const LOCAL_PREFILL_DURATION: Duration = Duration::from_millis(20);
 /// How much later a slow endpoint begins its work.
-const SLOW_PAUSE: Duration = Duration::from_millis(600);
+const SLOW_DELAY: Duration = Duration::from_millis(600);
 /// The pause that an endpoint wants which turns all away.
 const PAUSE: Duration = Duration::from_secs(3);
 /// How long an engine runs a request that ends it.
 const CRASH_AFTER: Duration = Duration::from_millis(40);
 /// How long an engine changes its role.
-const SWITCH_WORK: Duration = Duration::from_millis(400);
+const SWITCH_DURATION: Duration = Duration::from_millis(400);
 
 /// One incarnation of an endpoint.
 pub(crate) struct Endpoint {
@@ -49,12 +49,12 @@
   place: usize,
   /// The address under which boxes know it.
   shown: SocketAddr,
-  ledger: Ledger,
+  recorder: Recorder,
   exports: Exports,
   state: Mutex<EndpointState>,
   /// Counts the starts of all endpoints: the time of this one's.
   pub(crate) born: u64,
-  reports: EngineReports,
+  reports: EngineEventSender,
 }
 
 /// Who an incarnation is.
@@ -62,7 +62,7 @@
   pub(crate) incarnation: String,
   pub(crate) born: u64,
   pub(crate) place: usize,
-  pub(crate) part: Part,
+  pub(crate) kind: EndpointKind,
   /// The address under which boxes know it.
   pub(crate) shown: SocketAddr,
 }
@@ -70,19 +70,19 @@
 impl Endpoint {
   pub(crate) fn new(
     identity: Identity,
-    ledger: &Ledger,
+    recorder: &Recorder,
     exports: &Exports,
-    reports: EngineReports,
+    reports: EngineEventSender,
   ) -> Arc<Self> {
     Arc::new(Self {
       born: identity.born,
       exports: exports.clone(),
       incarnation: identity.incarnation,
-      ledger: ledger.clone(),
+      recorder: recorder.clone(),
       place: identity.place,
       reports,
       shown: identity.shown,
-      state: Mutex::new(EndpointState::new(identity.part)),
+      state: Mutex::new(EndpointState::new(identity.kind)),
     })
   }
 
@@ -91,8 +91,8 @@
     self.state.lock().unwrap_or_else(PoisonError::into_inner)
   }
 
-  pub(crate) fn part(&self) -> Part {
-    self.state().part
+  pub(crate) fn kind(&self) -> EndpointKind {
+    self.state().kind
   }
 
   pub(crate) fn set_fault(&self, fault: Option<EndpointFault>) {
@@ -107,22 +107,22 @@
   /// From now on all of its answers name this limit, or none.
   pub(crate) fn set_limit(&self, per_s: Option<u32>) {
     match per_s {
-      Some(per_s) => self.ledger.names_limit(&self.incarnation, per_s),
-      None => self.ledger.names_no_limit(&self.incarnation),
+      Some(per_s) => self.recorder.begin_limit(&self.incarnation, per_s),
+      None => self.recorder.end_limit(&self.incarnation),
     }
     self.state().limit_per_s = per_s;
   }
 
   /// Drops the prompts that it keeps.
   pub(crate) fn drop_exports(&self) {
-    self.exports.drop_all_of(self.shown);
+    self.exports.remove_all_of(self.shown);
   }
 
   /// Takes the reserved seat, or a free one; whether there was one.
-  pub(crate) fn take_seat(&self, hold: Option<&str>) -> bool {
+  pub(crate) fn take_slot(&self, hold: Option<&str>) -> bool {
     let mut state = self.state();
     let reserved = hold.is_some_and(|id| state.holds.remove(id).is_some());
-    if !reserved && !state.has_seat() {
+    if !reserved && !state.has_free_slot() {
       return false;
     }
     state.running += 1;
@@ -130,7 +130,7 @@
   }
 
   /// Frees a seat that was taken.
-  pub(crate) fn free_seat(&self) {
+  pub(crate) fn release_slot(&self) {
     self.state().running -= 1;
   }
 
@@ -138,12 +138,12 @@
   pub(crate) fn held(&self) -> Vec<String> {
     let mut state = self.state();
     // Forgets the reservations that are over.
-    state.has_seat();
+    state.has_free_slot();
     let name = &self.incarnation;
     let mut held: Vec<String> = state
       .holds
       .keys()
-      .map(|id| format!("seat {id} at {name}"))
+      .map(|id| format!("slot {id} at {name}"))
       .collect();
     if state.running > 0 {
       held.push(format!("{} running at {name}", state.running));
@@ -185,7 +185,9 @@
       (&Method::POST, "/order") => Ok(self.order(&body)),
       (&Method::GET, "/report") => Ok(self.report()),
       (&Method::DELETE, path) => Ok(self.free(path)),
-      _ if body == CRASHING_BODY && self.part() == Part::Decode => self.crash(&head.headers).await,
+      _ if body == CRASHING_BODY && self.kind() == EndpointKind::Decode => {
+        self.crash(&head.headers).await
+      }
       _ => self.work(&head.headers).await,
     }
   }
@@ -193,16 +195,19 @@
   fn reserve(&self, body: &Bytes) -> Response<ReplyBody> {
     let mut state = self.state();
     if state.fault == Some(EndpointFault::Sheds) {
-      return wants_pause(status(StatusCode::SERVICE_UNAVAILABLE), PAUSE);
+      return with_retry_after(status(StatusCode::SERVICE_UNAVAILABLE), PAUSE);
     }
-    if state.part == Part::Plain || state.fault == Some(EndpointFault::Full) || !state.has_seat() {
+    if state.kind == EndpointKind::Plain
+      || state.fault == Some(EndpointFault::Full)
+      || !state.has_free_slot()
+    {
       return status(StatusCode::SERVICE_UNAVAILABLE);
     }
     let call: Value = serde_json::from_slice(body).unwrap_or_default();
     let ttl = Duration::from_millis(call["ttlMs"].as_u64().unwrap_or(0));
     let id = format!("h{}", state.next_number());
     state.holds.insert(id.clone(), Instant::now() + ttl);
-    json_answer(json!({"hold": id}))
+    json_response(json!({"hold": id}))
   }
 
   fn free(&self, path: &str) -> Response<ReplyBody> {
@@ -217,8 +222,8 @@
 
   fn report(&self) -> Response<ReplyBody> {
     let state = self.state();
-    json_answer(json!({
-      "stage": state.part.stage(), "callSeq": state.orders_taken, "utilization": state.switching,
+    json_response(json!({
+      "stage": state.kind.stage(), "callSeq": state.commands_taken, "utilization": state.switching,
       "inFlight": state.running, "queued": 0,
     }))
   }
@@ -228,48 +233,48 @@
     let (Some(holder), Some(fence)) = (call["holder"].as_str(), call["fence"].as_u64()) else {
       return status(StatusCode::BAD_REQUEST);
     };
-    let Some(part) = call["stage"].as_str().and_then(Part::of_stage) else {
+    let Some(kind) = call["stage"].as_str().and_then(EndpointKind::from_stage) else {
       return status(StatusCode::BAD_REQUEST);
     };
-    let order = OrderRecord {
+    let order = RoleCommandRecord {
       fence,
       holder: holder.into(),
       incarnation: self.incarnation.clone(),
     };
-    self.ledger.records().orders.push(order);
+    self.recorder.records().role_commands.push(order);
     let mut state = self.state();
     if state.switching
       || call["prevRevision"]
         .as_u64()
-        .is_some_and(|taken| taken != state.orders_taken)
+        .is_some_and(|taken| taken != state.commands_taken)
     {
       return status(StatusCode::CONFLICT);
     }
-    if state.part == part {
+    if state.kind == kind {
       return status(StatusCode::OK);
     }
-    state.orders_taken += 1;
+    state.commands_taken += 1;
     state.switching = true;
     drop(state);
-    tokio::spawn(self.clone().switch(part));
+    tokio::spawn(self.clone().switch(kind));
     status(StatusCode::ACCEPTED)
   }
 
-  async fn switch(self: Arc<Self>, part: Part) {
-    sleep(SWITCH_WORK).await;
+  async fn switch(self: Arc<Self>, kind: EndpointKind) {
+    sleep(SWITCH_DURATION).await;
     let mut state = self.state();
-    state.part = part;
+    state.kind = kind;
     state.switching = false;
     drop(state);
     // Nobody is told once the run is over.
     let _ = self
       .reports
-      .send(EngineNewsItem::ChangedPart { place: self.place });
+      .send(EngineEvent::RoleChanged { place: self.place });
   }
 
   /// Begins to run a request, and ends in the middle of it.
   async fn crash(self: Arc<Self>, headers: &HeaderMap) -> io::Result<Response<ReplyBody>> {
-    let Some(_seat) = Seat::take(&self, header(headers, "x-hold")) else {
+    let Some(_slot) = SlotGuard::take(&self, header(headers, "x-hold")) else {
       return Ok(not_run(headers, StatusCode::SERVICE_UNAVAILABLE));
     };
     let id = header(headers, "x-request-id").unwrap_or_default();
@@ -277,7 +282,7 @@
     sleep(CRASH_AFTER).await;
     let incarnation = self.incarnation.clone();
     // Nobody is told once the run is over.
-    let _ = self.reports.send(EngineNewsItem::Crashed {
+    let _ = self.reports.send(EngineEvent::Crashed {
       incarnation,
       place: self.place,
     });
@@ -289,28 +294,28 @@
     let id = header(headers, "x-request-id")
       .unwrap_or_default()
       .to_string();
-    let (part, fault, switching) = {
+    let (kind, fault, switching) = {
       let state = self.state();
-      (state.part, state.fault, state.switching)
+      (state.kind, state.fault, state.switching)
     };
     if fault == Some(EndpointFault::Full) || switching {
       return Ok(not_run(headers, StatusCode::SERVICE_UNAVAILABLE));
     }
     if fault == Some(EndpointFault::Sheds) {
       let pause_ms = u64::try_from(PAUSE.as_millis()).unwrap_or(u64::MAX);
-      self.ledger.turned_away(&id, &self.incarnation, pause_ms);
+      self.recorder.rejections(&id, &self.incarnation, pause_ms);
       let refusal = not_run(headers, StatusCode::SERVICE_UNAVAILABLE);
-      return Ok(wants_pause(refusal, PAUSE));
+      return Ok(with_retry_after(refusal, PAUSE));
     }
     if fault == Some(EndpointFault::Slow) {
-      sleep(SLOW_PAUSE).await;
+      sleep(SLOW_DELAY).await;
     }
-    let reads_prompt = header(headers, "x-serving-stage") == Some("prefill");
-    match (part, reads_prompt) {
-      (Part::Plain, _) => self.run_plain(&id, headers, fault).await,
-      (Part::Prefill, true) => self.read_prompt(&id, fault).await,
-      (Part::Decode, false) => self.run_stream(&id, headers, fault).await,
-      (Part::Prefill, false) | (Part::Decode, true) => {
+    let is_prefill = header(headers, "x-serving-stage") == Some("prefill");
+    match (kind, is_prefill) {
+      (EndpointKind::Plain, _) => self.run_plain(&id, headers, fault).await,
+      (EndpointKind::Prefill, true) => self.run_prefill(&id, fault).await,
+      (EndpointKind::Decode, false) => self.run_stream(&id, headers, fault).await,
+      (EndpointKind::Prefill, false) | (EndpointKind::Decode, true) => {
         Ok(not_run(headers, StatusCode::MISDIRECTED_REQUEST))
       }
     }
@@ -320,11 +325,11 @@
   fn run(&self, id: &str, headers: &HeaderMap) -> RunGuard {
     if headers.contains_key(AUTHORIZATION) {
       let seen = format!("{id} at {}", self.incarnation);
-      self.ledger.records().shown_keys.push(seen);
+      self.recorder.records().leaked_keys.push(seen);
     }
     let organisation = header(headers, "x-tenant").unwrap_or_default();
     self
-      .ledger
+      .recorder
       .run(id, self.place, &self.incarnation, organisation)
   }
 
@@ -335,33 +340,33 @@
     fault: Option<EndpointFault>,
   ) -> io::Result<Response<ReplyBody>> {
     let _run = self.run(id, headers);
-    sleep(PLAIN_WORK).await;
-    self.spoiled(id, fault).await?;
+    sleep(PLAIN_DURATION).await;
+    self.apply_fault(id, fault).await?;
     match fault {
       Some(EndpointFault::Fails) => {
-        Ok(self.sealed(id, StatusCode::INTERNAL_SERVER_ERROR, whole("failed")))
+        Ok(self.response(id, StatusCode::INTERNAL_SERVER_ERROR, whole("failed")))
       }
-      Some(EndpointFault::CutsAnswers) => {
-        Ok(self.sealed(id, StatusCode::OK, cut_body(&content::plain_answer(id))))
+      Some(EndpointFault::TruncatesResponses) => {
+        Ok(self.response(id, StatusCode::OK, cut_body(&content::plain_response(id))))
       }
-      _ => Ok(self.sealed(id, StatusCode::OK, whole(&content::plain_answer(id)))),
+      _ => Ok(self.response(id, StatusCode::OK, whole(&content::plain_response(id)))),
     }
   }
 
-  async fn read_prompt(
+  async fn run_prefill(
     &self,
     id: &str,
     fault: Option<EndpointFault>,
   ) -> io::Result<Response<ReplyBody>> {
-    sleep(PROMPT_WORK).await;
-    self.spoiled(id, fault).await?;
+    sleep(PREFILL_DURATION).await;
+    self.apply_fault(id, fault).await?;
     if fault == Some(EndpointFault::Fails) {
-      return Ok(self.sealed(id, StatusCode::INTERNAL_SERVER_ERROR, whole("failed")));
+      return Ok(self.response(id, StatusCode::INTERNAL_SERVER_ERROR, whole("failed")));
     }
     let handle = format!("e{}", self.state().next_number());
     self.exports.keep(format!("{}/{handle}", self.shown), id);
     let body = json!({"promptHandle": handle, "tokens": 1, "version": 1}).to_string();
-    Ok(self.sealed(id, StatusCode::OK, whole(&body)))
+    Ok(self.response(id, StatusCode::OK, whole(&body)))
   }
 
   async fn run_stream(
@@ -375,31 +380,31 @@
         Some(request) if request == id => {}
         Some(request) => {
           let seen = format!("{id} goes on from the prompt of {request}");
-          self.ledger.records().mixed_prompts.push(seen);
+          self.recorder.records().mismatched_prompts.push(seen);
         }
         None => return Ok(not_run(headers, StatusCode::SERVICE_UNAVAILABLE)),
       }
     } else {
-      sleep(OWN_READING).await;
+      sleep(LOCAL_PREFILL_DURATION).await;
     }
-    let Some(seat) = Seat::take(&self, header(headers, "x-hold")) else {
+    let Some(slot) = SlotGuard::take(&self, header(headers, "x-hold")) else {
       return Ok(not_run(headers, StatusCode::SERVICE_UNAVAILABLE));
     };
     let run = self.run(id, headers);
-    self.spoiled(id, fault).await?;
+    self.apply_fault(id, fault).await?;
     if fault == Some(EndpointFault::Fails) {
-      return Ok(self.sealed(id, StatusCode::INTERNAL_SERVER_ERROR, whole("failed")));
+      return Ok(self.response(id, StatusCode::INTERNAL_SERVER_ERROR, whole("failed")));
     }
     let last = header(headers, "last-event-id").and_then(|text| text.parse().ok());
     let first = last.unwrap_or(0) + 1;
     let events = EventStream {
-      cut_at: (fault == Some(EndpointFault::CutsAnswers)).then(|| first + 1),
+      cut_at: (fault == Some(EndpointFault::TruncatesResponses)).then(|| first + 1),
       id: id.into(),
       next: first,
       _run: run,
-      _seat: seat,
+      _slot: slot,
     };
-    let mut response = self.sealed(id, StatusCode::OK, events.into_body());
+    let mut response = self.response(id, StatusCode::OK, events.into_body());
     response.headers_mut().insert(
       "content-type",
       HeaderValue::from_static("text/event-stream"),
@@ -408,10 +413,10 @@
   }
 
   /// Plays the faults that leave no answer; an error closes the connection.
-  async fn spoiled(&self, id: &str, fault: Option<EndpointFault>) -> io::Result<()> {
+  async fn apply_fault(&self, id: &str, fault: Option<EndpointFault>) -> io::Result<()> {
     match fault {
-      Some(EndpointFault::Mute) => pending().await,
-      Some(EndpointFault::LosesAnswers) => {
+      Some(EndpointFault::Hangs) => pending().await,
+      Some(EndpointFault::DropsResponses) => {
         Err(io::Error::other(format!("the answer to {id} is lost")))
       }
       _ => Ok(()),
@@ -419,9 +424,9 @@
   }
 
   /// An answer with this incarnation's receipt.
-  fn sealed(&self, id: &str, status: StatusCode, body: ReplyBody) -> Response<ReplyBody> {
+  fn response(&self, id: &str, status: StatusCode, body: ReplyBody) -> Response<ReplyBody> {
     let state = self.state();
-    let shown_id = if state.fault == Some(EndpointFault::Confuses) {
+    let shown_id = if state.fault == Some(EndpointFault::WrongRequestId) {
       "another"
     } else {
       id
@@ -430,7 +435,7 @@
       .status(status)
       .header("x-request-id", shown_id)
       .header("x-response-seal", &self.incarnation)
-      .header("x-server-load", format!("{},0,{SEATS}", state.running))
+      .header("x-server-load", format!("{},0,{SLOTS}", state.running))
       .body(body)
       .unwrap_or_else(|_| Response::new(whole("")))
   }
@@ -441,20 +446,20 @@
 }
 
 /// A seat of an engine, taken until this is dropped.
-pub(crate) struct Seat(Arc<Endpoint>);
+pub(crate) struct SlotGuard(Arc<Endpoint>);
 
-impl Seat {
+impl SlotGuard {
   /// Takes the reserved seat, or a free one.
   pub(crate) fn take(endpoint: &Arc<Endpoint>, hold: Option<&str>) -> Option<Self> {
-    if !endpoint.take_seat(hold) {
+    if !endpoint.take_slot(hold) {
       return None;
     }
     Some(Self(endpoint.clone()))
   }
 }
 
-impl Drop for Seat {
+impl Drop for SlotGuard {
   fn drop(&mut self) {
-    self.0.free_seat();
+    self.0.release_slot();
   }
 }
--- a/soak/src/part.rs
+++ b/soak/src/endpoint_kind.rs
@@ -2,7 +2,7 @@
 
 /// What an endpoint is; an engine may change its role.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Part {
+pub(crate) enum EndpointKind {
   /// A plain service.
   Plain,
   /// An engine that reads prompts.
@@ -11,7 +11,7 @@
   Decode,
 }
 
-impl Part {
+impl EndpointKind {
   /// The service that it belongs to.
   pub(crate) fn service(self) -> &'static str {
     match self {
@@ -30,9 +30,9 @@
   }
 
   /// The engine with a role that the platform spells so.
-  pub(crate) fn of_stage(stage: &str) -> Option<Self> {
+  pub(crate) fn from_stage(stage: &str) -> Option<Self> {
     [Self::Prefill, Self::Decode]
       .into_iter()
-      .find(|part| part.stage() == Some(stage))
+      .find(|kind| kind.stage() == Some(stage))
   }
 }
--- a/soak/src/endpoint_state.rs
+++ b/soak/src/endpoint_state.rs
@@ -1,23 +1,23 @@
 //! What of an endpoint changes.
 
 use {
-  super::{fault::EndpointFault, part::Part},
+  super::{endpoint_kind::EndpointKind, fault::EndpointFault},
   std::{collections::HashMap, time::Instant},
 };
 
 /// Requests that an engine holds at once.
-pub(crate) const SEATS: usize = 8;
+pub(crate) const SLOTS: usize = 8;
 
 /// What of an endpoint changes.
 pub(crate) struct EndpointState {
-  pub(crate) part: Part,
+  pub(crate) kind: EndpointKind,
   /// Seats that are taken.
   pub(crate) running: usize,
   /// Seats that are reserved, until when.
   pub(crate) holds: HashMap<String, Instant>,
   /// Numbers the reservations and prompts.
   pub(crate) last_number: u64,
-  pub(crate) orders_taken: u64,
+  pub(crate) commands_taken: u64,
   /// Whether it is changing its role.
   pub(crate) switching: bool,
   pub(crate) fault: Option<EndpointFault>,
@@ -28,15 +28,15 @@
 }
 
 impl EndpointState {
-  pub(crate) fn new(part: Part) -> Self {
+  pub(crate) fn new(kind: EndpointKind) -> Self {
     Self {
       fault: None,
       holds: HashMap::new(),
       last_number: 0,
       leaving: false,
       limit_per_s: None,
-      orders_taken: 0,
-      part,
+      commands_taken: 0,
+      kind,
       running: 0,
       switching: false,
     }
@@ -49,9 +49,9 @@
   }
 
   /// Whether a seat is free; forgets the reservations that are over.
-  pub(crate) fn has_seat(&mut self) -> bool {
+  pub(crate) fn has_free_slot(&mut self) -> bool {
     let now = Instant::now();
     self.holds.retain(|_, until| now < *until);
-    self.running + self.holds.len() < SEATS
+    self.running + self.holds.len() < SLOTS
   }
 }
--- a/soak/src/engine_news.rs
+++ b/soak/src/engine_event.rs
@@ -3,9 +3,9 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 
 /// Something that happened to an engine.
-pub(crate) enum EngineNewsItem {
+pub(crate) enum EngineEvent {
   /// It changed its role: its entry has to follow.
-  ChangedPart {
+  RoleChanged {
     /// Where it is.
     place: usize,
   },
@@ -19,7 +19,7 @@
 }
 
 /// Where engines tell it.
-pub(crate) type EngineReports = UnboundedSender<EngineNewsItem>;
+pub(crate) type EngineEventSender = UnboundedSender<EngineEvent>;
 
 /// Where the run hears it.
-pub(crate) type EngineNews = UnboundedReceiver<EngineNewsItem>;
+pub(crate) type EngineEventReceiver = UnboundedReceiver<EngineEvent>;
--- a/soak/src/event_stream.rs
+++ b/soak/src/event_stream.rs
@@ -1,7 +1,7 @@
 //! The body of an engine's answer.
 
 use {
-  super::{content, ledger::RunGuard, reply::ReplyBody},
+  super::{content, recorder::RunGuard, reply::ReplyBody},
   bytes::Bytes,
   futures_util::stream,
   http_body_util::{BodyExt, StreamBody},
@@ -11,7 +11,7 @@
 };
 
 /// Pause between the events of a stream.
-const EVENT_PAUSE: Duration = Duration::from_millis(25);
+const EVENT_INTERVAL: Duration = Duration::from_millis(25);
 
 /// The rest of a stream, sent event by event. The run and its seat last until the stream is dropped.
 pub(crate) struct EventStream<S> {
@@ -20,7 +20,7 @@
   /// The event within which the stream is cut.
   pub(crate) cut_at: Option<u64>,
   pub(crate) _run: RunGuard,
-  pub(crate) _seat: S,
+  pub(crate) _slot: S,
 }
 
 impl<S: Send + 'static> EventStream<S> {
@@ -40,7 +40,7 @@
     if self.next > content::event_count(&self.id) {
       return None;
     }
-    sleep(EVENT_PAUSE).await;
+    sleep(EVENT_INTERVAL).await;
     let event = content::event(&self.id, self.next);
     let is_cut = self.cut_at == Some(self.next);
     self.next += 1;
--- a/soak/src/exports.rs
+++ b/soak/src/exports.rs
@@ -41,7 +41,7 @@
   }
 
   /// Drops the prompts of an endpoint that has ended.
-  pub(crate) fn drop_all_of(&self, address: SocketAddr) {
+  pub(crate) fn remove_all_of(&self, address: SocketAddr) {
     let prefix = format!("{address}/");
     self.lock().retain(|key, _| !key.starts_with(&prefix));
   }
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -11,11 +11,11 @@
     delay_ms: u64,
   },
   /// Nothing passes, and nothing is said.
-  Silent,
+  Blocked,
   /// Nothing passes towards the target.
-  SilentForward,
+  BlockedForward,
   /// Nothing passes back from the target.
-  SilentBack,
+  BlockedBack,
   /// All connections are reset at once; new ones pass.
   Reset,
 }
@@ -31,13 +31,13 @@
     delay_ms: u64,
   },
   /// It carries out writes and does not answer them.
-  LosesAnswers,
+  DropsResponses,
   /// It forgets its history once.
-  ForgetsHistory,
+  CompactsHistory,
   /// It is down, and on its return the endpoints' entries are missing for a while.
   LosesEntries,
   /// The leases that boxes hold are over at once.
-  EndsLeases,
+  ExpiresLeases,
 }
 
 /// How an endpoint misbehaves while it is up.
@@ -46,15 +46,15 @@
   /// It runs requests and answers 500.
   Fails,
   /// It runs requests and closes the connection instead of answering.
-  LosesAnswers,
+  DropsResponses,
   /// It breaks answers off within.
-  CutsAnswers,
+  TruncatesResponses,
   /// It runs requests and never answers.
-  Mute,
+  Hangs,
   /// It says that it is full.
   Full,
   /// It answers with another request's id.
-  Confuses,
+  WrongRequestId,
   /// It turns all away, and wants none for a while.
   Sheds,
   /// It begins its work late: much may change between a prompt and its answer.
@@ -165,12 +165,12 @@
     for_ms: u64,
   },
   /// Two endpoints crash, and each comes back at the other's address.
-  AddressesExchanged {
+  AddressesSwapped {
     /// The one's place.
     place: usize,
     /// The other's.
     other: usize,
   },
   /// The operator changes the configuration.
-  Configured,
+  ConfigurationChanged,
 }
--- a/soak/src/conductor.rs
+++ b/soak/src/fault_injector.rs
@@ -14,16 +14,16 @@
 };
 
 /// An endpoint that leaves serves on for so long (the users' bound on draining, and a little longer).
-const LEAVES_AFTER: Duration = Duration::from_millis(2_800);
+const LEAVING_PERIOD: Duration = Duration::from_millis(2_800);
 /// Endpoints whose entries lapsed are back this soon after the store's return (the users' two seconds).
-const ENTRIES_BACK: Duration = Duration::from_millis(1_200);
+const REREGISTRATION_DELAY: Duration = Duration::from_millis(1_200);
 /// How long an engine is down that a request has ended.
-const CRASHED: Duration = Duration::from_millis(1_000);
+const CRASH_DOWNTIME: Duration = Duration::from_millis(1_000);
 /// The entry of an endpoint that crashed stands for so long, although its address has another owner.
-const STALE_ENTRY: Duration = Duration::from_millis(1_500);
+const STALE_ENTRY_PERIOD: Duration = Duration::from_millis(1_500);
 
 /// Carries out one fault to its end.
-pub(crate) async fn carry_out(fleet: &Fleet, fault: Fault) -> Result {
+pub(crate) async fn inject(fleet: &Fleet, fault: Fault) -> Result {
   match fault {
     Fault::BoxKilled { index, down_ms } => fleet.boxes[index].kill(down_ms).await,
     Fault::BoxStopped { index } => fleet.boxes[index].stop().await,
@@ -59,7 +59,7 @@
       for_ms,
     } => {
       let link = &fleet.places[place].link;
-      disturb_link(fleet, link, Target::Place(place), fault, for_ms).await;
+      disturb_link(fleet, link, Target::Endpoint(place), fault, for_ms).await;
       Ok(())
     }
     Fault::Store { fault, for_ms } => {
@@ -67,7 +67,7 @@
       Ok(())
     }
     Fault::EndpointCrashed { place, down_ms } => crash(fleet, place, down_ms).await,
-    Fault::EndpointLeaves { place } => match fleet.say_leaving(place) {
+    Fault::EndpointLeaves { place } => match fleet.announce_leaving(place) {
       Some(incarnation) => leave(fleet, place, incarnation).await,
       None => Ok(()),
     },
@@ -95,8 +95,8 @@
       disturb_endpoint(fleet, place, fault, for_ms).await;
       Ok(())
     }
-    Fault::AddressesExchanged { place, other } => exchange(fleet, place, other).await,
-    Fault::Configured => {
+    Fault::AddressesSwapped { place, other } => swap_addresses(fleet, place, other).await,
+    Fault::ConfigurationChanged => {
       fleet.configure();
       Ok(())
     }
@@ -104,14 +104,14 @@
 }
 
 async fn disturb_link(fleet: &Fleet, link: &Link, target: Target, fault: LinkFault, for_ms: u64) {
-  let _disturbed = fleet.ledger.disturb(target);
+  let _disturbed = fleet.recorder.begin_disturbance(target);
   link.begin(fault);
   sleep(Duration::from_millis(for_ms)).await;
-  link.mend();
+  link.clear();
 }
 
 async fn disturb_endpoint(fleet: &Fleet, place: usize, fault: EndpointFault, for_ms: u64) {
-  let _disturbed = fleet.ledger.disturb(Target::Place(place));
+  let _disturbed = fleet.recorder.begin_disturbance(Target::Endpoint(place));
   fleet.with_endpoint(place, |endpoint| endpoint.set_fault(Some(fault)));
   sleep(Duration::from_millis(for_ms)).await;
   fleet.with_endpoint(place, |endpoint| endpoint.set_fault(None));
@@ -141,7 +141,7 @@
 
 async fn disturb_store(fleet: &Fleet, fault: StoreFault, lasts: Duration) {
   let store = &fleet.store;
-  let _disturbed = fleet.ledger.disturb(Target::Store);
+  let _disturbed = fleet.recorder.begin_disturbance(Target::Store);
   match fault {
     StoreFault::Down => {
       store.set_down(true);
@@ -153,39 +153,39 @@
       sleep(lasts).await;
       store.set_delay(Duration::ZERO);
     }
-    StoreFault::LosesAnswers => {
+    StoreFault::DropsResponses => {
       store.set_loses_answers(true);
       sleep(lasts).await;
       store.set_loses_answers(false);
     }
-    StoreFault::ForgetsHistory => store.forget_history(),
+    StoreFault::CompactsHistory => store.forget_history(),
     StoreFault::LosesEntries => {
       store.set_down(true);
       sleep(lasts).await;
       fleet.remove_entries();
       store.set_down(false);
-      sleep(ENTRIES_BACK).await;
+      sleep(REREGISTRATION_DELAY).await;
       for place in 0..fleet.places.len() {
-        fleet.enter(place);
+        fleet.register(place);
       }
     }
-    StoreFault::EndsLeases => store.end_leases(),
+    StoreFault::ExpiresLeases => store.end_leases(),
   }
 }
 
 /// The endpoint says nothing; its entry stays until it is back as another incarnation.
 async fn crash(fleet: &Fleet, place: usize, down_ms: u64) -> Result {
-  let _disturbed = fleet.ledger.disturb(Target::Place(place));
+  let _disturbed = fleet.recorder.begin_disturbance(Target::Endpoint(place));
   let Some(ended) = fleet.end(place) else {
     return Ok(());
   };
   sleep(Duration::from_millis(down_ms)).await;
   fleet.remove_entry(&ended);
-  fleet.serve_again(place, ended.part).await
+  fleet.restart(place, ended.kind).await
 }
 
 /// A request has ended an engine: it comes back under its id, as another life. Its entry stands meanwhile.
-pub(crate) async fn crash_again(fleet: &Fleet, place: usize, incarnation: &str) {
+pub(crate) async fn crash_and_restart(fleet: &Fleet, place: usize, incarnation: &str) {
   let mut is_same = false;
   fleet.with_endpoint(place, |endpoint| {
     is_same = endpoint.incarnation == incarnation;
@@ -193,20 +193,20 @@
   if !is_same {
     return;
   }
-  let _disturbed = fleet.ledger.disturb(Target::Place(place));
+  let _disturbed = fleet.recorder.begin_disturbance(Target::Endpoint(place));
   let Some(ended) = fleet.end(place) else {
     return;
   };
-  fleet.note_crash();
-  sleep(CRASHED).await;
+  fleet.record_crash();
+  sleep(CRASH_DOWNTIME).await;
   // Without a free port the place stays down, and the run says so at its end.
-  let _ = fleet.serve_under_id(place, ended).await;
+  let _ = fleet.restart_same_id(place, ended).await;
 }
 
 /// The endpoint says in its answers that it leaves, serves on for a while, and ends.
 async fn leave(fleet: &Fleet, place: usize, incarnation: String) -> Result {
   fleet.with_endpoint(place, |endpoint| endpoint.set_leaving());
-  sleep(LEAVES_AFTER).await;
+  sleep(LEAVING_PERIOD).await;
   let mut is_same = false;
   fleet.with_endpoint(place, |endpoint| {
     is_same = endpoint.incarnation == incarnation
@@ -214,35 +214,36 @@
   if !is_same {
     return Ok(());
   }
-  let _disturbed = fleet.ledger.disturb(Target::Place(place));
+  let _disturbed = fleet.recorder.begin_disturbance(Target::Endpoint(place));
   let Some(ended) = fleet.end(place) else {
     return Ok(());
   };
   fleet.remove_entry(&ended);
-  fleet.serve_again(place, ended.part).await
+  fleet.restart(place, ended.kind).await
 }
 
 /// Both endpoints crash, and each comes back at the other's address: at once, while the old entries still stand.
-async fn exchange(fleet: &Fleet, place: usize, other: usize) -> Result {
+async fn swap_addresses(fleet: &Fleet, place: usize, other: usize) -> Result {
   if place == other {
     return Ok(());
   }
-  let _disturbed = [place, other].map(|place| fleet.ledger.disturb(Target::Place(place)));
+  let _disturbed =
+    [place, other].map(|place| fleet.recorder.begin_disturbance(Target::Endpoint(place)));
   let (ended, other_ended) = (fleet.end(place), fleet.end(other));
-  let (part, other_part) = match (&ended, &other_ended) {
-    (Some(ended), Some(other_ended)) => (Some(other_ended.part), Some(ended.part)),
+  let (kind, other_kind) = match (&ended, &other_ended) {
+    (Some(ended), Some(other_ended)) => (Some(other_ended.kind), Some(ended.kind)),
     // One is down already: the other only comes back.
     _ => (
-      ended.as_ref().map(|ended| ended.part),
-      other_ended.as_ref().map(|ended| ended.part),
+      ended.as_ref().map(|ended| ended.kind),
+      other_ended.as_ref().map(|ended| ended.kind),
     ),
   };
-  for (place, part) in [(place, part), (other, other_part)] {
-    if let Some(part) = part {
-      fleet.serve_again(place, part).await?;
+  for (place, kind) in [(place, kind), (other, other_kind)] {
+    if let Some(kind) = kind {
+      fleet.restart(place, kind).await?;
     }
   }
-  sleep(STALE_ENTRY).await;
+  sleep(STALE_ENTRY_PERIOD).await;
   for ended in [ended, other_ended].iter().flatten() {
     fleet.remove_entry(ended);
   }
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -6,18 +6,18 @@
     cold_check::COLD_MS,
     configuration::{self, HOST, version_path},
     endpoint::{Endpoint, Identity},
-    endpoint_state::SEATS,
-    engine_news::{EngineNews, EngineReports},
+    endpoint_kind::EndpointKind,
+    endpoint_state::SLOTS,
+    engine_event::{EngineEventReceiver, EngineEventSender},
     error::{Error, Result},
     exports::Exports,
     hall::Hall,
-    ledger::Ledger,
     link::Link,
-    part::Part,
     place::Place,
-    question::{ASK_LIMIT, ask},
+    probe_request::{PROBE_TIMEOUT, ask},
+    recorder::Recorder,
     records::{HallDrain, Probe},
-    serving::Serving,
+    running_endpoint::RunningEndpoint,
   },
   futures_util::future::join_all,
   http::{Request, StatusCode},
@@ -34,14 +34,14 @@
 };
 
 /// An incarnation that is no more.
-pub(crate) struct Ended {
+pub(crate) struct StoppedEndpoint {
   pub(crate) incarnation: String,
-  pub(crate) part: Part,
+  pub(crate) kind: EndpointKind,
 }
 
 /// A running deployment.
 pub(crate) struct Fleet {
-  pub(crate) ledger: Ledger,
+  pub(crate) recorder: Recorder,
   pub(crate) store: PlatformStore,
   pub(crate) boxes: Vec<BoxProcess>,
   pub(crate) places: Vec<Place>,
@@ -49,9 +49,9 @@
   exports: Exports,
   incarnations: AtomicU64,
   /// Starts of endpoints: the time of a start is a number that rises.
-  births: AtomicU64,
+  starts: AtomicU64,
   versions: AtomicU64,
-  reports: EngineReports,
+  reports: EngineEventSender,
 }
 
 impl Fleet {
@@ -61,16 +61,16 @@
     directory: &Path,
     boxes: usize,
     places: usize,
-  ) -> Result<(Self, EngineNews)> {
-    let ledger = Ledger::default();
+  ) -> Result<(Self, EngineEventReceiver)> {
+    let recorder = Recorder::default();
     let store = PlatformStore::start().await.map_err(Error::Listen)?;
     let (reports, news) = unbounded_channel();
     let mut fleet = Self {
       boxes: Vec::new(),
       exports: Exports::default(),
-      births: AtomicU64::new(1),
+      starts: AtomicU64::new(1),
       incarnations: AtomicU64::new(0),
-      ledger,
+      recorder,
       places: Vec::new(),
       reports,
       ready: Mutex::default(),
@@ -78,12 +78,12 @@
       versions: AtomicU64::new(0),
     };
     for number in 0..places {
-      fleet.add_place(part_of(number, places)).await?;
+      fleet.add_place(kind_of(number, places)).await?;
     }
     fleet.configure();
     let plan = BoxPlan {
       directory,
-      ledger: &fleet.ledger,
+      recorder: &fleet.recorder,
       program,
       store: &fleet.store,
     };
@@ -95,47 +95,58 @@
     Ok((fleet, news))
   }
 
-  async fn add_place(&mut self, part: Part) -> Result {
+  async fn add_place(&mut self, kind: EndpointKind) -> Result {
     let listener = listen().await?;
     let target = listener.local_addr().map_err(Error::Listen)?;
     let link = Link::open(target).await.map_err(Error::Listen)?;
     self.places.push(Place::new(link));
-    self.serve(self.places.len() - 1, part, listener);
+    self.serve(self.places.len() - 1, kind, listener);
     Ok(())
   }
 
   /// Starts a new incarnation at a place and enters it in the store.
-  fn serve(&self, place: usize, part: Part, listener: TcpListener) {
+  fn serve(&self, place: usize, kind: EndpointKind, listener: TcpListener) {
     let number = self.incarnations.fetch_add(1, Ordering::Relaxed);
-    self.serve_as(format!("i-{number}"), place, part, listener);
+    self.start_incarnation(format!("i-{number}"), place, kind, listener);
   }
 
   /// Starts an incarnation with an id, which may have been there before.
-  fn serve_as(&self, incarnation: String, place: usize, part: Part, listener: TcpListener) {
+  fn start_incarnation(
+    &self,
+    incarnation: String,
+    place: usize,
+    kind: EndpointKind,
+    listener: TcpListener,
+  ) {
     let identity = Identity {
-      born: self.births.fetch_add(1, Ordering::Relaxed),
+      born: self.starts.fetch_add(1, Ordering::Relaxed),
       incarnation,
-      part,
+      kind,
       place,
       shown: self.places[place].link.address,
     };
-    self.ledger.started(&identity.incarnation);
-    let endpoint = Endpoint::new(identity, &self.ledger, &self.exports, self.reports.clone());
-    *self.places[place].serving() = Some(Serving::start(endpoint, listener));
-    self.enter(place);
+    self.recorder.started(&identity.incarnation);
+    let endpoint = Endpoint::new(
+      identity,
+      &self.recorder,
+      &self.exports,
+      self.reports.clone(),
+    );
+    *self.places[place].running_endpoint() = Some(RunningEndpoint::start(endpoint, listener));
+    self.register(place);
   }
 
   /// Starts a new incarnation at a place that is down.
-  pub(crate) async fn serve_again(&self, place: usize, part: Part) -> Result {
+  pub(crate) async fn restart(&self, place: usize, kind: EndpointKind) -> Result {
     let listener = self.listen_at(place).await?;
-    self.serve(place, part, listener);
+    self.serve(place, kind, listener);
     Ok(())
   }
 
   /// Starts an endpoint again under the id that it had.
-  pub(crate) async fn serve_under_id(&self, place: usize, ended: Ended) -> Result {
+  pub(crate) async fn restart_same_id(&self, place: usize, ended: StoppedEndpoint) -> Result {
     let listener = self.listen_at(place).await?;
-    self.serve_as(ended.incarnation, place, ended.part, listener);
+    self.start_incarnation(ended.incarnation, place, ended.kind, listener);
     Ok(())
   }
 
@@ -147,16 +158,16 @@
   }
 
   /// Writes the entry of a place's endpoint, if it is up.
-  pub(crate) fn enter(&self, place: usize) {
+  pub(crate) fn register(&self, place: usize) {
     self.write_entry(place, "ready");
   }
 
   /// Writes that a place's endpoint leaves; its incarnation.
-  pub(crate) fn say_leaving(&self, place: usize) -> Option<String> {
+  pub(crate) fn announce_leaving(&self, place: usize) -> Option<String> {
     let incarnation = self.write_entry(place, "draining")?;
-    let now_ms = self.ledger.now_ms();
+    let now_ms = self.recorder.now_ms();
     self
-      .ledger
+      .recorder
       .records()
       .leaving
       .insert(incarnation.clone(), now_ms);
@@ -165,25 +176,25 @@
 
   /// The incarnation at a place, if one is up.
   pub(crate) fn incarnation(&self, place: usize) -> Option<String> {
-    let serving = self.places[place].serving();
-    Some(serving.as_ref()?.endpoint.incarnation.clone())
+    let running_endpoint = self.places[place].running_endpoint();
+    Some(running_endpoint.as_ref()?.endpoint.incarnation.clone())
   }
 
   fn write_entry(&self, place: usize, state: &str) -> Option<String> {
-    let serving = self.places[place].serving();
-    let endpoint = &serving.as_ref()?.endpoint;
+    let running_endpoint = self.places[place].running_endpoint();
+    let endpoint = &running_endpoint.as_ref()?.endpoint;
     let incarnation = endpoint.incarnation.clone();
-    if self.ledger.records().leaving.contains_key(&incarnation) {
+    if self.recorder.records().leaving.contains_key(&incarnation) {
       return None;
     }
-    let part = endpoint.part();
+    let kind = endpoint.kind();
     let mut entry = json!({
-      "service": part.service(), "address": self.places[place].link.address, "version": "v1",
+      "service": kind.service(), "address": self.places[place].link.address, "version": "v1",
       "zone": Hall::of_place(place).name(),
-      "slots": SEATS, "state": state, "coldRemainingMs": self.cold_left_ms(&incarnation), "callSeq": 1,
+      "slots": SLOTS, "state": state, "coldRemainingMs": self.cold_remaining_ms(&incarnation), "callSeq": 1,
       "born": endpoint.born,
     });
-    if let Some(stage) = part.stage() {
+    if let Some(stage) = kind.stage() {
       entry["stage"] = json!(stage);
     }
     let key = format!("servers/{incarnation}");
@@ -192,9 +203,9 @@
   }
 
   /// How much longer an endpoint is cold.
-  fn cold_left_ms(&self, incarnation: &str) -> u64 {
-    let now_ms = self.ledger.now_ms();
-    let records = self.ledger.records();
+  fn cold_remaining_ms(&self, incarnation: &str) -> u64 {
+    let now_ms = self.recorder.now_ms();
+    let records = self.recorder.records();
     let mut starts = records.starts.iter().rev();
     let started = starts.find(|start| start.incarnation == incarnation);
     started.map_or(0, |start| (start.at_ms + COLD_MS).saturating_sub(now_ms))
@@ -210,17 +221,17 @@
   }
 
   /// Ends the endpoint of a place with its connections. Its entry stays.
-  pub(crate) fn end(&self, place: usize) -> Option<Ended> {
-    let serving = self.places[place].serving().take()?;
-    Some(Ended {
-      incarnation: serving.endpoint.incarnation.clone(),
-      part: serving.endpoint.part(),
+  pub(crate) fn end(&self, place: usize) -> Option<StoppedEndpoint> {
+    let running_endpoint = self.places[place].running_endpoint().take()?;
+    Some(StoppedEndpoint {
+      incarnation: running_endpoint.endpoint.incarnation.clone(),
+      kind: running_endpoint.endpoint.kind(),
     })
   }
 
   /// Operators drain a hall, unless they do already; whether they did not.
   pub(crate) fn drain_hall(&self, hall: Hall) -> bool {
-    let mut records = self.ledger.records();
+    let mut records = self.recorder.records();
     let drains = &mut records.hall_drains;
     if drains
       .iter()
@@ -230,7 +241,7 @@
     }
     self.store.put(&drain_key(hall), b"{}");
     drains.push(HallDrain {
-      from_ms: self.ledger.now_ms(),
+      from_ms: self.recorder.now_ms(),
       hall,
       until_ms: None,
     });
@@ -239,8 +250,8 @@
 
   /// Operators end the drain of a hall.
   pub(crate) fn end_hall_drain(&self, hall: Hall) {
-    let now_ms = self.ledger.now_ms();
-    let mut records = self.ledger.records();
+    let now_ms = self.recorder.now_ms();
+    let mut records = self.recorder.records();
     for drain in records
       .hall_drains
       .iter_mut()
@@ -252,20 +263,20 @@
   }
 
   /// A request has just ended an engine.
-  pub(crate) fn note_crash(&self) {
-    let now_ms = self.ledger.now_ms();
-    self.ledger.records().crashes.push(now_ms);
+  pub(crate) fn record_crash(&self) {
+    let now_ms = self.recorder.now_ms();
+    self.recorder.records().crashes.push(now_ms);
   }
 
   /// Removes the entry of an endpoint that has ended.
-  pub(crate) fn remove_entry(&self, ended: &Ended) {
+  pub(crate) fn remove_entry(&self, ended: &StoppedEndpoint) {
     self.store.remove(&format!("servers/{}", ended.incarnation));
   }
 
   /// Does something to the endpoint of a place, if it is up.
   pub(crate) fn with_endpoint(&self, place: usize, act: impl FnOnce(&Endpoint)) {
-    if let Some(serving) = self.places[place].serving().as_ref() {
-      act(&serving.endpoint);
+    if let Some(running_endpoint) = self.places[place].running_endpoint().as_ref() {
+      act(&running_endpoint.endpoint);
     }
   }
 
@@ -279,17 +290,17 @@
     let version = self.versions.fetch_add(1, Ordering::Relaxed) + 1;
     let document = configuration::document(version);
     self.store.put("op/config", document.to_string().as_bytes());
-    let now_ms = self.ledger.now_ms();
-    self.ledger.records().versions.insert(version, now_ms);
+    let now_ms = self.recorder.now_ms();
+    self.recorder.records().versions.insert(version, now_ms);
   }
 
   /// Asks a box whether it has the newest version, past all links.
   pub(crate) async fn probe(&self, index: usize) {
     let asked = &self.boxes[index];
     let version = self.newest_version();
-    let (life, sent_ms) = (asked.life(), self.ledger.now_ms());
+    let (process_number, sent_ms) = (asked.process_number(), self.recorder.now_ms());
     let id = format!("probe-{index}-{sent_ms}");
-    self.ledger.records().probe_ids.insert(id.clone());
+    self.recorder.records().probe_ids.insert(id.clone());
     let request = Request::get(format!(
       "http://{}{}probe",
       asked.direct,
@@ -297,18 +308,18 @@
     ))
     .header("host", HOST)
     .header("x-request-id", id)
-    .header("x-deadline-ms", ASK_LIMIT.as_millis().to_string());
+    .header("x-deadline-ms", PROBE_TIMEOUT.as_millis().to_string());
     let status = ask(request).await;
     let in_force = match status {
       Some(StatusCode::NOT_FOUND) => Some(false),
       Some(status) if status.is_success() => Some(true),
       _ => None,
     };
-    if life == asked.life() {
-      self.ledger.records().probes.push(Probe {
+    if process_number == asked.process_number() {
+      self.recorder.records().probes.push(Probe {
         box_index: index,
         in_force,
-        life,
+        process_number,
         sent_ms,
         version,
       });
@@ -316,7 +327,7 @@
   }
 
   /// Asks all boxes whether they are ready, as the balancer does; how many are not.
-  pub(crate) async fn look(&self) -> usize {
+  pub(crate) async fn poll_readiness(&self) -> usize {
     let asks = self.boxes.iter().map(|asked| async move {
       let status = ask(Request::get(format!("http://{}/ready", asked.ready))).await;
       (asked.index, status == Some(StatusCode::OK))
@@ -354,13 +365,13 @@
 
 /// The part of a place at the start. A quarter of the places, two at the least, are plain services; of the rest a
 /// quarter reads prompts.
-fn part_of(number: usize, places: usize) -> Part {
+fn kind_of(number: usize, places: usize) -> EndpointKind {
   let plain = (places / 4).max(2);
   let prefill = ((places - plain) / 4).max(1);
   match number {
-    number if number < plain => Part::Plain,
-    number if number < plain + prefill => Part::Prefill,
-    _ => Part::Decode,
+    number if number < plain => EndpointKind::Plain,
+    number if number < plain + prefill => EndpointKind::Prefill,
+    _ => EndpointKind::Decode,
   }
 }
 
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -5,40 +5,40 @@
 mod breach;
 mod caller;
 mod caller_key;
-mod calm;
 mod cold_check;
-mod conductor;
 mod configuration;
 mod content;
 mod disturbance;
 mod endpoint;
+mod endpoint_kind;
 mod endpoint_state;
-mod engine_news;
+mod engine_event;
 mod error;
 mod event_stream;
 mod exports;
 mod fault;
+mod fault_injector;
 mod fleet;
 mod hall;
 mod hall_check;
-mod ledger;
 mod limit_check;
 mod link;
 mod notice_check;
 mod organisation_check;
-mod part;
 mod place;
 mod plan;
 mod play;
+mod probe_request;
 mod promise;
 mod promises;
-mod question;
+mod recorder;
 mod records;
 mod reply;
 mod request_check;
 mod request_kind;
-mod serving;
+mod running_endpoint;
 mod subcommand;
+mod undisturbed;
 
 pub use self::{
   breach::Breach,
@@ -47,14 +47,14 @@
   error::{Error, Result},
   fault::{EndpointFault, Fault, LinkFault, StoreFault},
   hall::Hall,
-  ledger::Ledger,
-  plan::{Size, Step, draw_plan},
+  plan::{ScheduledFault, Size, draw_plan},
   play::{Options, Report, play},
   promise::Promise,
   promises::breaches,
+  recorder::Recorder,
   records::{
-    HallDrain, NamedLimit, OrderRecord, Outcome, PlannedStop, Probe, Records, RequestRecord, Run,
-    Start, ToldLeaving, ToldLimit, TurnedAway,
+    AdvertisedLimit, HallDrain, LeavingReceived, LimitReceived, Outcome, PlannedStop, Probe,
+    Records, Rejection, RequestRecord, RoleCommandRecord, Run, Start,
   },
   request_kind::RequestKind,
   subcommand::run,
--- a/soak/src/limit_check.rs
+++ b/soak/src/limit_check.rs
@@ -2,29 +2,29 @@
 
 use super::{
   breach::Breach,
-  calm::CONTACT_MS,
   promise::Promise,
-  records::{NamedLimit, Records, ToldLimit},
+  records::{AdvertisedLimit, LimitReceived, Records},
+  undisturbed::CONTACT_MS,
 };
 
 /// The users' bounds: from so long after a box was told what it sends counts; in a window so many times the limit, and so many
 /// requests besides.
-const HEARD_MS: u64 = 500;
+const PROPAGATION_MS: u64 = 500;
 const WINDOW_MS: u64 = 4_000;
 const ALLOWED_FACTOR: f64 = 1.5;
-const ALLOWED_BESIDES: f64 = 5.0;
+const ALLOWED_EXTRA: f64 = 5.0;
 
 /// What boxes together sent beyond a limit that they had been told. A box that was struck since is excused.
 pub(crate) fn limit_breaches(records: &Records, slack_ms: u64) -> Vec<Breach> {
-  let named = records.named_limits.iter();
+  let named = records.advertised_limits.iter();
   named
-    .filter_map(|named| beyond_limit(records, named, slack_ms))
+    .filter_map(|named| exceeded_limit(records, named, slack_ms))
     .collect()
 }
 
-fn beyond_limit(records: &Records, named: &NamedLimit, slack_ms: u64) -> Option<Breach> {
+fn exceeded_limit(records: &Records, named: &AdvertisedLimit, slack_ms: u64) -> Option<Breach> {
   let until_ms = named.until_ms.unwrap_or(u64::MAX);
-  let told = first_words(records, named, until_ms);
+  let told = first_received(records, named, until_ms);
   let first_ms = told.iter().map(|told| told.at_ms).min()?;
   let counts_from_ms = first_ms + CONTACT_MS + slack_ms;
   let mut counted: Vec<u64> = Vec::new();
@@ -32,18 +32,18 @@
     let Some(word) = told.iter().find(|told| told.box_index == request.box_index) else {
       continue;
     };
-    let from_ms = counts_from_ms.max(word.at_ms + HEARD_MS + slack_ms);
+    let from_ms = counts_from_ms.max(word.at_ms + PROPAGATION_MS + slack_ms);
     let runs = request.runs.iter().filter(|run| {
       run.incarnation == named.incarnation
         && (from_ms..until_ms).contains(&run.began_ms)
-        && records.is_same_life(&run.incarnation, named.from_ms, run.began_ms)
-        && records.is_box_calm(request.box_index, word.at_ms, run.began_ms)
+        && records.has_not_restarted(&run.incarnation, named.from_ms, run.began_ms)
+        && records.is_box_undisturbed(request.box_index, word.at_ms, run.began_ms)
     });
     counted.extend(runs.map(|run| run.began_ms));
   }
   counted.sort_unstable();
   let allowed =
-    f64::from(named.per_s) * WINDOW_MS as f64 / 1_000.0 * ALLOWED_FACTOR + ALLOWED_BESIDES;
+    f64::from(named.per_s) * WINDOW_MS as f64 / 1_000.0 * ALLOWED_FACTOR + ALLOWED_EXTRA;
   let within = |from_ms: u64| {
     let after = counted.partition_point(|at_ms| *at_ms < from_ms + WINDOW_MS);
     after - counted.partition_point(|at_ms| *at_ms < from_ms)
@@ -60,13 +60,13 @@
     "{} had named {} a second at {} ms, and got {most} requests in 4 s from {most_from_ms} ms on",
     named.incarnation, named.per_s, named.from_ms
   );
-  Some(Breach::new(Promise::EndpointLimitKept, seen))
+  Some(Breach::new(Promise::EndpointLimitHonoured, seen))
 }
 
 /// When each box was first told of a limit.
-fn first_words(records: &Records, named: &NamedLimit, until_ms: u64) -> Vec<ToldLimit> {
-  let mut first: Vec<ToldLimit> = Vec::new();
-  let of_limit = records.told_limits.iter().filter(|told| {
+fn first_received(records: &Records, named: &AdvertisedLimit, until_ms: u64) -> Vec<LimitReceived> {
+  let mut first: Vec<LimitReceived> = Vec::new();
+  let of_limit = records.limits_received.iter().filter(|told| {
     told.incarnation == named.incarnation && (named.from_ms..until_ms).contains(&told.at_ms)
   });
   for told in of_limit {
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -44,9 +44,9 @@
 impl Condition {
   fn blocks(self, direction: Direction) -> bool {
     match self.fault {
-      Some(LinkFault::Silent) => true,
-      Some(LinkFault::SilentForward) => direction == Direction::Forward,
-      Some(LinkFault::SilentBack) => direction == Direction::Back,
+      Some(LinkFault::Blocked) => true,
+      Some(LinkFault::BlockedForward) => direction == Direction::Forward,
+      Some(LinkFault::BlockedBack) => direction == Direction::Back,
       Some(LinkFault::Delayed { .. } | LinkFault::Reset) | None => false,
     }
   }
@@ -102,7 +102,7 @@
   }
 
   /// Ends the present fault; bytes that were held pass.
-  pub(crate) fn mend(&self) {
+  pub(crate) fn clear(&self) {
     self
       .condition
       .send_modify(|condition| condition.fault = None);
@@ -111,12 +111,12 @@
 
 async fn accept(listener: TcpListener, link: Link) {
   while let Ok((caller, _)) = listener.accept().await {
-    tokio::spawn(carry(caller, link.clone()));
+    tokio::spawn(proxy_connection(caller, link.clone()));
   }
 }
 
 /// Carries one connection to its end, or until it is reset.
-async fn carry(caller: TcpStream, link: Link) {
+async fn proxy_connection(caller: TcpStream, link: Link) {
   let mut condition = link.condition.subscribe();
   let resets = condition.borrow().resets;
   // A connection through a cut comes up once the cut is mended, if its caller still waits.
@@ -136,7 +136,7 @@
     return;
   }
   let sockets = [&caller, &target].map(|stream| SockRef::from(stream).try_clone());
-  if pump_both_ways(caller, target, &link, resets).await == Ending::Reset {
+  if copy_both_ways(caller, target, &link, resets).await == CloseKind::Reset {
     for socket in sockets.into_iter().flatten() {
       // A socket that has closed by itself needs no reset.
       let _ = socket.set_linger(Some(Duration::ZERO));
@@ -145,21 +145,26 @@
 }
 
 /// Moves bytes until both directions have ended, or one is reset.
-async fn pump_both_ways(caller: TcpStream, target: TcpStream, link: &Link, resets: u64) -> Ending {
+async fn copy_both_ways(
+  caller: TcpStream,
+  target: TcpStream,
+  link: &Link,
+  resets: u64,
+) -> CloseKind {
   let (caller_read, caller_write) = caller.into_split();
   let (target_read, target_write) = target.into_split();
-  let pump = |from, to, direction| Pump {
+  let copier = |from, to, direction| Copier {
     condition: link.condition.subscribe(),
     direction,
     from,
     resets,
     to,
   };
-  let forward = pump(caller_read, target_write, Direction::Forward);
-  let back = pump(target_read, caller_write, Direction::Back);
+  let forward = copier(caller_read, target_write, Direction::Forward);
+  let back = copier(target_read, caller_write, Direction::Back);
   match tokio::join!(forward.run(), back.run()) {
-    (Ending::Closed, Ending::Closed) => Ending::Closed,
-    _ => Ending::Reset,
+    (CloseKind::Closed, CloseKind::Closed) => CloseKind::Closed,
+    _ => CloseKind::Reset,
   }
 }
 
@@ -170,7 +175,7 @@
 
 /// How one direction ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Ending {
+enum CloseKind {
   /// With an end of the bytes.
   Closed,
   /// By a reset of the link, or of the connection on one side.
@@ -178,7 +183,7 @@
 }
 
 /// One direction of a connection.
-struct Pump {
+struct Copier {
   from: OwnedReadHalf,
   to: OwnedWriteHalf,
   condition: watch::Receiver<Condition>,
@@ -187,21 +192,21 @@
   resets: u64,
 }
 
-impl Pump {
+impl Copier {
   /// Moves bytes until the end, as far as the link's condition allows.
-  async fn run(mut self) -> Ending {
-    match self.move_all().await {
-      Ok(()) => Ending::Closed,
+  async fn run(mut self) -> CloseKind {
+    match self.copy_all().await {
+      Ok(()) => CloseKind::Closed,
       Err(_) => {
         // Dropped, it would say an orderly end before the reset.
         self.to.forget();
-        Ending::Reset
+        CloseKind::Reset
       }
     }
   }
 
   /// Fails when the connection or the link was reset.
-  async fn move_all(&mut self) -> io::Result<()> {
+  async fn copy_all(&mut self) -> io::Result<()> {
     let mut buffer = vec![0; CHUNK_BYTES];
     let mut watched = self.condition.clone();
     let resets = self.resets;
--- a/soak/src/notice_check.rs
+++ b/soak/src/notice_check.rs
@@ -3,14 +3,14 @@
 use super::{
   breach::Breach,
   promise::Promise,
-  records::{Records, RequestRecord, TurnedAway},
+  records::{Records, Rejection, RequestRecord},
 };
 
 /// An endpoint that leaves gets nothing that was sent later than this after its own word (the users' bound on draining).
 const LEAVING_MS: u64 = 2_000;
 /// From then on what reaches an endpoint in its pause counts, and so much may (the users' bounds).
 const PAUSE_SLACK_MS: u64 = 500;
-const MOST_IN_PAUSE: usize = 2;
+const MAX_DURING_BACKOFF: usize = 2;
 
 /// What boxes sent against an endpoint's word. A box that was struck since, or an endpoint that started again, is excused.
 pub(crate) fn notice_breaches(records: &Records, slack_ms: u64) -> Vec<Breach> {
@@ -19,9 +19,9 @@
     .iter()
     .filter_map(|(id, request)| sent_to_leaving(records, id, request, slack_ms));
   let pausing = records
-    .turned_away
+    .rejections
     .iter()
-    .filter_map(|turned_away| sent_in_pause(records, turned_away, slack_ms));
+    .filter_map(|rejections| sent_in_pause(records, rejections, slack_ms));
   leaving.chain(pausing).collect()
 }
 
@@ -34,23 +34,23 @@
 ) -> Option<Breach> {
   let due_ms = |told_ms: u64| told_ms + LEAVING_MS + slack_ms;
   request.runs.iter().find_map(|run| {
-    let told = records.told_leaving.iter().find(|told| {
+    let told = records.leaving_received.iter().find(|told| {
       told.box_index == request.box_index
         && told.incarnation == run.incarnation
         && request.sent_ms > due_ms(told.at_ms)
-        && records.is_same_life(&run.incarnation, told.at_ms, run.began_ms)
-        && records.is_box_calm(request.box_index, told.at_ms, run.began_ms)
+        && records.has_not_restarted(&run.incarnation, told.at_ms, run.began_ms)
+        && records.is_box_undisturbed(request.box_index, told.at_ms, run.began_ms)
     })?;
     let seen = format!(
       "{id} sent at {} ms ran at {}, which had told box {} at {} ms that it leaves",
       request.sent_ms, run.incarnation, told.box_index, told.at_ms
     );
-    Some(Breach::new(Promise::OwnWordOfLeaving, seen))
+    Some(Breach::new(Promise::LeavingSignalHonoured, seen))
   })
 }
 
 /// Too much that reached an endpoint from a box in a pause that it had asked that box for.
-fn sent_in_pause(records: &Records, asked: &TurnedAway, slack_ms: u64) -> Option<Breach> {
+fn sent_in_pause(records: &Records, asked: &Rejection, slack_ms: u64) -> Option<Breach> {
   let box_index = records.requests.get(&asked.id)?.box_index;
   let from_ms = asked.at_ms + PAUSE_SLACK_MS + slack_ms;
   let until_ms = asked.at_ms + asked.pause_ms;
@@ -65,7 +65,7 @@
     .flat_map(|request| &request.runs)
     .filter(|run| concerns(&run.incarnation, run.began_ms));
   let others = records
-    .turned_away
+    .rejections
     .iter()
     .filter(|other| concerns(&other.incarnation, other.at_ms))
     .filter(|other| {
@@ -75,14 +75,14 @@
         .is_some_and(|request| of_box(&request))
     });
   let count = runs.count() + others.count();
-  let is_excused = !records.is_same_life(&asked.incarnation, asked.at_ms, until_ms)
-    || !records.is_box_calm(box_index, asked.at_ms, until_ms);
-  if count <= MOST_IN_PAUSE || is_excused {
+  let is_excused = !records.has_not_restarted(&asked.incarnation, asked.at_ms, until_ms)
+    || !records.is_box_undisturbed(box_index, asked.at_ms, until_ms);
+  if count <= MAX_DURING_BACKOFF || is_excused {
     return None;
   }
   let seen = format!(
     "{} had asked box {box_index} at {} ms for {} ms without requests, and got {count}",
     asked.incarnation, asked.at_ms, asked.pause_ms
   );
-  Some(Breach::new(Promise::PauseKept, seen))
+  Some(Breach::new(Promise::BackoffHonoured, seen))
 }
--- a/soak/src/organisation_check.rs
+++ b/soak/src/organisation_check.rs
@@ -3,9 +3,9 @@
 use super::{
   breach::Breach,
   caller_key::{CallerKey, HOT, HOT_UNITS_PER_S, OVERAGE, REQUEST_UNITS, SLACK_UNITS},
-  calm::CONFIGURE_MS,
   promise::Promise,
   records::{Outcome, Records, RequestRecord, Run},
+  undisturbed::CONFIGURATION_MS,
 };
 
 /// The window in which use is bounded (the users' bound).
@@ -13,18 +13,18 @@
 
 /// The breaches of all requests.
 pub(crate) fn organisation_breaches(records: &Records, slack_ms: u64) -> Vec<Breach> {
-  let mut found: Vec<Breach> = records.shown_keys.iter().map(shown_key).collect();
+  let mut found: Vec<Breach> = records.leaked_keys.iter().map(leaked_key).collect();
   for (id, request) in &records.requests {
     found.extend(wrong_name(records, id, request));
-    found.extend(taken_key(records, id, request, slack_ms));
-    found.extend(refused_key(id, request));
+    found.extend(revoked_key(records, id, request, slack_ms));
+    found.extend(rejected_key(id, request));
   }
-  found.extend(use_beyond_limit(records));
+  found.extend(exceeded_quota(records));
   found
 }
 
-fn shown_key(seen: &String) -> Breach {
-  Breach::new(Promise::KeysKept, seen)
+fn leaked_key(seen: &String) -> Breach {
+  Breach::new(Promise::KeysHonoured, seen)
 }
 
 /// An endpoint was told an organisation that never held the request's key.
@@ -35,43 +35,43 @@
   };
   let wrong = request.runs.iter().find(|run| !may_name(run))?;
   let seen = format!("{id} with {:?} ran as {wrong:?}", request.key);
-  Some(Breach::new(Promise::Named, seen))
+  Some(Breach::new(Promise::OrganisationNamed, seen))
 }
 
 /// A request ran long after its key was taken away.
-fn taken_key(
+fn revoked_key(
   records: &Records,
   id: &str,
   request: &RequestRecord,
   slack_ms: u64,
 ) -> Option<Breach> {
-  let taken_ms = *records.versions.get(&request.key.taken_with()?)?;
-  let is_late = request.sent_ms > taken_ms + CONFIGURE_MS + slack_ms;
+  let revoked_ms = *records.versions.get(&request.key.revoked_in()?)?;
+  let is_late = request.sent_ms > revoked_ms + CONFIGURATION_MS + slack_ms;
   if request.runs.is_empty() || !is_late {
     return None;
   }
-  if !records.is_connected(request.box_index, taken_ms, request.sent_ms) {
+  if !records.is_connected(request.box_index, revoked_ms, request.sent_ms) {
     return None;
   }
   let seen = format!(
-    "{id} sent at {} ms, key taken at {taken_ms} ms",
+    "{id} sent at {} ms, key taken at {revoked_ms} ms",
     request.sent_ms
   );
-  Some(Breach::new(Promise::KeysKept, seen))
+  Some(Breach::new(Promise::KeysHonoured, seen))
 }
 
 /// A key that is always held was refused.
-fn refused_key(id: &str, request: &RequestRecord) -> Option<Breach> {
-  let is_lasting = request.key.taken_with().is_none();
-  let is_refused = matches!(request.outcome, Some(Outcome::Whole { status: 401, .. }));
+fn rejected_key(id: &str, request: &RequestRecord) -> Option<Breach> {
+  let is_lasting = request.key.revoked_in().is_none();
+  let is_refused = matches!(request.outcome, Some(Outcome::Complete { status: 401, .. }));
   (is_lasting && is_refused).then(|| {
     let seen = format!("{id} with {:?} got 401", request.key);
-    Breach::new(Promise::KeysKept, seen)
+    Breach::new(Promise::KeysHonoured, seen)
   })
 }
 
 /// More ran for the hot organisation in some window than its highest limit allows.
-fn use_beyond_limit(records: &Records) -> Option<Breach> {
+fn exceeded_quota(records: &Records) -> Option<Breach> {
   let hot = records
     .requests
     .values()
@@ -89,5 +89,5 @@
     .windows(most + 1)
     .find(|runs| runs[most] - runs[0] <= WINDOW_MS)?;
   let seen = format!("{HOT}: over {most} requests in 8 s from {} ms", beyond[0]);
-  Some(Breach::new(Promise::LimitKept, seen))
+  Some(Breach::new(Promise::QuotaLimitHonoured, seen))
 }
--- a/soak/src/place.rs
+++ b/soak/src/place.rs
@@ -1,7 +1,7 @@
 //! Where endpoints serve.
 
 use {
-  super::{link::Link, serving::Serving},
+  super::{link::Link, running_endpoint::RunningEndpoint},
   std::sync::{Mutex, MutexGuard, PoisonError},
 };
 
@@ -9,18 +9,24 @@
 pub(crate) struct Place {
   pub(crate) link: Link,
   /// Nothing while the endpoint is down.
-  serving: Mutex<Option<Serving>>,
+  running_endpoint: Mutex<Option<RunningEndpoint>>,
 }
 
 impl Place {
   /// A place where nothing serves yet.
   pub(crate) fn new(link: Link) -> Self {
-    let serving = Mutex::new(None);
-    Self { link, serving }
+    let running_endpoint = Mutex::new(None);
+    Self {
+      link,
+      running_endpoint,
+    }
   }
 
   /// What serves here, locked.
-  pub(crate) fn serving(&self) -> MutexGuard<'_, Option<Serving>> {
-    self.serving.lock().unwrap_or_else(PoisonError::into_inner)
+  pub(crate) fn running_endpoint(&self) -> MutexGuard<'_, Option<RunningEndpoint>> {
+    self
+      .running_endpoint
+      .lock()
+      .unwrap_or_else(PoisonError::into_inner)
   }
 }
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -10,32 +10,32 @@
 };
 
 /// Mean pause between faults.
-const MEAN_PAUSE_MS: f64 = 900.0;
+const MEAN_INTERVAL_MS: f64 = 900.0;
 /// How long a fault that ends by itself lasts.
-const LASTS_MS: (u64, u64) = (200, 4_000);
+const FAULT_DURATION_MS: (u64, u64) = (200, 4_000);
 /// How long an endpoint turns all away.
-const SHEDS_MS: (u64, u64) = (2_000, 6_000);
+const SHEDDING_DURATION_MS: (u64, u64) = (2_000, 6_000);
 /// Such endpoints come so many times more rarely than all else.
-const NOTICES_RARER: u64 = 4;
+const NOTICE_INTERVAL_FACTOR: u64 = 4;
 /// How long an endpoint names a limit, and which: it holds from three seconds on.
-const LIMITED_MS: (u64, u64) = (6_000, 10_000);
-const LIMITS_PER_S: std::ops::Range<u32> = 0..6;
+const LIMIT_DURATION_MS: (u64, u64) = (6_000, 10_000);
+const LIMIT_RANGE_PER_S: std::ops::Range<u32> = 0..6;
 /// Such endpoints come so many times more rarely than all else.
-const LIMITS_RARER: u64 = 5;
+const LIMIT_INTERVAL_FACTOR: u64 = 5;
 /// Their draws are those of another seed.
-const LIMITS_ROTATION: u32 = 17;
+const LIMIT_SEED_ROTATION: u32 = 17;
 /// How long a hall is drained: what reaches it counts from five seconds on.
-const HALL_DRAINED_MS: (u64, u64) = (6_000, 10_000);
+const HALL_DRAIN_DURATION_MS: (u64, u64) = (6_000, 10_000);
 /// Drained halls come so many times more rarely than all else.
-const HALL_DRAINS_RARER: u64 = 8;
+const HALL_DRAIN_INTERVAL_FACTOR: u64 = 8;
 /// Their draws are those of another seed.
-const HALL_DRAINS_ROTATION: u32 = 31;
+const HALL_DRAIN_SEED_ROTATION: u32 = 31;
 /// Added latency of a delayed link, and of a slow store.
 const DELAY_MS: (u64, u64) = (20, 800);
 /// Chance that a fault is soon followed by another on the same box: signals come in series and overlap.
 const SERIES_CHANCE: f64 = 0.3;
 /// Pause within a series.
-const SERIES_PAUSE_MS: (u64, u64) = (20, 700);
+const SERIES_INTERVAL_MS: (u64, u64) = (20, 700);
 
 /// How large a run is.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -50,7 +50,7 @@
 
 /// A fault at its time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Step {
+pub struct ScheduledFault {
   /// When, since the traffic began.
   pub at_ms: u64,
   /// What.
@@ -65,7 +65,7 @@
 /// assert_eq!(draw_plan(7, size), draw_plan(7, size));
 /// assert_ne!(draw_plan(7, size), draw_plan(8, size));
 /// ```
-pub fn draw_plan(seed: u64, size: Size) -> Vec<Step> {
+pub fn draw_plan(seed: u64, size: Size) -> Vec<ScheduledFault> {
   let mut draw = Draw {
     random: ChaCha8Rng::seed_from_u64(seed),
     size,
@@ -74,12 +74,12 @@
   let mut at_ms = draw.pause_ms();
   while at_ms < size.faults_ms {
     let fault = draw.fault();
-    steps.push(Step { at_ms, fault });
+    steps.push(ScheduledFault { at_ms, fault });
     if let Some(index) = box_of(fault)
       && draw.random.random_bool(SERIES_CHANCE)
     {
-      let later_ms = at_ms + draw.between(SERIES_PAUSE_MS);
-      steps.push(Step {
+      let later_ms = at_ms + draw.between(SERIES_INTERVAL_MS);
+      steps.push(ScheduledFault {
         at_ms: later_ms,
         fault: draw.process_fault(index),
       });
@@ -94,13 +94,13 @@
 }
 
 /// Draws endpoints that turn all away, or leave by their own word alone: apart from the others, whose times stay as they are.
-fn draw_notices(seed: u64, size: Size) -> Vec<Step> {
+fn draw_notices(seed: u64, size: Size) -> Vec<ScheduledFault> {
   let mut draw = Draw {
     random: ChaCha8Rng::seed_from_u64(!seed),
     size,
   };
   let mut steps = Vec::new();
-  let mut at_ms = NOTICES_RARER * draw.pause_ms();
+  let mut at_ms = NOTICE_INTERVAL_FACTOR * draw.pause_ms();
   while at_ms < size.faults_ms {
     let place = draw.random.random_range(0..size.places);
     let fault = if draw.random.random_bool(0.5) {
@@ -108,51 +108,51 @@
     } else {
       Fault::Endpoint {
         fault: EndpointFault::Sheds,
-        for_ms: draw.between(SHEDS_MS),
+        for_ms: draw.between(SHEDDING_DURATION_MS),
         place,
       }
     };
-    steps.push(Step { at_ms, fault });
-    at_ms += NOTICES_RARER * draw.pause_ms();
+    steps.push(ScheduledFault { at_ms, fault });
+    at_ms += NOTICE_INTERVAL_FACTOR * draw.pause_ms();
   }
   steps
 }
 
 /// Draws endpoints that name limits, apart from all others.
-fn draw_limits(seed: u64, size: Size) -> Vec<Step> {
+fn draw_limits(seed: u64, size: Size) -> Vec<ScheduledFault> {
   let mut draw = Draw {
-    random: ChaCha8Rng::seed_from_u64(seed.rotate_left(LIMITS_ROTATION)),
+    random: ChaCha8Rng::seed_from_u64(seed.rotate_left(LIMIT_SEED_ROTATION)),
     size,
   };
   let mut steps = Vec::new();
   let mut at_ms = draw.pause_ms();
   while at_ms < size.faults_ms {
     let fault = Fault::EndpointLimited {
-      for_ms: draw.between(LIMITED_MS),
-      per_s: draw.random.random_range(LIMITS_PER_S),
+      for_ms: draw.between(LIMIT_DURATION_MS),
+      per_s: draw.random.random_range(LIMIT_RANGE_PER_S),
       place: draw.random.random_range(0..size.places),
     };
-    steps.push(Step { at_ms, fault });
-    at_ms += LIMITS_RARER * draw.pause_ms();
+    steps.push(ScheduledFault { at_ms, fault });
+    at_ms += LIMIT_INTERVAL_FACTOR * draw.pause_ms();
   }
   steps
 }
 
 /// Draws data halls that operators drain, apart from all others; both may be drained at once.
-fn draw_hall_drains(seed: u64, size: Size) -> Vec<Step> {
+fn draw_hall_drains(seed: u64, size: Size) -> Vec<ScheduledFault> {
   let mut draw = Draw {
-    random: ChaCha8Rng::seed_from_u64(seed.rotate_left(HALL_DRAINS_ROTATION)),
+    random: ChaCha8Rng::seed_from_u64(seed.rotate_left(HALL_DRAIN_SEED_ROTATION)),
     size,
   };
   let mut steps = Vec::new();
   let mut at_ms = draw.pause_ms();
   while at_ms < size.faults_ms {
     let fault = Fault::HallDrained {
-      for_ms: draw.between(HALL_DRAINED_MS),
+      for_ms: draw.between(HALL_DRAIN_DURATION_MS),
       hall: draw.one_of(&[Hall::North, Hall::South]),
     };
-    steps.push(Step { at_ms, fault });
-    at_ms += HALL_DRAINS_RARER * draw.pause_ms();
+    steps.push(ScheduledFault { at_ms, fault });
+    at_ms += HALL_DRAIN_INTERVAL_FACTOR * draw.pause_ms();
   }
   steps
 }
@@ -181,13 +181,13 @@
   /// An exponential pause: faults cluster as they do by chance.
   fn pause_ms(&mut self) -> u64 {
     let draw: f64 = self.random.random();
-    (-MEAN_PAUSE_MS * (1.0 - draw).ln()) as u64 + 1
+    (-MEAN_INTERVAL_MS * (1.0 - draw).ln()) as u64 + 1
   }
 
   fn fault(&mut self) -> Fault {
     let index = self.random.random_range(0..self.size.boxes);
     let place = self.random.random_range(0..self.size.places);
-    let for_ms = self.between(LASTS_MS);
+    let for_ms = self.between(FAULT_DURATION_MS);
     match self.random.random_range(0..12) {
       0..3 => self.process_fault(index),
       3 => Fault::CallerLink {
@@ -219,23 +219,23 @@
         for_ms,
         place,
       },
-      10 => Fault::AddressesExchanged {
+      10 => Fault::AddressesSwapped {
         other: self.random.random_range(0..self.size.places),
         place,
       },
-      _ => Fault::Configured,
+      _ => Fault::ConfigurationChanged,
     }
   }
 
   fn process_fault(&mut self, index: usize) -> Fault {
     match self.random.random_range(0..4) {
       0 => Fault::BoxKilled {
-        down_ms: self.between(LASTS_MS),
+        down_ms: self.between(FAULT_DURATION_MS),
         index,
       },
       1 => Fault::BoxStopped { index },
       2 => Fault::BoxPaused {
-        for_ms: self.between(LASTS_MS),
+        for_ms: self.between(FAULT_DURATION_MS),
         index,
       },
       _ => Fault::BoxReloaded { index },
@@ -246,9 +246,9 @@
     let delay_ms = self.between(DELAY_MS);
     let faults = [
       LinkFault::Delayed { delay_ms },
-      LinkFault::Silent,
-      LinkFault::SilentForward,
-      LinkFault::SilentBack,
+      LinkFault::Blocked,
+      LinkFault::BlockedForward,
+      LinkFault::BlockedBack,
       LinkFault::Reset,
     ];
     self.one_of(&faults)
@@ -259,10 +259,10 @@
     let faults = [
       StoreFault::Down,
       StoreFault::Slow { delay_ms },
-      StoreFault::LosesAnswers,
-      StoreFault::ForgetsHistory,
+      StoreFault::DropsResponses,
+      StoreFault::CompactsHistory,
       StoreFault::LosesEntries,
-      StoreFault::EndsLeases,
+      StoreFault::ExpiresLeases,
     ];
     self.one_of(&faults)
   }
@@ -270,11 +270,11 @@
   fn endpoint_fault(&mut self) -> EndpointFault {
     let faults = [
       EndpointFault::Fails,
-      EndpointFault::LosesAnswers,
-      EndpointFault::CutsAnswers,
-      EndpointFault::Mute,
+      EndpointFault::DropsResponses,
+      EndpointFault::TruncatesResponses,
+      EndpointFault::Hangs,
       EndpointFault::Full,
-      EndpointFault::Confuses,
+      EndpointFault::WrongRequestId,
       EndpointFault::Slow,
     ];
     self.one_of(&faults)
--- a/soak/src/play.rs
+++ b/soak/src/play.rs
@@ -4,11 +4,11 @@
   super::{
     breach::Breach,
     caller::{Caller, CallerWork},
-    conductor::{carry_out, crash_again},
-    engine_news::{EngineNews, EngineNewsItem},
+    engine_event::{EngineEvent, EngineEventReceiver},
     error::{Error, Result},
+    fault_injector::{crash_and_restart, inject},
     fleet::Fleet,
-    plan::{Size, Step, draw_plan},
+    plan::{ScheduledFault, Size, draw_plan},
     promises::breaches,
     records::{Outcome, Records},
   },
@@ -21,15 +21,15 @@
 };
 
 /// How long all boxes have to come up, and to come back after the last fault.
-const START_LIMIT: Duration = Duration::from_secs(30);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// Pause of the balancer between its questions.
-const LOOK_PAUSE: Duration = Duration::from_millis(300);
+const POLL_INTERVAL: Duration = Duration::from_millis(300);
 /// Calm traffic after the last fault: the users' bound on contact, and as long again to be served in.
-const CALM: Duration = Duration::from_millis(8_000);
+const RECOVERY_PERIOD: Duration = Duration::from_millis(8_000);
 /// How long callers may take to end their last requests.
-const CALLERS_LIMIT: Duration = Duration::from_secs(8);
+const CALLERS_TIMEOUT: Duration = Duration::from_secs(8);
 /// Engines are empty this long after the traffic: reservations and prompts lapse in 1.5 s.
-const EMPTY_AFTER: Duration = Duration::from_millis(2_500);
+const RELEASE_PERIOD: Duration = Duration::from_millis(2_500);
 
 /// What to play.
 #[derive(Clone, Debug)]
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 pub struct Report {
   /// The faults that were played.
-  pub steps: Vec<Step>,
+  pub steps: Vec<ScheduledFault>,
   /// What was seen.
   pub records: Records,
   /// Promises that were broken.
@@ -74,7 +74,7 @@
 /// Plays one run. Fails when it can't be played; broken promises stand in the report.
 pub async fn play(options: &Options) -> Result<Report> {
   let size = options.size;
-  let (fleet, engine_news) = Fleet::start(
+  let (fleet, engine_event) = Fleet::start(
     &options.program,
     &options.directory,
     size.boxes,
@@ -83,21 +83,21 @@
   .await?;
   let fleet = Arc::new(fleet);
   wait_until_ready(&fleet).await?;
-  let mut background = start_background(&fleet, engine_news);
+  let mut background = start_background(&fleet, engine_event);
   let (end, ended) = watch::channel(false);
   let mut callers = start_callers(&fleet, options, &ended);
   let steps = draw_plan(options.seed, size);
   play_steps(&fleet, &steps).await?;
   wait_until_ready(&fleet).await?;
-  let calm_ms = fleet.ledger.now_ms();
-  fleet.ledger.records().calm_ms = Some(calm_ms);
-  sleep(CALM).await;
+  let faults_ended_ms = fleet.recorder.now_ms();
+  fleet.recorder.records().faults_ended_ms = Some(faults_ended_ms);
+  sleep(RECOVERY_PERIOD).await;
   end_traffic(&end, &mut callers).await;
-  sleep(EMPTY_AFTER).await;
+  sleep(RELEASE_PERIOD).await;
   let held = fleet.held();
-  fleet.ledger.records().held_at_end = held;
+  fleet.recorder.records().held_at_end = held;
   background.shutdown().await;
-  let records = fleet.ledger.records().clone();
+  let records = fleet.recorder.records().clone();
   Ok(Report {
     breaches: breaches(&records, options.slack_ms),
     records,
@@ -106,11 +106,11 @@
 }
 
 /// What runs beside the traffic until the end: the balancer, the questions for versions, and the engines' entries.
-fn start_background(fleet: &Arc<Fleet>, engine_news: EngineNews) -> JoinSet<()> {
+fn start_background(fleet: &Arc<Fleet>, engine_event: EngineEventReceiver) -> JoinSet<()> {
   let mut background = JoinSet::new();
-  background.spawn(keep_looking(fleet.clone()));
-  background.spawn(keep_probing(fleet.clone()));
-  background.spawn(follow_engines(fleet.clone(), engine_news));
+  background.spawn(poll_boxes(fleet.clone()));
+  background.spawn(probe_boxes(fleet.clone()));
+  background.spawn(handle_engine_events(fleet.clone(), engine_event));
   background
 }
 
@@ -139,21 +139,21 @@
   // All callers hold a receiver until they end.
   let _ = end.send(true);
   // One that is stuck shows as a request without an outcome.
-  let _ = timeout(CALLERS_LIMIT, async {
+  let _ = timeout(CALLERS_TIMEOUT, async {
     while callers.join_next().await.is_some() {}
   })
   .await;
 }
 
 /// Begins each fault at its time, and waits for the last to end.
-async fn play_steps(fleet: &Arc<Fleet>, steps: &[Step]) -> Result {
-  let begun_ms = fleet.ledger.now_ms();
+async fn play_steps(fleet: &Arc<Fleet>, steps: &[ScheduledFault]) -> Result {
+  let begun_ms = fleet.recorder.now_ms();
   let mut running = JoinSet::new();
   for step in steps {
-    let passed_ms = fleet.ledger.now_ms() - begun_ms;
+    let passed_ms = fleet.recorder.now_ms() - begun_ms;
     sleep(Duration::from_millis(step.at_ms.saturating_sub(passed_ms))).await;
     let (fleet, fault) = (fleet.clone(), step.fault);
-    running.spawn(async move { carry_out(&fleet, fault).await });
+    running.spawn(async move { inject(&fleet, fault).await });
   }
   while let Some(ended) = running.join_next().await {
     match ended {
@@ -168,42 +168,42 @@
   let mut missing = fleet.boxes.len();
   let waiting = async {
     loop {
-      missing = fleet.look().await;
+      missing = fleet.poll_readiness().await;
       if missing == 0 {
         return;
       }
-      sleep(LOOK_PAUSE).await;
+      sleep(POLL_INTERVAL).await;
     }
   };
-  let is_ready = timeout(START_LIMIT, waiting).await.is_ok();
+  let is_ready = timeout(START_TIMEOUT, waiting).await.is_ok();
   is_ready.then_some(()).ok_or(Error::NotReady(missing))
 }
 
-async fn keep_looking(fleet: Arc<Fleet>) {
+async fn poll_boxes(fleet: Arc<Fleet>) {
   loop {
-    sleep(LOOK_PAUSE).await;
-    fleet.look().await;
+    sleep(POLL_INTERVAL).await;
+    fleet.poll_readiness().await;
   }
 }
 
-async fn keep_probing(fleet: Arc<Fleet>) {
+async fn probe_boxes(fleet: Arc<Fleet>) {
   loop {
     for index in 0..fleet.boxes.len() {
       fleet.probe(index).await;
     }
-    sleep(LOOK_PAUSE).await;
+    sleep(POLL_INTERVAL).await;
   }
 }
 
 /// Writes the entries of engines that have changed their role, and starts those again that a request has ended.
-async fn follow_engines(fleet: Arc<Fleet>, mut news: EngineNews) {
+async fn handle_engine_events(fleet: Arc<Fleet>, mut news: EngineEventReceiver) {
   let mut restarts = JoinSet::new();
   while let Some(told) = news.recv().await {
     match told {
-      EngineNewsItem::ChangedPart { place } => fleet.enter(place),
-      EngineNewsItem::Crashed { place, incarnation } => {
+      EngineEvent::RoleChanged { place } => fleet.register(place),
+      EngineEvent::Crashed { place, incarnation } => {
         let fleet = fleet.clone();
-        restarts.spawn(async move { crash_again(&fleet, place, &incarnation).await });
+        restarts.spawn(async move { crash_and_restart(&fleet, place, &incarnation).await });
       }
     }
     while restarts.try_join_next().is_some() {}
--- a/soak/src/question.rs
+++ b/soak/src/probe_request.rs
@@ -10,12 +10,15 @@
 };
 
 /// How long a box has to say whether it is ready, or has a version.
-pub(crate) const ASK_LIMIT: Duration = Duration::from_millis(800);
+pub(crate) const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Sends a question on a connection of its own; nothing when no answer comes in time.
 pub(crate) async fn ask(request: Builder) -> Option<StatusCode> {
   let request = request.body(Full::<Bytes>::default()).ok()?;
   let client = HttpClient::default();
-  let response = timeout(ASK_LIMIT, client.send(request)).await.ok()?.ok()?;
+  let response = timeout(PROBE_TIMEOUT, client.send(request))
+    .await
+    .ok()?
+    .ok()?;
   Some(response.status())
 }
--- a/soak/src/promise.rs
+++ b/soak/src/promise.rs
@@ -8,45 +8,45 @@
   /// "Not run" is true.
   NotRunIsTrue,
   /// A caller gets its own answer, whole, or sees that it is not.
-  OwnWholeAnswer,
+  OwnCompleteResponse,
   /// No request goes to more endpoints than its route allows.
-  Attempts,
+  AttemptLimit,
   /// No endpoint runs what nobody asked for, or goes on from another request's prompt.
-  OnlyWhatWasAsked,
+  OnlyRequestedWork,
   /// Each request is ended within its deadline.
-  Ended,
+  DeadlineKept,
   /// Endpoints stop soon after a caller has left.
-  Freed,
+  StopsAfterDisconnect,
   /// Endpoints that leave get nothing new.
   Drained,
   /// An endpoint that has told a box that it leaves gets nothing new from it, whatever the store says.
-  OwnWordOfLeaving,
+  LeavingSignalHonoured,
   /// An endpoint that wants no requests of a box for a while gets next to none.
-  PauseKept,
+  BackoffHonoured,
   /// Boxes together send a cold endpoint no more than it carries.
-  ColdRateKept,
+  ColdRateHonoured,
   /// A data hall that operators drain gets nothing new.
   HallDrained,
   /// An endpoint that names a limit for all boxes gets no more of them together.
-  EndpointLimitKept,
+  EndpointLimitHonoured,
   /// Configurations are in force in time.
-  Configured,
+  ConfigurationInTime,
   /// Configurations never go back.
-  NeverBack,
+  ConfigurationMonotonic,
   /// A planned stop cuts no request.
-  StopCutsNothing,
+  GracefulStop,
   /// Engines hold nothing once the traffic has ended.
-  NothingHeld,
+  ResourcesReleased,
   /// Callers are served again after all faults.
   Recovered,
   /// Endpoints are told the organisation that holds the caller's key.
-  Named,
+  OrganisationNamed,
   /// Keys that are held are served, those that were taken away are not, and none is shown to an endpoint.
-  KeysKept,
+  KeysHonoured,
   /// No organisation is served beyond its limit.
-  LimitKept,
+  QuotaLimitHonoured,
   /// A request that has ended three engines is sent to few more.
-  FewCrashes,
+  QuarantineHonoured,
   /// Role orders of different boxes never pass each other.
-  OneSteward,
+  SingleRoleLeader,
 }
--- a/soak/src/promises.rs
+++ b/soak/src/promises.rs
@@ -4,23 +4,23 @@
   super::{
     breach::Breach,
     caller_key::CallerKey,
-    calm::{CONFIGURE_MS, CONTACT_MS},
     cold_check::cold_breaches,
     hall_check::hall_breaches,
     limit_check::limit_breaches,
     notice_check::notice_breaches,
     organisation_check::organisation_breaches,
     promise::Promise,
-    records::{OrderRecord, Outcome, PlannedStop, Probe, Records, RequestRecord},
+    records::{Outcome, PlannedStop, Probe, Records, RequestRecord, RoleCommandRecord},
     request_check::RequestCheck,
     request_kind::RequestKind,
+    undisturbed::{CONFIGURATION_MS, CONTACT_MS},
   },
   std::collections::BTreeMap,
 };
 
 /// Ends of engines after which a request is held, and runs that it may still have (the users' bounds).
-const ENDS_BEFORE_HELD: usize = 3;
-const MOST_RUNS_HELD: usize = 3;
+const CRASHES_BEFORE_QUARANTINE: usize = 3;
+const MAX_QUARANTINED_RUNS: usize = 3;
 /// Share of requests that is served once recovered.
 const RECOVERED_SHARE: f64 = 0.9;
 
@@ -29,10 +29,10 @@
   let check = Check { records, slack_ms };
   let mut breaches = Vec::new();
   breaches.extend(check.requests().flat_map(|request| request.breaches()));
-  breaches.extend(check.unasked());
+  breaches.extend(check.unrequested_runs());
   breaches.extend(check.configuration());
   breaches.extend(check.planned_stops());
-  breaches.extend(check.orders());
+  breaches.extend(check.role_commands());
   breaches.extend(check.crashes());
   breaches.extend(check.held());
   breaches.extend(check.recovery());
@@ -62,10 +62,10 @@
     })
   }
 
-  fn unasked(&self) -> impl Iterator<Item = Breach> {
-    let seen = self.records.unasked.iter();
-    let seen = seen.chain(&self.records.mixed_prompts);
-    seen.map(|seen| Breach::new(Promise::OnlyWhatWasAsked, seen))
+  fn unrequested_runs(&self) -> impl Iterator<Item = Breach> {
+    let seen = self.records.unrequested_runs.iter();
+    let seen = seen.chain(&self.records.mismatched_prompts);
+    seen.map(|seen| Breach::new(Promise::OnlyRequestedWork, seen))
   }
 
   fn configuration(&self) -> Vec<Breach> {
@@ -73,16 +73,18 @@
     // The newest version that each process had, and when it was first seen there.
     let mut newest: BTreeMap<(usize, u64), (u64, u64)> = BTreeMap::new();
     for probe in &self.records.probes {
-      let life = (probe.box_index, probe.life);
+      let process_number = (probe.box_index, probe.process_number);
       match probe.in_force {
         Some(true) => {
-          let seen = newest.entry(life).or_insert((probe.version, probe.sent_ms));
+          let seen = newest
+            .entry(process_number)
+            .or_insert((probe.version, probe.sent_ms));
           if probe.version > seen.0 {
             *seen = (probe.version, probe.sent_ms);
           }
         }
         Some(false) => {
-          found.extend(has_gone_back(probe, newest.get(&life).copied()));
+          found.extend(has_regressed(probe, newest.get(&process_number).copied()));
           found.extend(self.is_late(probe));
         }
         None => {}
@@ -94,7 +96,7 @@
   /// A version that a box does not have although it has long been acknowledged.
   fn is_late(&self, probe: &Probe) -> Option<Breach> {
     let acknowledged_ms = *self.records.versions.get(&probe.version)?;
-    let due_ms = acknowledged_ms + CONFIGURE_MS + self.slack_ms;
+    let due_ms = acknowledged_ms + CONFIGURATION_MS + self.slack_ms;
     if probe.sent_ms <= due_ms
       || !self
         .records
@@ -103,7 +105,7 @@
       return None;
     }
     let seen = format!("acknowledged at {acknowledged_ms} ms: {probe:?}");
-    Some(Breach::new(Promise::Configured, seen))
+    Some(Breach::new(Promise::ConfigurationInTime, seen))
   }
 
   fn planned_stops(&self) -> impl Iterator<Item = Breach> {
@@ -117,17 +119,17 @@
 
   /// A process that was told to stop, was left alone, and did not end by itself and well.
   fn is_unclean(&self, stop: &PlannedStop) -> Option<Breach> {
-    let is_left_alone = self.records.is_box_undisturbed(stop);
+    let is_left_alone = self.records.is_stop_undisturbed(stop);
     if stop.is_clean || !is_left_alone {
       return None;
     }
-    Some(Breach::new(Promise::StopCutsNothing, format!("{stop:?}")))
+    Some(Breach::new(Promise::GracefulStop, format!("{stop:?}")))
   }
 
-  fn orders(&self) -> Vec<Breach> {
-    let mut newest: BTreeMap<&str, &OrderRecord> = BTreeMap::new();
+  fn role_commands(&self) -> Vec<Breach> {
+    let mut newest: BTreeMap<&str, &RoleCommandRecord> = BTreeMap::new();
     let mut found = Vec::new();
-    for order in &self.records.orders {
+    for order in &self.records.role_commands {
       let Some(last) = newest.insert(&order.incarnation, order) else {
         continue;
       };
@@ -135,7 +137,7 @@
       if order.fence < last.fence || is_shared {
         let last = (last.fence, &last.holder);
         let seen = format!("{order:?} after {last:?}");
-        found.push(Breach::new(Promise::OneSteward, seen));
+        found.push(Breach::new(Promise::SingleRoleLeader, seen));
       }
     }
     found
@@ -143,7 +145,7 @@
 
   /// A request that ends engines is sent on by boxes that had time to hear of its third end, more often than is allowed.
   fn crashes(&self) -> Option<Breach> {
-    let third_ms = *self.records.crashes.get(ENDS_BEFORE_HELD - 1)?;
+    let third_ms = *self.records.crashes.get(CRASHES_BEFORE_QUARANTINE - 1)?;
     let known_ms = third_ms + CONTACT_MS + self.slack_ms;
     let late = self.records.requests.iter().flat_map(|(id, request)| {
       let is_late = |began_ms: &u64| {
@@ -160,25 +162,25 @@
         .collect::<Vec<_>>()
     });
     let late: Vec<String> = late.collect();
-    if late.len() <= MOST_RUNS_HELD {
+    if late.len() <= MAX_QUARANTINED_RUNS {
       return None;
     }
     let seen = format!("the third end was at {third_ms} ms: {late:?}");
-    Some(Breach::new(Promise::FewCrashes, seen))
+    Some(Breach::new(Promise::QuarantineHonoured, seen))
   }
 
   fn held(&self) -> impl Iterator<Item = Breach> {
     let held = self.records.held_at_end.iter();
-    held.map(|held| Breach::new(Promise::NothingHeld, held))
+    held.map(|held| Breach::new(Promise::ResourcesReleased, held))
   }
 
   fn recovery(&self) -> Option<Breach> {
-    let since_ms = self.records.calm_ms? + CONTACT_MS;
+    let since_ms = self.records.faults_ended_ms? + CONTACT_MS;
     let late: Vec<&RequestRecord> = self
       .records
       .requests
       .values()
-      .filter(|request| request.sent_ms >= since_ms && request.outcome != Some(Outcome::Left))
+      .filter(|request| request.sent_ms >= since_ms && request.outcome != Some(Outcome::Disconnected))
       // Who asks for several times its limit is not served all of it.
       .filter(|request| request.key != CallerKey::Hot)
       // Nobody expects what ends engines to be served.
@@ -195,7 +197,7 @@
 }
 
 /// A version that a box does not have although the same process had it, or a newer one, before.
-fn has_gone_back(probe: &Probe, newest: Option<(u64, u64)>) -> Option<Breach> {
+fn has_regressed(probe: &Probe, newest: Option<(u64, u64)>) -> Option<Breach> {
   let (version, seen_ms) = newest?;
   if version < probe.version || probe.sent_ms <= seen_ms {
     return None;
@@ -204,9 +206,9 @@
     "box {} had {version} at {seen_ms} ms: {probe:?}",
     probe.box_index
   );
-  Some(Breach::new(Promise::NeverBack, seen))
+  Some(Breach::new(Promise::ConfigurationMonotonic, seen))
 }
 
 fn is_served(request: &RequestRecord) -> bool {
-  matches!(&request.outcome, Some(Outcome::Whole { status, .. }) if (200..300).contains(status))
+  matches!(&request.outcome, Some(Outcome::Complete { status, .. }) if (200..300).contains(status))
 }
--- a/soak/src/ledger.rs
+++ b/soak/src/recorder.rs
@@ -5,7 +5,8 @@
     caller_key::CallerKey,
     disturbance::{Disturbance, Target},
     records::{
-      NamedLimit, Outcome, Records, RequestRecord, Run, Start, ToldLeaving, ToldLimit, TurnedAway,
+      AdvertisedLimit, LeavingReceived, LimitReceived, Outcome, Records, Rejection, RequestRecord,
+      Run, Start,
     },
     request_kind::RequestKind,
   },
@@ -17,12 +18,12 @@
 
 /// The shared book of records, with the run's clock.
 #[derive(Clone)]
-pub struct Ledger {
+pub struct Recorder {
   started: Instant,
   records: Arc<Mutex<Records>>,
 }
 
-impl Default for Ledger {
+impl Default for Recorder {
   fn default() -> Self {
     Self {
       records: Arc::default(),
@@ -31,7 +32,7 @@
   }
 }
 
-impl Ledger {
+impl Recorder {
   /// Time since the run began.
   pub fn now_ms(&self) -> u64 {
     u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
@@ -67,56 +68,56 @@
   }
 
   /// A caller has an answer of an endpoint that leaves.
-  pub(crate) fn told_leaving(&self, box_index: usize, incarnation: &str) {
-    let told = ToldLeaving {
+  pub(crate) fn leaving_received(&self, box_index: usize, incarnation: &str) {
+    let told = LeavingReceived {
       at_ms: self.now_ms(),
       box_index,
       incarnation: incarnation.into(),
     };
-    self.records().told_leaving.push(told);
+    self.records().leaving_received.push(told);
   }
 
   /// A caller has an answer of an endpoint that names a limit.
-  pub(crate) fn told_limit(&self, box_index: usize, incarnation: &str) {
-    let told = ToldLimit {
+  pub(crate) fn record_limit_received(&self, box_index: usize, incarnation: &str) {
+    let told = LimitReceived {
       at_ms: self.now_ms(),
       box_index,
       incarnation: incarnation.into(),
     };
-    self.records().told_limits.push(told);
+    self.records().limits_received.push(told);
   }
 
   /// An endpoint names a limit from now on, and the one that it named before no more.
-  pub(crate) fn names_limit(&self, incarnation: &str, per_s: u32) {
-    self.names_no_limit(incarnation);
-    let named = NamedLimit {
+  pub(crate) fn begin_limit(&self, incarnation: &str, per_s: u32) {
+    self.end_limit(incarnation);
+    let named = AdvertisedLimit {
       from_ms: self.now_ms(),
       incarnation: incarnation.into(),
       per_s,
       until_ms: None,
     };
-    self.records().named_limits.push(named);
+    self.records().advertised_limits.push(named);
   }
 
   /// An endpoint names none any more.
-  pub(crate) fn names_no_limit(&self, incarnation: &str) {
+  pub(crate) fn end_limit(&self, incarnation: &str) {
     let now_ms = self.now_ms();
     let mut records = self.records();
-    let named = records.named_limits.iter_mut();
+    let named = records.advertised_limits.iter_mut();
     for named in named.filter(|named| named.incarnation == incarnation) {
       named.until_ms.get_or_insert(now_ms);
     }
   }
 
   /// An endpoint turns a request away, and wants none for a while.
-  pub(crate) fn turned_away(&self, id: &str, incarnation: &str, pause_ms: u64) {
-    let turned_away = TurnedAway {
+  pub(crate) fn rejections(&self, id: &str, incarnation: &str, pause_ms: u64) {
+    let rejections = Rejection {
       at_ms: self.now_ms(),
       id: id.into(),
       incarnation: incarnation.into(),
       pause_ms,
     };
-    self.records().turned_away.push(turned_away);
+    self.records().rejections.push(rejections);
   }
 
   /// An endpoint starts.
@@ -142,7 +143,9 @@
       return RunGuard(None);
     }
     let Some(record) = records.requests.get_mut(id) else {
-      records.unasked.push(format!("{id} at {incarnation}"));
+      records
+        .unrequested_runs
+        .push(format!("{id} at {incarnation}"));
       return RunGuard(None);
     };
     record.runs.push(Run {
@@ -156,7 +159,7 @@
   }
 
   /// Something begins to misbehave, until the guard is dropped.
-  pub(crate) fn disturb(&self, target: Target) -> DisturbanceGuard {
+  pub(crate) fn begin_disturbance(&self, target: Target) -> DisturbanceGuard {
     let from_ms = self.now_ms();
     let mut records = self.records();
     records.disturbances.push(Disturbance {
@@ -169,22 +172,22 @@
 }
 
 /// A run in progress.
-pub(crate) struct RunGuard(Option<(Ledger, String, usize)>);
+pub(crate) struct RunGuard(Option<(Recorder, String, usize)>);
 
 impl Drop for RunGuard {
   fn drop(&mut self) {
-    let Some((ledger, id, number)) = self.0.take() else {
+    let Some((recorder, id, number)) = self.0.take() else {
       return;
     };
-    let now_ms = ledger.now_ms();
-    if let Some(record) = ledger.records().requests.get_mut(&id) {
+    let now_ms = recorder.now_ms();
+    if let Some(record) = recorder.records().requests.get_mut(&id) {
       record.runs[number].ended_ms = Some(now_ms);
     }
   }
 }
 
 /// A disturbance that lasts.
-pub(crate) struct DisturbanceGuard(Ledger, usize);
+pub(crate) struct DisturbanceGuard(Recorder, usize);
 
 impl DisturbanceGuard {
   /// When it began.
--- a/soak/src/records.rs
+++ b/soak/src/records.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
   /// The answer looked complete.
-  Whole {
+  Complete {
     /// The status.
     status: u16,
     /// The endpoint's receipt, if there was one.
@@ -18,7 +18,7 @@
     body: String,
   },
   /// The connection was refused, or broke.
-  Broken {
+  ConnectionLost {
     /// The status, when the head came.
     status: Option<u16>,
     /// The body so far.
@@ -27,7 +27,7 @@
   /// Nothing ended it within the caller's deadline and a margin.
   Unanswered,
   /// The caller left.
-  Left,
+  Disconnected,
 }
 
 /// One run of a request at an endpoint.
@@ -70,7 +70,7 @@
   /// The box.
   pub box_index: usize,
   /// Which process of that box answered: counts its starts.
-  pub life: u64,
+  pub process_number: u64,
   /// The version asked for.
   pub version: u64,
   /// When it was sent.
@@ -81,7 +81,7 @@
 
 /// A role order that reached an engine, taken or not.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct OrderRecord {
+pub struct RoleCommandRecord {
   /// The engine's incarnation.
   pub incarnation: String,
   /// The box that gave it.
@@ -92,7 +92,7 @@
 
 /// An answer that told a box, and through it a caller, that its endpoint leaves.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct ToldLeaving {
+pub struct LeavingReceived {
   /// The box.
   pub box_index: usize,
   /// The endpoint's incarnation.
@@ -103,7 +103,7 @@
 
 /// A limit that an endpoint names in all of its answers.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct NamedLimit {
+pub struct AdvertisedLimit {
   /// The endpoint's incarnation.
   pub incarnation: String,
   /// Requests a second that it takes of all boxes together.
@@ -116,7 +116,7 @@
 
 /// An answer that told a box, and through it a caller, its endpoint's limit.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct ToldLimit {
+pub struct LimitReceived {
   /// The box.
   pub box_index: usize,
   /// The endpoint's incarnation.
@@ -138,7 +138,7 @@
 
 /// A request that an endpoint turned away, with the wish for a pause.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct TurnedAway {
+pub struct Rejection {
   /// The request.
   pub id: String,
   /// The endpoint's incarnation.
@@ -177,11 +177,11 @@
   /// Requests by id.
   pub requests: BTreeMap<String, RequestRecord>,
   /// Runs under ids that no caller sent.
-  pub unasked: Vec<String>,
+  pub unrequested_runs: Vec<String>,
   /// Keys that endpoints were shown.
-  pub shown_keys: Vec<String>,
+  pub leaked_keys: Vec<String>,
   /// Prompts that were taken up under another request's id.
-  pub mixed_prompts: Vec<String>,
+  pub mismatched_prompts: Vec<String>,
   /// The ids of this run's own questions; endpoints may run them after they are given up.
   pub probe_ids: BTreeSet<String>,
   /// Questions for versions.
@@ -191,19 +191,19 @@
   /// When incarnations said that they leave.
   pub leaving: BTreeMap<String, u64>,
   /// Answers of endpoints that leave.
-  pub told_leaving: Vec<ToldLeaving>,
+  pub leaving_received: Vec<LeavingReceived>,
   /// Limits that endpoints name.
-  pub named_limits: Vec<NamedLimit>,
+  pub advertised_limits: Vec<AdvertisedLimit>,
   /// Answers that told of them.
-  pub told_limits: Vec<ToldLimit>,
+  pub limits_received: Vec<LimitReceived>,
   /// Data halls that operators drained.
   pub hall_drains: Vec<HallDrain>,
   /// Requests that were turned away with the wish for a pause.
-  pub turned_away: Vec<TurnedAway>,
+  pub rejections: Vec<Rejection>,
   /// Starts of endpoints.
   pub starts: Vec<Start>,
   /// Role orders in the order of their arrival.
-  pub orders: Vec<OrderRecord>,
+  pub role_commands: Vec<RoleCommandRecord>,
   /// When the request that ends engines ended one.
   pub crashes: Vec<u64>,
   /// Planned stops.
@@ -213,5 +213,5 @@
   /// What engines still held at the end, after traffic had ended.
   pub held_at_end: Vec<String>,
   /// Since when nothing has been disturbed and all processes are up.
-  pub calm_ms: Option<u64>,
+  pub faults_ended_ms: Option<u64>,
 }
--- a/soak/src/reply.rs
+++ b/soak/src/reply.rs
@@ -35,7 +35,7 @@
 }
 
 /// An answer to a call of a box.
-pub(crate) fn json_answer(value: Value) -> Response<ReplyBody> {
+pub(crate) fn json_response(value: Value) -> Response<ReplyBody> {
   Response::new(whole(&value.to_string()))
 }
 
@@ -52,7 +52,7 @@
 }
 
 /// The same refusal, with the wish for a pause.
-pub(crate) fn wants_pause(
+pub(crate) fn with_retry_after(
   mut refusal: Response<ReplyBody>,
   pause: Duration,
 ) -> Response<ReplyBody> {
--- a/soak/src/request_check.rs
+++ b/soak/src/request_check.rs
@@ -8,11 +8,11 @@
 };
 
 /// A caller that left frees its endpoint this soon (the users' rule on callers who leave).
-const GONE_MS: u64 = 500;
+const DISCONNECT_MS: u64 = 500;
 /// An endpoint that leaves gets nothing new after this time (the users' bound on draining).
 const DRAIN_MS: u64 = 2_000;
 /// A closed connection that carried no request to an endpoint may cross it (the users' bound on losses).
-const CROSSING_MS: u64 = 200;
+const CLOSE_RACE_MS: u64 = 200;
 
 /// One request, to be checked.
 pub(crate) struct RequestCheck<'a> {
@@ -28,10 +28,10 @@
     [
       self.runs_once(),
       self.not_run_is_true(),
-      self.own_whole_answer(),
+      self.own_complete_response(),
       self.attempts(),
       self.is_ended(),
-      self.is_freed(),
+      self.stops_after_disconnect(),
       self.is_drained(),
     ]
     .into_iter()
@@ -41,7 +41,7 @@
 
   fn runs_once(&self) -> Option<Breach> {
     let Self { id, request, .. } = self;
-    if request.kind.may_repeat() || request.runs.len() <= 1 {
+    if request.kind.may_retry() || request.runs.len() <= 1 {
       return None;
     }
     let seen = format!("{id} ran at {:?}", request.runs);
@@ -50,37 +50,37 @@
 
   fn not_run_is_true(&self) -> Option<Breach> {
     let Self { id, request, .. } = self;
-    let Some(Outcome::Whole { status, .. }) = request.outcome else {
+    let Some(Outcome::Complete { status, .. }) = request.outcome else {
       return None;
     };
     let promised = matches!(status, 408 | 421 | 429 | 503);
-    if !promised || request.kind.may_repeat() || request.runs.is_empty() {
+    if !promised || request.kind.may_retry() || request.runs.is_empty() {
       return None;
     }
     let seen = format!("{id} told {status}, ran at {:?}", request.runs);
     Some(Breach::new(Promise::NotRunIsTrue, seen))
   }
 
-  fn own_whole_answer(&self) -> Option<Breach> {
+  fn own_complete_response(&self) -> Option<Breach> {
     let id = self.id;
     let seen = match self.request.outcome.as_ref()? {
-      Outcome::Whole {
+      Outcome::Complete {
         status: 200..300,
         receipt,
         ..
       } if !self.has_run_with(receipt.as_deref()) => format!("{id} has the receipt {receipt:?}"),
-      Outcome::Whole {
+      Outcome::Complete {
         status: 200..300,
         body,
         ..
       } if *body != self.expected_body() => format!("{id} whole true got {body:?}"),
-      Outcome::Broken {
+      Outcome::ConnectionLost {
         status: Some(200),
         body,
       } if !self.expected_body().starts_with(body) => format!("{id} whole false got {body:?}"),
       _ => return None,
     };
-    Some(Breach::new(Promise::OwnWholeAnswer, seen))
+    Some(Breach::new(Promise::OwnCompleteResponse, seen))
   }
 
   /// Whether the endpoint with this receipt ran the request.
@@ -93,18 +93,18 @@
     if self.request.kind.is_stream() {
       content::stream_after(self.id, 0)
     } else {
-      content::plain_answer(self.id)
+      content::plain_response(self.id)
     }
   }
 
   fn attempts(&self) -> Option<Breach> {
     let Self { id, request, .. } = self;
     // A second run of what may not be repeated is told as such.
-    if !request.kind.may_repeat() || request.runs.len() <= request.kind.most_attempts() {
+    if !request.kind.may_retry() || request.runs.len() <= request.kind.max_attempts() {
       return None;
     }
     let seen = format!("{id} ran at {:?}", request.runs);
-    Some(Breach::new(Promise::Attempts, seen))
+    Some(Breach::new(Promise::AttemptLimit, seen))
   }
 
   fn is_ended(&self) -> Option<Breach> {
@@ -112,33 +112,40 @@
     // One without an outcome was still open when its caller was ended.
     let is_open = matches!(request.outcome, None | Some(Outcome::Unanswered));
     let ended_ms = request.ended_ms.unwrap_or(u64::MAX);
-    if !is_open || !self.records.is_calm(request, request.sent_ms, ended_ms) {
+    if !is_open
+      || !self
+        .records
+        .is_request_undisturbed(request, request.sent_ms, ended_ms)
+    {
       return None;
     }
     let seen = format!(
       "{id} sent at {} ms, open at {:?} ms",
       request.sent_ms, request.ended_ms
     );
-    Some(Breach::new(Promise::Ended, seen))
+    Some(Breach::new(Promise::DeadlineKept, seen))
   }
 
-  fn is_freed(&self) -> Option<Breach> {
+  fn stops_after_disconnect(&self) -> Option<Breach> {
     let Self { id, request, .. } = self;
     let left_ms = request.ended_ms?;
-    if request.outcome != Some(Outcome::Left) {
+    if request.outcome != Some(Outcome::Disconnected) {
       return None;
     }
-    let due_ms = left_ms + GONE_MS + self.slack_ms;
+    let due_ms = left_ms + DISCONNECT_MS + self.slack_ms;
     let is_late = |run: &&Run| run.ended_ms.is_none_or(|ended_ms| ended_ms > due_ms);
     let run = request.runs.iter().find(is_late)?;
-    if !self.records.is_calm(request, request.sent_ms, due_ms) {
+    if !self
+      .records
+      .is_request_undisturbed(request, request.sent_ms, due_ms)
+    {
       return None;
     }
     let seen = format!(
       "{id} left at {left_ms} ms, {} at work until {:?}",
       run.incarnation, run.ended_ms
     );
-    Some(Breach::new(Promise::Freed, seen))
+    Some(Breach::new(Promise::StopsAfterDisconnect, seen))
   }
 
   fn is_drained(&self) -> Option<Breach> {
@@ -156,7 +163,9 @@
       || !self
         .records
         .is_connected(request.box_index, leaving_ms, began_ms)
-      || !self.records.is_calm(request, leaving_ms, began_ms)
+      || !self
+        .records
+        .is_request_undisturbed(request, leaving_ms, began_ms)
     {
       return None;
     }
@@ -171,19 +180,19 @@
   pub(crate) fn is_cut_by(&self, stop: &PlannedStop) -> Option<Breach> {
     let Self { id, request, .. } = self;
     let ended_ms = request.ended_ms?;
-    let cut = matches!(request.outcome, Some(Outcome::Broken { .. }));
+    let cut = matches!(request.outcome, Some(Outcome::ConnectionLost { .. }));
     let was_read =
-      !request.runs.is_empty() || ended_ms > request.sent_ms + CROSSING_MS + self.slack_ms;
+      !request.runs.is_empty() || ended_ms > request.sent_ms + CLOSE_RACE_MS + self.slack_ms;
     let concerned = request.box_index == stop.box_index
       && request.sent_ms < stop.gone_ms
       && ended_ms > stop.signalled_ms;
-    if !cut || !was_read || !concerned || !self.records.is_calm_but_for_stop(request) {
+    if !cut || !was_read || !concerned || !self.records.is_undisturbed_except_stops(request) {
       return None;
     }
     let seen = format!(
       "{id} sent at {} ms, cut at {ended_ms} ms: {stop:?}",
       request.sent_ms
     );
-    Some(Breach::new(Promise::StopCutsNothing, seen))
+    Some(Breach::new(Promise::GracefulStop, seen))
   }
 }
--- a/soak/src/request_kind.rs
+++ b/soak/src/request_kind.rs
@@ -4,9 +4,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RequestKind {
   /// May run more than once.
-  Repeatable,
+  Retryable,
   /// Runs at most once.
-  Unrepeatable,
+  NonRetryable,
   /// A stream that runs at most once.
   Stream,
   /// A stream that another engine may go on with.
@@ -17,10 +17,10 @@
 
 impl RequestKind {
   /// Whether a second run breaks no promise.
-  pub fn may_repeat(self) -> bool {
+  pub fn may_retry(self) -> bool {
     matches!(
       self,
-      Self::Repeatable | Self::ResumableStream | Self::CrashingStream
+      Self::Retryable | Self::ResumableStream | Self::CrashingStream
     )
   }
 
@@ -35,18 +35,18 @@
   /// The path of its route.
   pub(crate) fn path(self) -> &'static str {
     match self {
-      Self::Repeatable => "/safe/",
-      Self::Unrepeatable => "/unsafe/",
+      Self::Retryable => "/safe/",
+      Self::NonRetryable => "/unsafe/",
       Self::Stream => "/stream/",
       Self::ResumableStream | Self::CrashingStream => "/resumable/",
     }
   }
 
   /// The most endpoints that its route allows one request to be sent to.
-  pub fn most_attempts(self) -> usize {
+  pub fn max_attempts(self) -> usize {
     match self {
-      Self::Unrepeatable | Self::Stream => 1,
-      Self::Repeatable => 2,
+      Self::NonRetryable | Self::Stream => 1,
+      Self::Retryable => 2,
       Self::ResumableStream | Self::CrashingStream => 3,
     }
   }
--- a/soak/src/serving.rs
+++ b/soak/src/running_endpoint.rs
@@ -12,12 +12,12 @@
 };
 
 /// An incarnation that serves until this is dropped.
-pub(crate) struct Serving {
+pub(crate) struct RunningEndpoint {
   pub(crate) endpoint: Arc<Endpoint>,
   task: JoinHandle<()>,
 }
 
-impl Serving {
+impl RunningEndpoint {
   /// Serves on a listener.
   pub(crate) fn start(endpoint: Arc<Endpoint>, listener: TcpListener) -> Self {
     let task = tokio::spawn(serve(endpoint.clone(), listener));
@@ -25,7 +25,7 @@
   }
 }
 
-impl Drop for Serving {
+impl Drop for RunningEndpoint {
   fn drop(&mut self) {
     self.task.abort();
     self.endpoint.drop_exports();
--- a/soak/src/subcommand.rs
+++ b/soak/src/subcommand.rs
@@ -126,21 +126,22 @@
 
 fn print_report(seed: u64, report: &Report) {
   let whole = |wanted: std::ops::Range<u16>| {
-    report
-      .count(|outcome| matches!(outcome, Outcome::Whole { status, .. } if wanted.contains(status)))
+    report.count(
+      |outcome| matches!(outcome, Outcome::Complete { status, .. } if wanted.contains(status)),
+    )
   };
   println!(
-    "seed {seed}: {} faults, {} requests: {} served, {} told not run, {} told other errors, {} broken, {} left, \
-     {} unanswered; {} orders, {} planned stops; {} breaches",
+    "seed {seed}: {} faults, {} requests: {} served, {} rejected as not run, {} other errors, {} connections lost, {} disconnected, \
+     {} unanswered; {} role commands, {} planned stops; {} breaches",
     report.steps.len(),
     report.records.requests.len(),
     whole(200..300),
     whole(503..504),
     whole(400..503) + whole(504..600),
-    report.count(|outcome| matches!(outcome, Outcome::Broken { .. })),
-    report.count(|outcome| *outcome == Outcome::Left),
+    report.count(|outcome| matches!(outcome, Outcome::ConnectionLost { .. })),
+    report.count(|outcome| *outcome == Outcome::Disconnected),
     report.count(|outcome| *outcome == Outcome::Unanswered),
-    report.records.orders.len(),
+    report.records.role_commands.len(),
     report.records.stops.len(),
     report.breaches.len()
   );
--- a/soak/src/calm.rs
+++ b/soak/src/undisturbed.rs
@@ -8,28 +8,33 @@
 /// Time without trouble after which a box counts as connected (the users' bound on contact).
 pub(crate) const CONTACT_MS: u64 = 3_000;
 /// A configuration is in force this soon after the store took it (the users' bound).
-pub(crate) const CONFIGURE_MS: u64 = 2_000;
+pub(crate) const CONFIGURATION_MS: u64 = 2_000;
 
 impl Records {
   /// Whether nothing that a request met was disturbed from shortly before a time until another.
-  pub(crate) fn is_calm(&self, request: &RequestRecord, from_ms: u64, until_ms: u64) -> bool {
+  pub(crate) fn is_request_undisturbed(
+    &self,
+    request: &RequestRecord,
+    from_ms: u64,
+    until_ms: u64,
+  ) -> bool {
     self.is_undisturbed(from_ms, until_ms, |target| match target {
       Target::Box(index) | Target::Leaving(index) => index == request.box_index,
-      Target::Place(place) => request.runs.iter().any(|run| run.place == place),
+      Target::Endpoint(place) => request.runs.iter().any(|run| run.place == place),
       Target::Store | Target::StoreLink(_) => false,
     })
   }
 
   /// Whether a box itself was undisturbed from shortly before a time until another.
-  pub(crate) fn is_box_calm(&self, box_index: usize, from_ms: u64, until_ms: u64) -> bool {
+  pub(crate) fn is_box_undisturbed(&self, box_index: usize, from_ms: u64, until_ms: u64) -> bool {
     self.is_undisturbed(from_ms, until_ms, |target| match target {
       Target::Box(index) | Target::Leaving(index) => index == box_index,
-      Target::Place(_) | Target::Store | Target::StoreLink(_) => false,
+      Target::Endpoint(_) | Target::Store | Target::StoreLink(_) => false,
     })
   }
 
   /// Whether an endpoint did not start again between two times.
-  pub(crate) fn is_same_life(&self, incarnation: &str, from_ms: u64, until_ms: u64) -> bool {
+  pub(crate) fn has_not_restarted(&self, incarnation: &str, from_ms: u64, until_ms: u64) -> bool {
     !self
       .starts
       .iter()
@@ -41,23 +46,23 @@
     self.is_undisturbed(from_ms, until_ms, |target| match target {
       Target::Box(index) | Target::Leaving(index) | Target::StoreLink(index) => index == box_index,
       Target::Store => true,
-      Target::Place(_) => false,
+      Target::Endpoint(_) => false,
     })
   }
 
   /// Whether nothing but planned stops disturbed a request.
-  pub(crate) fn is_calm_but_for_stop(&self, request: &RequestRecord) -> bool {
+  pub(crate) fn is_undisturbed_except_stops(&self, request: &RequestRecord) -> bool {
     let until_ms = request.ended_ms.unwrap_or(u64::MAX);
     self.is_undisturbed(request.sent_ms, until_ms, |target| match target {
       Target::Box(index) => index == request.box_index,
       // A stream that breaks at its endpoint may be cut on any day.
-      Target::Place(place) => request.runs.iter().any(|run| run.place == place),
+      Target::Endpoint(place) => request.runs.iter().any(|run| run.place == place),
       Target::Leaving(_) | Target::Store | Target::StoreLink(_) => false,
     })
   }
 
   /// Whether nothing but signals to stop struck a box while it stopped.
-  pub(crate) fn is_box_undisturbed(&self, stop: &PlannedStop) -> bool {
+  pub(crate) fn is_stop_undisturbed(&self, stop: &PlannedStop) -> bool {
     self.is_undisturbed(stop.signalled_ms, stop.gone_ms, |target| {
       target == Target::Box(stop.box_index)
     })
--- a/tests/soak_promises.rs
+++ b/tests/soak_promises.rs
@@ -3,9 +3,9 @@
 use {
   rstest::rstest,
   soak::{
-    CallerKey, Disturbance, Hall, HallDrain, NamedLimit, OrderRecord, Outcome, PlannedStop, Probe,
-    Promise, Records, RequestKind, RequestRecord, Run, Start, Target, ToldLeaving, ToldLimit,
-    TurnedAway, breaches,
+    AdvertisedLimit, CallerKey, Disturbance, Hall, HallDrain, LeavingReceived, LimitReceived,
+    Outcome, PlannedStop, Probe, Promise, Records, Rejection, RequestKind, RequestRecord,
+    RoleCommandRecord, Run, Start, Target, breaches,
   },
 };
 
@@ -22,7 +22,7 @@
 }
 
 fn whole(status: u16, receipt: Option<&str>, body: &str) -> Outcome {
-  Outcome::Whole {
+  Outcome::Complete {
     body: body.into(),
     receipt: receipt.map(String::from),
     status,
@@ -80,21 +80,21 @@
 }
 
 #[rstest]
-#[case::plain(RequestKind::Unrepeatable, served(&plain_body()), vec![run(0, 10_010, Some(10_020))])]
+#[case::plain(RequestKind::NonRetryable, served(&plain_body()), vec![run(0, 10_010, Some(10_020))])]
 #[case::stream(RequestKind::Stream, served(&events(1, EVENTS)), vec![run(0, 10_010, Some(10_900))])]
 #[case::repeated(
   RequestKind::ResumableStream,
   served(&events(1, EVENTS)),
   vec![run(0, 10_010, Some(10_100)), run(1, 10_200, Some(10_900))]
 )]
-#[case::not_run(RequestKind::Unrepeatable, whole(503, None, ""), vec![])]
-#[case::lost(RequestKind::Unrepeatable, whole(502, None, ""), vec![run(0, 10_010, Some(10_020))])]
+#[case::not_run(RequestKind::NonRetryable, whole(503, None, ""), vec![])]
+#[case::lost(RequestKind::NonRetryable, whole(502, None, ""), vec![run(0, 10_010, Some(10_020))])]
 #[case::cut_stream_that_shows(
   RequestKind::Stream,
-  Outcome::Broken { body: events(1, 3), status: Some(200) },
+  Outcome::ConnectionLost { body: events(1, 3), status: Some(200) },
   vec![run(0, 10_010, Some(10_100))]
 )]
-#[case::caller_who_left(RequestKind::Stream, Outcome::Left, vec![run(0, 10_010, Some(20_900))])]
+#[case::caller_who_left(RequestKind::Stream, Outcome::Disconnected, vec![run(0, 10_010, Some(20_900))])]
 fn sound_requests_break_nothing(
   #[case] kind: RequestKind,
   #[case] outcome: Outcome,
@@ -105,60 +105,60 @@
 
 #[rstest]
 #[case::run_twice(
-  RequestKind::Unrepeatable,
+  RequestKind::NonRetryable,
   served(&plain_body()),
   vec![run(0, 10_010, Some(10_020)), run(1, 10_030, Some(10_040))],
   Promise::RunsOnce
 )]
 #[case::told_not_run(RequestKind::Stream, whole(503, None, ""), vec![run(0, 10_010, None)], Promise::NotRunIsTrue)]
 #[case::foreign_receipt(
-  RequestKind::Repeatable,
+  RequestKind::Retryable,
   whole(200, Some("i-9"), &plain_body()),
   vec![run(0, 10_010, Some(10_020))],
-  Promise::OwnWholeAnswer
+  Promise::OwnCompleteResponse
 )]
 #[case::no_receipt(
-  RequestKind::Repeatable,
+  RequestKind::Retryable,
   whole(200, None, &plain_body()),
   vec![run(0, 10_010, Some(10_020))],
-  Promise::OwnWholeAnswer
+  Promise::OwnCompleteResponse
 )]
 #[case::missing_event(
   RequestKind::Stream,
   served(&[events(1, 2), events(4, EVENTS)].concat()),
   vec![run(0, 10_010, Some(10_900))],
-  Promise::OwnWholeAnswer
+  Promise::OwnCompleteResponse
 )]
 #[case::event_twice(
   RequestKind::ResumableStream,
   served(&[events(1, 5), events(5, EVENTS)].concat()),
   vec![run(0, 10_010, Some(10_900))],
-  Promise::OwnWholeAnswer
+  Promise::OwnCompleteResponse
 )]
 #[case::cut_that_looks_whole(
   RequestKind::Stream,
   served(&events(1, 3)),
   vec![run(0, 10_010, Some(10_100))],
-  Promise::OwnWholeAnswer
+  Promise::OwnCompleteResponse
 )]
 #[case::too_many_endpoints(
-  RequestKind::Repeatable,
+  RequestKind::Retryable,
   served(&plain_body()),
   (0..4).map(|place| run(place, 10_010, Some(10_020))).collect(),
-  Promise::Attempts
+  Promise::AttemptLimit
 )]
 #[case::one_endpoint_too_many(
-  RequestKind::Repeatable,
+  RequestKind::Retryable,
   served(&plain_body()),
   (0..3).map(|place| run(place, 10_010, Some(10_020))).collect(),
-  Promise::Attempts
+  Promise::AttemptLimit
 )]
-#[case::never_ended(RequestKind::Repeatable, Outcome::Unanswered, vec![], Promise::Ended)]
+#[case::never_ended(RequestKind::Retryable, Outcome::Unanswered, vec![], Promise::DeadlineKept)]
 #[case::at_work_for_nobody(
   RequestKind::Stream,
-  Outcome::Left,
+  Outcome::Disconnected,
   vec![run(0, 10_010, Some(21_100))],
-  Promise::Freed
+  Promise::StopsAfterDisconnect
 )]
 fn broken_requests_are_found(
   #[case] kind: RequestKind,
@@ -172,12 +172,12 @@
 #[rstest]
 #[case::its_box(Target::Box(0), true)]
 #[case::another_box(Target::Box(1), false)]
-#[case::its_endpoint(Target::Place(0), true)]
-#[case::another_endpoint(Target::Place(1), false)]
+#[case::its_endpoint(Target::Endpoint(0), true)]
+#[case::another_endpoint(Target::Endpoint(1), false)]
 fn bounds_on_time_hold_for_the_undisturbed(#[case] target: Target, #[case] excused: bool) {
   let mut records = one(
     RequestKind::Stream,
-    Outcome::Left,
+    Outcome::Disconnected,
     vec![run(0, 10_010, Some(22_000))],
   );
   records.disturbances.push(Disturbance {
@@ -205,7 +205,7 @@
   Probe {
     box_index: 0,
     in_force,
-    life: 1,
+    process_number: 1,
     sent_ms,
     version,
   }
@@ -214,11 +214,11 @@
 #[rstest]
 #[case::in_force(vec![probe(5, 11_000, Some(true))], vec![])]
 #[case::not_yet(vec![probe(5, 12_400, Some(false))], vec![])]
-#[case::too_late(vec![probe(5, 12_600, Some(false))], vec![Promise::Configured])]
+#[case::too_late(vec![probe(5, 12_600, Some(false))], vec![Promise::ConfigurationInTime])]
 #[case::no_answer(vec![probe(5, 12_600, None)], vec![])]
 #[case::gone_back(
   vec![probe(5, 11_000, Some(true)), probe(5, 11_500, Some(false))],
-  vec![Promise::NeverBack]
+  vec![Promise::ConfigurationMonotonic]
 )]
 fn configurations_come_in_time_and_stay(
   #[case] probes: Vec<Probe>,
@@ -231,24 +231,24 @@
 }
 
 #[rstest]
-#[case::read_and_cut(vec![run(0, 10_010, Some(20_000))], None, vec![Promise::StopCutsNothing])]
-#[case::its_endpoint_crashed(vec![run(0, 10_010, Some(20_000))], Some(Target::Place(0)), vec![])]
+#[case::read_and_cut(vec![run(0, 10_010, Some(20_000))], None, vec![Promise::GracefulStop])]
+#[case::its_endpoint_crashed(vec![run(0, 10_010, Some(20_000))], Some(Target::Endpoint(0)), vec![])]
 #[case::another_endpoint_crashed(
   vec![run(0, 10_010, Some(20_000))],
-  Some(Target::Place(1)),
-  vec![Promise::StopCutsNothing]
+  Some(Target::Endpoint(1)),
+  vec![Promise::GracefulStop]
 )]
 #[case::told_to_stop_again(
   vec![run(0, 10_010, Some(20_000))],
   Some(Target::Leaving(0)),
-  vec![Promise::StopCutsNothing]
+  vec![Promise::GracefulStop]
 )]
 fn planned_stops_cut_nothing(
   #[case] runs: Vec<Run>,
   #[case] disturbed: Option<Target>,
   #[case] promises: Vec<Promise>,
 ) {
-  let cut = Outcome::Broken {
+  let cut = Outcome::ConnectionLost {
     body: String::new(),
     status: None,
   };
@@ -271,24 +271,29 @@
 
 #[rstest]
 #[case::one_after_the_other(&[("north", 3), ("south", 5)], vec![])]
-#[case::passed(&[("south", 5), ("north", 3)], vec![Promise::OneSteward])]
-#[case::shared_fence(&[("north", 3), ("south", 3)], vec![Promise::OneSteward])]
-fn orders_of_two_boxes_never_pass(#[case] orders: &[(&str, u64)], #[case] promises: Vec<Promise>) {
+#[case::passed(&[("south", 5), ("north", 3)], vec![Promise::SingleRoleLeader])]
+#[case::shared_fence(&[("north", 3), ("south", 3)], vec![Promise::SingleRoleLeader])]
+fn orders_of_two_boxes_never_pass(
+  #[case] role_commands: &[(&str, u64)],
+  #[case] promises: Vec<Promise>,
+) {
   let mut records = Records::default();
-  records
-    .orders
-    .extend(orders.iter().map(|(holder, fence)| OrderRecord {
-      fence: *fence,
-      holder: (*holder).into(),
-      incarnation: "i-0".into(),
-    }));
+  records.role_commands.extend(
+    role_commands
+      .iter()
+      .map(|(holder, fence)| RoleCommandRecord {
+        fence: *fence,
+        holder: (*holder).into(),
+        incarnation: "i-0".into(),
+      }),
+  );
   assert_eq!(found(&records), promises);
 }
 
 /// The third engine ended at 10 s; contact and slack make 13.5 s.
 #[rstest]
 #[case::three_more(&[9_000, 14_000, 15_000, 16_000], None, vec![])]
-#[case::four_more(&[14_000, 15_000, 16_000, 17_000], None, vec![Promise::FewCrashes])]
+#[case::four_more(&[14_000, 15_000, 16_000, 17_000], None, vec![Promise::QuarantineHonoured])]
 #[case::four_while_the_store_was_away(&[14_000, 15_000, 16_000, 17_000], Some(Target::Store), vec![])]
 #[case::four_right_after_the_third(&[10_100, 11_000, 12_000, 13_000], None, vec![])]
 fn crashing_request_that_is_sent_on_is_found(
@@ -301,7 +306,7 @@
   records.crashes = vec![8_000, 9_000, 10_000];
   for (number, began_ms) in began_ms.iter().enumerate() {
     let runs = vec![run(0, *began_ms, Some(began_ms + 40))];
-    let broken = Outcome::Broken {
+    let broken = Outcome::ConnectionLost {
       body: String::new(),
       status: Some(200),
     };
@@ -320,16 +325,19 @@
 
 #[test]
 fn what_is_held_and_what_is_not_served_at_the_end_is_found() {
-  let mut records = one(RequestKind::Repeatable, whole(503, None, ""), vec![]);
-  records.calm_ms = Some(1_000);
-  records.held_at_end.push("seat h1 at i-0".into());
-  assert_eq!(found(&records), [Promise::NothingHeld, Promise::Recovered]);
-  records.unasked.push("b at i-0".into());
-  assert!(found(&records).contains(&Promise::OnlyWhatWasAsked));
+  let mut records = one(RequestKind::Retryable, whole(503, None, ""), vec![]);
+  records.faults_ended_ms = Some(1_000);
+  records.held_at_end.push("slot h1 at i-0".into());
+  assert_eq!(
+    found(&records),
+    [Promise::ResourcesReleased, Promise::Recovered]
+  );
+  records.unrequested_runs.push("b at i-0".into());
+  assert!(found(&records).contains(&Promise::OnlyRequestedWork));
 }
 
 #[rstest]
-#[case::left_alone(None, vec![Promise::StopCutsNothing])]
+#[case::left_alone(None, vec![Promise::GracefulStop])]
 #[case::killed_meanwhile(Some(Target::Box(0)), vec![])]
 fn box_that_does_not_stop_by_itself_is_found(
   #[case] disturbed: Option<Target>,
@@ -354,17 +362,17 @@
 
 #[test]
 fn request_that_is_still_open_at_the_end_is_found() {
-  let mut records = one(RequestKind::Repeatable, Outcome::Unanswered, vec![]);
+  let mut records = one(RequestKind::Retryable, Outcome::Unanswered, vec![]);
   let request = records.requests.get_mut("a").unwrap();
   request.ended_ms = None;
   request.outcome = None;
-  assert_eq!(found(&records), [Promise::Ended]);
+  assert_eq!(found(&records), [Promise::DeadlineKept]);
 }
 
 #[test]
 fn calm_without_a_request_shows_nothing() {
   let records = Records {
-    calm_ms: Some(1_000),
+    faults_ended_ms: Some(1_000),
     ..Records::default()
   };
   assert_eq!(found(&records), [Promise::Recovered]);
@@ -376,7 +384,7 @@
     organisation: organisation.into(),
     ..run(0, sent_ms + 10, Some(sent_ms + 20))
   }];
-  let mut records = one(RequestKind::Unrepeatable, served(&plain_body()), runs);
+  let mut records = one(RequestKind::NonRetryable, served(&plain_body()), runs);
   if let Some(request) = records.requests.get_mut("a") {
     request.key = key;
     request.sent_ms = sent_ms;
@@ -387,9 +395,9 @@
 
 #[rstest]
 #[case::lasting(CallerKey::Lectures, "lectures", 10_000)]
-#[case::passed_before(CallerKey::Passed, "captions", 10_000)]
-#[case::passed_after(CallerKey::Passed, "lectures", 10_000)]
-#[case::taken_just_now(CallerKey::OfVersion(1), "captions", 8_100)]
+#[case::passed_before(CallerKey::Transferred, "captions", 10_000)]
+#[case::passed_after(CallerKey::Transferred, "lectures", 10_000)]
+#[case::taken_just_now(CallerKey::ForVersion(1), "captions", 8_100)]
 fn sound_keys_break_nothing(
   #[case] key: CallerKey,
   #[case] organisation: &str,
@@ -399,10 +407,10 @@
 }
 
 #[rstest]
-#[case::other_holder(CallerKey::Lectures, "captions", 10_000, Promise::Named)]
-#[case::claimed(CallerKey::Lectures, "claimed", 10_000, Promise::Named)]
-#[case::nobody(CallerKey::Captions, "", 10_000, Promise::Named)]
-#[case::taken_long_ago(CallerKey::OfVersion(1), "captions", 11_000, Promise::KeysKept)]
+#[case::other_holder(CallerKey::Lectures, "captions", 10_000, Promise::OrganisationNamed)]
+#[case::claimed(CallerKey::Lectures, "claimed", 10_000, Promise::OrganisationNamed)]
+#[case::nobody(CallerKey::Captions, "", 10_000, Promise::OrganisationNamed)]
+#[case::taken_long_ago(CallerKey::ForVersion(1), "captions", 11_000, Promise::KeysHonoured)]
 fn wrong_holder_or_lost_key_is_found(
   #[case] key: CallerKey,
   #[case] organisation: &str,
@@ -414,7 +422,7 @@
 
 #[test]
 fn taken_key_is_no_breach_at_a_box_that_was_cut_off() {
-  let mut records = keyed(CallerKey::OfVersion(1), "captions", 11_000);
+  let mut records = keyed(CallerKey::ForVersion(1), "captions", 11_000);
   records.disturbances.push(Disturbance {
     from_ms: 7_000,
     target: Target::StoreLink(0),
@@ -425,18 +433,18 @@
 
 #[test]
 fn held_key_that_is_refused_is_found() {
-  let records = one(RequestKind::Unrepeatable, whole(401, None, ""), vec![]);
-  assert_eq!(found(&records), [Promise::KeysKept]);
+  let records = one(RequestKind::NonRetryable, whole(401, None, ""), vec![]);
+  assert_eq!(found(&records), [Promise::KeysHonoured]);
   let mut lost = records;
-  lost.requests.get_mut("a").unwrap().key = CallerKey::OfVersion(1);
+  lost.requests.get_mut("a").unwrap().key = CallerKey::ForVersion(1);
   assert_eq!(found(&lost), []);
 }
 
 #[test]
 fn key_that_an_endpoint_saw_is_found() {
   let mut records = Records::default();
-  records.shown_keys.push("a at i-0".into());
-  assert_eq!(found(&records), [Promise::KeysKept]);
+  records.leaked_keys.push("a at i-0".into());
+  assert_eq!(found(&records), [Promise::KeysHonoured]);
 }
 
 /// So many requests of the hot organisation, all run within 8 s.
@@ -445,7 +453,7 @@
   records.versions.insert(2, 0);
   for number in 0..count {
     let began_ms = 10_000 + number * 8_000 / count;
-    let mut hot = request(RequestKind::Unrepeatable, Outcome::Left, vec![]);
+    let mut hot = request(RequestKind::NonRetryable, Outcome::Disconnected, vec![]);
     hot.key = CallerKey::Hot;
     hot.runs = vec![Run {
       organisation: "hot".into(),
@@ -459,14 +467,14 @@
 #[test]
 fn use_beyond_the_limit_is_found() {
   assert_eq!(found(&hot_requests(150)), []);
-  assert_eq!(found(&hot_requests(170)), [Promise::LimitKept]);
+  assert_eq!(found(&hot_requests(170)), [Promise::QuotaLimitHonoured]);
 }
 
 /// A request that was sent at 10 s and ran at an endpoint which had told its box at a time that it leaves.
 fn sent_after_word(told_ms: u64) -> Records {
   let run = run(0, 10_050, Some(10_100));
-  let mut records = one(RequestKind::Unrepeatable, served(&plain_body()), vec![run]);
-  records.told_leaving.push(ToldLeaving {
+  let mut records = one(RequestKind::NonRetryable, served(&plain_body()), vec![run]);
+  records.leaving_received.push(LeavingReceived {
     at_ms: told_ms,
     box_index: 0,
     incarnation: "i-0".into(),
@@ -478,9 +486,9 @@
 fn request_to_an_endpoint_that_had_told_its_box_that_it_leaves_is_found() {
   assert_eq!(found(&sent_after_word(8_000)), []);
   let late = sent_after_word(7_000);
-  assert_eq!(found(&late), [Promise::OwnWordOfLeaving]);
+  assert_eq!(found(&late), [Promise::LeavingSignalHonoured]);
   let mut of_another_box = late.clone();
-  of_another_box.told_leaving[0].box_index = 1;
+  of_another_box.leaving_received[0].box_index = 1;
   assert_eq!(found(&of_another_box), []);
   let mut started_again = late.clone();
   started_again.starts.push(Start {
@@ -498,14 +506,14 @@
 }
 
 /// So many requests that an endpoint turned away, one each 100 ms from 10 s on, the first of them with a pause of 3 s.
-fn turned_away(count: u64) -> Records {
+fn rejections(count: u64) -> Records {
   let mut records = Records::default();
   records.versions.insert(1, 0);
   for number in 0..count {
     let id = format!("t{number}");
-    let sent = request(RequestKind::Unrepeatable, whole(503, None, ""), vec![]);
+    let sent = request(RequestKind::NonRetryable, whole(503, None, ""), vec![]);
     records.requests.insert(id.clone(), sent);
-    records.turned_away.push(TurnedAway {
+    records.rejections.push(Rejection {
       at_ms: 10_000 + number * 100,
       id,
       incarnation: "i-0".into(),
@@ -518,31 +526,31 @@
 #[test]
 fn requests_in_a_pause_are_found() {
   // Those within a second are on their way, with the slack of these checks.
-  assert_eq!(found(&turned_away(12)), []);
-  let three = turned_away(13);
-  assert_eq!(found(&three), [Promise::PauseKept]);
+  assert_eq!(found(&rejections(12)), []);
+  let three = rejections(13);
+  assert_eq!(found(&three), [Promise::BackoffHonoured]);
   let mut of_another_box = three.clone();
   of_another_box.requests.get_mut("t12").unwrap().box_index = 1;
   assert_eq!(found(&of_another_box), []);
-  let mut with_run = turned_away(12);
+  let mut with_run = rejections(12);
   let run = run(0, 11_500, Some(11_550));
-  let served = request(RequestKind::Unrepeatable, Outcome::Left, vec![run]);
+  let served = request(RequestKind::NonRetryable, Outcome::Disconnected, vec![run]);
   with_run.requests.insert("r".into(), served);
-  assert_eq!(found(&with_run), [Promise::PauseKept]);
+  assert_eq!(found(&with_run), [Promise::BackoffHonoured]);
 }
 
 /// An endpoint that named a limit of 2 a second at 10 s, and got a request each `pause_ms` from then on, by two boxes in turn.
 fn requests_at_limited(pause_ms: u64) -> Records {
   let mut records = Records::default();
   records.versions.insert(1, 0);
-  records.named_limits.push(NamedLimit {
+  records.advertised_limits.push(AdvertisedLimit {
     from_ms: 10_000,
     incarnation: "i-0".into(),
     per_s: 2,
     until_ms: Some(25_000),
   });
   for box_index in 0..2 {
-    records.told_limits.push(ToldLimit {
+    records.limits_received.push(LimitReceived {
       at_ms: 10_100,
       box_index,
       incarnation: "i-0".into(),
@@ -551,7 +559,7 @@
   for number in 0..15_000 / pause_ms {
     let began_ms = 10_000 + number * pause_ms;
     let run = run(0, began_ms, Some(began_ms + 5));
-    let mut sent = request(RequestKind::Unrepeatable, Outcome::Left, vec![run]);
+    let mut sent = request(RequestKind::NonRetryable, Outcome::Disconnected, vec![run]);
     sent.box_index = usize::from(number.is_multiple_of(2));
     sent.sent_ms = began_ms;
     sent.ended_ms = Some(began_ms + 10);
@@ -564,9 +572,9 @@
 fn sum_over_boxes_beyond_an_endpoints_limit_is_found() {
   assert_eq!(found(&requests_at_limited(240)), []);
   let beyond = requests_at_limited(220);
-  assert_eq!(found(&beyond), [Promise::EndpointLimitKept]);
+  assert_eq!(found(&beyond), [Promise::EndpointLimitHonoured]);
   let mut one_was_not_told = beyond.clone();
-  one_was_not_told.told_limits.pop();
+  one_was_not_told.limits_received.pop();
   assert_eq!(found(&one_was_not_told), []);
   let mut one_stood_still = beyond.clone();
   one_stood_still.disturbances.push(Disturbance {
@@ -576,14 +584,14 @@
   });
   assert_eq!(found(&one_stood_still), []);
   let mut ended = beyond;
-  ended.named_limits[0].until_ms = Some(15_000);
+  ended.advertised_limits[0].until_ms = Some(15_000);
   assert_eq!(found(&ended), []);
 }
 
 /// A request that began at a place at a time, while the hall of the even places was drained from 1,000 ms on.
 fn run_while_drained(place: usize, began_ms: u64) -> Records {
   let run = run(place, began_ms, Some(began_ms + 5));
-  let mut records = one(RequestKind::Unrepeatable, Outcome::Left, vec![run]);
+  let mut records = one(RequestKind::NonRetryable, Outcome::Disconnected, vec![run]);
   records.hall_drains.push(HallDrain {
     from_ms: 1_000,
     hall: Hall::North,
@@ -622,7 +630,7 @@
   for number in 0..3_000 / pause_ms {
     let began_ms = 1_000 + number * pause_ms;
     let run = run(0, began_ms, Some(began_ms + 5));
-    let mut sent = request(RequestKind::Unrepeatable, Outcome::Left, vec![run]);
+    let mut sent = request(RequestKind::NonRetryable, Outcome::Disconnected, vec![run]);
     sent.box_index = usize::from(number.is_multiple_of(2));
     sent.sent_ms = began_ms;
     sent.ended_ms = Some(began_ms + 10);
@@ -635,7 +643,7 @@
 fn sum_over_boxes_beyond_what_a_cold_endpoint_carries_is_found() {
   assert_eq!(found(&requests_after_start(95)), []);
   let beyond = requests_after_start(80);
-  assert_eq!(found(&beyond), [Promise::ColdRateKept]);
+  assert_eq!(found(&beyond), [Promise::ColdRateHonoured]);
   let mut under_its_id = beyond.clone();
   under_its_id.starts.push(Start {
     at_ms: 500,
