--- a/soak/src/box_process.rs
+++ b/soak/src/box_process.rs
@@ -67,9 +67,9 @@
     let callers = open_link(direct).await?;
     let name = format!("north-{index:03}");
     let addresses = [direct, ready, boxes, metrics, store_link.address];
-    let text = settings_text(&name, addresses);
+    let contents = settings_text(&name, addresses);
     let settings = plan.directory.join(format!("{name}.toml"));
-    std::fs::write(&settings, text).map_err(|source| Error::File {
+    std::fs::write(&settings, contents).map_err(|source| Error::File {
       path: settings.clone(),
       source,
     })?;
@@ -135,7 +135,7 @@
     let _disturbed = self.recorder.begin_disturbance(Target::Box(self.index));
     child.kill().await.map_err(Error::Wait)?;
     sleep(Duration::from_millis(down_ms)).await;
-    self.start_again().await
+    self.restart().await
   }
 
   /// Sends SIGTERM, waits for the process to exit, and restarts it.
@@ -145,27 +145,27 @@
       return Ok(());
     }
     // The lock is not held while waiting, so that further signals can be sent.
-    let limit = Duration::from_secs_f64(STOP_S) + KILL_MARGIN;
-    let exited = timeout(limit, self.exited()).await.is_ok();
+    let exit_timeout = Duration::from_secs_f64(STOP_S) + KILL_MARGIN;
+    let has_exited = timeout(exit_timeout, self.wait_for_exit()).await.is_ok();
     let Some(mut child) = self.process.lock().await.take() else {
       return Ok(());
     };
-    if !exited {
+    if !has_exited {
       child.kill().await.map_err(Error::Wait)?;
     }
     let status = child.wait().await.map_err(Error::Wait)?;
     let stop = PlannedStop {
       box_index: self.index,
       gone_ms: self.recorder.now_ms(),
-      is_clean: exited && status.success(),
+      is_clean: has_exited && status.success(),
       signalled_ms: leaving.began_ms(),
     };
     self.recorder.records().stops.push(stop);
     sleep(RESTART_DELAY).await;
-    self.start_again().await
+    self.restart().await
   }
 
-  async fn exited(&self) {
+  async fn wait_for_exit(&self) {
     loop {
       let mut process = self.process.lock().await;
       let Some(child) = process.as_mut() else {
@@ -180,7 +180,7 @@
     }
   }
 
-  async fn start_again(&self) -> Result {
+  async fn restart(&self) -> Result {
     let mut process = self.process.lock().await;
     if process.is_none() {
       *process = Some(self.spawn()?);
--- a/soak/src/breach.rs
+++ b/soak/src/breach.rs
@@ -8,18 +8,18 @@
   /// The violated promise.
   pub promise: Promise,
   /// Description of what was observed.
-  pub seen: String,
+  pub observed: String,
 }
 
 impl Breach {
-  pub(crate) fn new(promise: Promise, seen: impl Into<String>) -> Self {
-    let seen = seen.into();
-    Self { promise, seen }
+  pub(crate) fn new(promise: Promise, observed: impl Into<String>) -> Self {
+    let observed = observed.into();
+    Self { promise, observed }
   }
 }
 
 impl fmt::Display for Breach {
   fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-    write!(formatter, "{:?}: {}", self.promise, self.seen)
+    write!(formatter, "{:?}: {}", self.promise, self.observed)
   }
 }
--- a/soak/src/caller.rs
+++ b/soak/src/caller.rs
@@ -74,13 +74,13 @@
   pub(crate) async fn run(mut self, end: watch::Receiver<bool>) {
     self.reconnect();
     while !*end.borrow() {
-      let keeps_box = self.ask().await;
-      if !keeps_box {
+      let is_reusable = self.send_request().await;
+      if !is_reusable {
         self.reconnect();
         sleep(RECONNECT_DELAY).await;
       }
-      let pause_ms = self.random.random_range(THINK_TIME_MS.0..=THINK_TIME_MS.1);
-      sleep(Duration::from_millis(pause_ms)).await;
+      let think_time_ms = self.random.random_range(THINK_TIME_MS.0..=THINK_TIME_MS.1);
+      sleep(Duration::from_millis(think_time_ms)).await;
     }
   }
 
@@ -118,7 +118,7 @@
   }
 
   /// Sends one request and records its outcome. Returns whether the connection can be reused.
-  async fn ask(&mut self) -> bool {
+  async fn send_request(&mut self) -> bool {
     let kind = self.kind();
     let key = self.key();
     self.count += 1;
@@ -132,16 +132,17 @@
       });
     let recorder = &self.fleet.recorder;
     let request = self.request(kind, key, &id);
-    recorder.sent(&id, kind, key, self.box_index);
-    let limit = disconnects_after_ms.map_or(DEADLINE + RESPONSE_MARGIN, Duration::from_millis);
-    let asked = timeout(limit, self.answer(request)).await;
-    let (outcome, keeps_box) = match asked {
-      Ok((outcome, keeps_box)) => (outcome, keeps_box),
+    recorder.record_request(&id, kind, key, self.box_index);
+    let timeout_after =
+      disconnects_after_ms.map_or(DEADLINE + RESPONSE_MARGIN, Duration::from_millis);
+    let result = timeout(timeout_after, self.exchange(request)).await;
+    let (outcome, is_reusable) = match result {
+      Ok((outcome, is_reusable)) => (outcome, is_reusable),
       Err(_) if disconnects_after_ms.is_some() => (Outcome::Disconnected, false),
       Err(_) => (Outcome::Unanswered, false),
     };
-    recorder.ended(&id, outcome);
-    keeps_box
+    recorder.record_outcome(&id, outcome);
+    is_reusable
   }
 
   fn request(&self, kind: RequestKind, key: CallerKey, id: &str) -> Request<Full<Bytes>> {
@@ -183,7 +184,7 @@
       self
         .fleet
         .recorder
-        .leaving_received(self.box_index, incarnation);
+        .record_leaving_received(self.box_index, incarnation);
     }
     if headers.contains_key("server-limit") {
       self
@@ -193,7 +194,7 @@
     }
   }
 
-  async fn answer(&self, request: Request<Full<Bytes>>) -> (Outcome, bool) {
+  async fn exchange(&self, request: Request<Full<Bytes>>) -> (Outcome, bool) {
     match self.client.send(request).await {
       Ok(response) => {
         self.record_signals(response.headers());
@@ -225,18 +226,18 @@
     .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
   let receipt = receipt(&head.headers).map(String::from);
   let mut bytes = Vec::new();
-  let mut is_whole = true;
+  let mut is_complete = true;
   while let Some(frame) = body.frame().await {
     match frame {
       Ok(frame) => bytes.extend(frame.into_data().unwrap_or_default()),
       Err(_) => {
-        is_whole = false;
+        is_complete = false;
         break;
       }
     }
   }
   let body = String::from_utf8_lossy(&bytes).into_owned();
-  let outcome = if is_whole {
+  let outcome = if is_complete {
     Outcome::Complete {
       body,
       receipt,
@@ -248,5 +249,5 @@
       status: Some(status),
     }
   };
-  (outcome, is_whole && !closes && status < 500)
+  (outcome, is_complete && !closes && status < 500)
 }
--- a/soak/src/cold_check.rs
+++ b/soak/src/cold_check.rs
@@ -30,31 +30,31 @@
 }
 
 fn exceeded_cold_rate(records: &Records, start: &Start) -> Option<Breach> {
-  let span = start.at_ms..start.at_ms + COLD_MS;
+  let cold_period = start.at_ms..start.at_ms + COLD_MS;
   let mut began_ms: Vec<u64> = Vec::new();
   for request in records.requests.values() {
     let runs = request.runs.iter().filter(|run| {
       run.incarnation == start.incarnation
-        && span.contains(&run.began_ms)
+        && cold_period.contains(&run.began_ms)
         && records.has_not_restarted(&run.incarnation, start.at_ms + 1, run.began_ms)
         && records.is_connected(request.box_index, start.at_ms, run.began_ms)
     });
     began_ms.extend(runs.map(|run| run.began_ms));
   }
-  let within = |from_ms: &u64| {
+  let count_from = |from_ms: &u64| {
     let window = *from_ms..from_ms + WINDOW_MS;
     began_ms
       .iter()
       .filter(|at_ms| window.contains(at_ms))
       .count()
   };
-  let most = began_ms.iter().map(within).max()?;
-  if most as f64 <= COLD_PER_S * ALLOWED_FACTOR + ALLOWED_EXTRA {
+  let max_count = began_ms.iter().map(count_from).max()?;
+  if max_count as f64 <= COLD_PER_S * ALLOWED_FACTOR + ALLOWED_EXTRA {
     return None;
   }
-  let seen = format!(
-    "{} was cold from {} ms on, and got {most} requests in a second",
+  let observed = format!(
+    "{} was cold from {} ms on, and received {max_count} requests in a second",
     start.incarnation, start.at_ms
   );
-  Some(Breach::new(Promise::ColdRateHonoured, seen))
+  Some(Breach::new(Promise::ColdRateHonoured, observed))
 }
--- a/soak/src/configuration.rs
+++ b/soak/src/configuration.rs
@@ -25,10 +25,10 @@
     route(RequestKind::Stream, "stream", "llm"),
     route(RequestKind::ResumableStream, "stream", "llm"),
   ];
-  routes.extend((oldest..=version).map(|kept| {
+  routes.extend((oldest..=version).map(|recent| {
     let mut route = route(RequestKind::Retryable, "safe", "portal");
-    route["name"] = json!(version_path(kept));
-    route["pathPrefix"] = json!(version_path(kept));
+    route["name"] = json!(version_path(recent));
+    route["pathPrefix"] = json!(version_path(recent));
     route["allowAnonymous"] = json!(true);
     route
   }));
@@ -49,9 +49,9 @@
   })
 }
 
-fn route(kind: RequestKind, word: &str, service: &str) -> Value {
+fn route(kind: RequestKind, route_type: &str, service: &str) -> Value {
   json!({
-    "name": kind.path(), "host": HOST, "pathPrefix": kind.path(), "kind": word, "timeoutMs": 4_000,
+    "name": kind.path(), "host": HOST, "pathPrefix": kind.path(), "kind": route_type, "timeoutMs": 4_000,
     "targetLatencyMs": 900, "priority": 1, "service": service, "maxAttempts": kind.max_attempts(),
     "resumable": kind == RequestKind::ResumableStream,
   })
--- a/soak/src/endpoint.rs
+++ b/soak/src/endpoint.rs
@@ -37,7 +37,7 @@
 /// Delay before a slow endpoint starts its work.
 const SLOW_DELAY: Duration = Duration::from_millis(600);
 /// Retry-after delay of an endpoint that sheds all load.
-const PAUSE: Duration = Duration::from_secs(3);
+const RETRY_AFTER: Duration = Duration::from_secs(3);
 /// Time that an engine runs a crashing request before it terminates.
 const CRASH_AFTER: Duration = Duration::from_millis(40);
 /// Duration of a role switch.
@@ -48,23 +48,23 @@
   pub(crate) incarnation: String,
   place: usize,
   /// Address under which boxes reach it.
-  shown: SocketAddr,
+  address: SocketAddr,
   recorder: Recorder,
   exports: Exports,
   state: Mutex<EndpointState>,
   /// Start time: the number of this start among the starts of all endpoints.
-  pub(crate) born: u64,
-  reports: EngineEventSender,
+  pub(crate) start_number: u64,
+  events: EngineEventSender,
 }
 
 /// Identity of an incarnation.
 pub(crate) struct Identity {
   pub(crate) incarnation: String,
-  pub(crate) born: u64,
+  pub(crate) start_number: u64,
   pub(crate) place: usize,
   pub(crate) kind: EndpointKind,
   /// Address under which boxes reach it.
-  pub(crate) shown: SocketAddr,
+  pub(crate) address: SocketAddr,
 }
 
 impl Endpoint {
@@ -72,16 +72,16 @@
     identity: Identity,
     recorder: &Recorder,
     exports: &Exports,
-    reports: EngineEventSender,
+    events: EngineEventSender,
   ) -> Arc<Self> {
     Arc::new(Self {
-      born: identity.born,
+      start_number: identity.start_number,
       exports: exports.clone(),
       incarnation: identity.incarnation,
       recorder: recorder.clone(),
       place: identity.place,
-      reports,
-      shown: identity.shown,
+      events,
+      address: identity.address,
       state: Mutex::new(EndpointState::new(identity.kind)),
     })
   }
@@ -115,7 +115,7 @@
 
   /// Removes the prompts that it has exported.
   pub(crate) fn drop_exports(&self) {
-    self.exports.remove_all_of(self.shown);
+    self.exports.remove_all_of(self.address);
   }
 
   /// Takes the reserved slot, or a free one. Returns whether there was one.
@@ -151,25 +151,25 @@
   }
 
   /// Responds to a box's call or a forwarded request, with the leaving signal and the limit if they are set.
-  pub(crate) async fn answer(
+  pub(crate) async fn handle(
     self: Arc<Self>,
     request: Request<Incoming>,
   ) -> io::Result<Response<ReplyBody>> {
-    let mut response = self.clone().answer_as_usual(request).await?;
+    let mut response = self.clone().handle_request(request).await?;
     let state = self.state();
     if state.leaving {
-      let says = HeaderValue::from_static("1");
-      response.headers_mut().insert("server-leaving", says);
+      let value = HeaderValue::from_static("1");
+      response.headers_mut().insert("server-leaving", value);
     }
     if let Some(per_s) = state.limit_per_s {
-      let says = HeaderValue::from(per_s);
-      response.headers_mut().insert("server-limit", says);
+      let value = HeaderValue::from(per_s);
+      response.headers_mut().insert("server-limit", value);
     }
     drop(state);
     Ok(response)
   }
 
-  async fn answer_as_usual(
+  async fn handle_request(
     self: Arc<Self>,
     request: Request<Incoming>,
   ) -> io::Result<Response<ReplyBody>> {
@@ -181,20 +181,20 @@
     }
     match (&head.method, path.as_str()) {
       (&Method::POST, "/hold-take") => Ok(self.reserve(&body)),
-      (&Method::POST, "/order") => Ok(self.order(&body)),
-      (&Method::GET, "/report") => Ok(self.report()),
-      (&Method::DELETE, path) => Ok(self.free(path)),
+      (&Method::POST, "/order") => Ok(self.handle_role_command(&body)),
+      (&Method::GET, "/report") => Ok(self.load_report()),
+      (&Method::DELETE, path) => Ok(self.release(path)),
       _ if body == CRASHING_BODY && self.kind() == EndpointKind::Decode => {
         self.crash(&head.headers).await
       }
-      _ => self.work(&head.headers).await,
+      _ => self.handle_work(&head.headers).await,
     }
   }
 
   fn reserve(&self, body: &Bytes) -> Response<ReplyBody> {
     let mut state = self.state();
     if state.fault == Some(EndpointFault::Sheds) {
-      return with_retry_after(status(StatusCode::SERVICE_UNAVAILABLE), PAUSE);
+      return with_retry_after(status(StatusCode::SERVICE_UNAVAILABLE), RETRY_AFTER);
     }
     if state.kind == EndpointKind::Plain
       || state.fault == Some(EndpointFault::Full)
@@ -209,17 +209,17 @@
     json_response(json!({"hold": id}))
   }
 
-  fn free(&self, path: &str) -> Response<ReplyBody> {
+  fn release(&self, path: &str) -> Response<ReplyBody> {
     if let Some(id) = path.strip_prefix("/hold-drop/") {
       self.state().holds.remove(id);
     }
     if let Some(handle) = path.strip_prefix("/kv-handle/") {
-      self.exports.take(&format!("{}/{handle}", self.shown));
+      self.exports.take(&format!("{}/{handle}", self.address));
     }
     status(StatusCode::OK)
   }
 
-  fn report(&self) -> Response<ReplyBody> {
+  fn load_report(&self) -> Response<ReplyBody> {
     let state = self.state();
     json_response(json!({
       "stage": state.kind.stage(), "callSeq": state.commands_taken, "utilization": state.switching,
@@ -227,7 +227,7 @@
     }))
   }
 
-  fn order(self: &Arc<Self>, body: &Bytes) -> Response<ReplyBody> {
+  fn handle_role_command(self: &Arc<Self>, body: &Bytes) -> Response<ReplyBody> {
     let call: Value = serde_json::from_slice(body).unwrap_or_default();
     let (Some(holder), Some(fence)) = (call["holder"].as_str(), call["fence"].as_u64()) else {
       return status(StatusCode::BAD_REQUEST);
@@ -235,17 +235,17 @@
     let Some(kind) = call["stage"].as_str().and_then(EndpointKind::from_stage) else {
       return status(StatusCode::BAD_REQUEST);
     };
-    let order = RoleCommandRecord {
+    let command = RoleCommandRecord {
       fence,
       holder: holder.into(),
       incarnation: self.incarnation.clone(),
     };
-    self.recorder.records().role_commands.push(order);
+    self.recorder.records().role_commands.push(command);
     let mut state = self.state();
     if state.switching
       || call["prevRevision"]
         .as_u64()
-        .is_some_and(|taken| taken != state.commands_taken)
+        .is_some_and(|revision| revision != state.commands_taken)
     {
       return status(StatusCode::CONFLICT);
     }
@@ -255,11 +255,11 @@
     state.commands_taken += 1;
     state.switching = true;
     drop(state);
-    tokio::spawn(self.clone().switch(kind));
+    tokio::spawn(self.clone().switch_role(kind));
     status(StatusCode::ACCEPTED)
   }
 
-  async fn switch(self: Arc<Self>, kind: EndpointKind) {
+  async fn switch_role(self: Arc<Self>, kind: EndpointKind) {
     sleep(SWITCH_DURATION).await;
     let mut state = self.state();
     state.kind = kind;
@@ -267,7 +267,7 @@
     drop(state);
     // The receiver is closed once the run is over.
     let _ = self
-      .reports
+      .events
       .send(EngineEvent::RoleChanged { place: self.place });
   }
 
@@ -277,11 +277,11 @@
       return Ok(not_run(headers, StatusCode::SERVICE_UNAVAILABLE));
     };
     let id = header(headers, "x-request-id").unwrap_or_default();
-    let _run = self.run(id, headers);
+    let _run = self.begin_run(id, headers);
     sleep(CRASH_AFTER).await;
     let incarnation = self.incarnation.clone();
     // The receiver is closed once the run is over.
-    let _ = self.reports.send(EngineEvent::Crashed {
+    let _ = self.events.send(EngineEvent::Crashed {
       incarnation,
       place: self.place,
     });
@@ -289,7 +289,7 @@
   }
 
   /// Handles a caller's request, or a stage of one.
-  async fn work(self: Arc<Self>, headers: &HeaderMap) -> io::Result<Response<ReplyBody>> {
+  async fn handle_work(self: Arc<Self>, headers: &HeaderMap) -> io::Result<Response<ReplyBody>> {
     let id = header(headers, "x-request-id")
       .unwrap_or_default()
       .to_string();
@@ -301,10 +301,12 @@
       return Ok(not_run(headers, StatusCode::SERVICE_UNAVAILABLE));
     }
     if fault == Some(EndpointFault::Sheds) {
-      let pause_ms = u64::try_from(PAUSE.as_millis()).unwrap_or(u64::MAX);
-      self.recorder.rejections(&id, &self.incarnation, pause_ms);
-      let refusal = not_run(headers, StatusCode::SERVICE_UNAVAILABLE);
-      return Ok(with_retry_after(refusal, PAUSE));
+      let retry_after_ms = u64::try_from(RETRY_AFTER.as_millis()).unwrap_or(u64::MAX);
+      self
+        .recorder
+        .record_rejection(&id, &self.incarnation, retry_after_ms);
+      let rejection = not_run(headers, StatusCode::SERVICE_UNAVAILABLE);
+      return Ok(with_retry_after(rejection, RETRY_AFTER));
     }
     if fault == Some(EndpointFault::Slow) {
       sleep(SLOW_DELAY).await;
@@ -321,15 +323,15 @@
   }
 
   /// Records the start of a run with the organisation from its headers, and a leaked key.
-  fn run(&self, id: &str, headers: &HeaderMap) -> RunGuard {
+  fn begin_run(&self, id: &str, headers: &HeaderMap) -> RunGuard {
     if headers.contains_key(AUTHORIZATION) {
-      let seen = format!("{id} at {}", self.incarnation);
-      self.recorder.records().leaked_keys.push(seen);
+      let observed = format!("{id} at {}", self.incarnation);
+      self.recorder.records().leaked_keys.push(observed);
     }
     let organisation = header(headers, "x-tenant").unwrap_or_default();
     self
       .recorder
-      .run(id, self.place, &self.incarnation, organisation)
+      .begin_run(id, self.place, &self.incarnation, organisation)
   }
 
   async fn run_plain(
@@ -338,7 +340,7 @@
     headers: &HeaderMap,
     fault: Option<EndpointFault>,
   ) -> io::Result<Response<ReplyBody>> {
-    let _run = self.run(id, headers);
+    let _run = self.begin_run(id, headers);
     sleep(PLAIN_DURATION).await;
     self.apply_fault(id, fault).await?;
     match fault {
@@ -363,7 +365,9 @@
       return Ok(self.response(id, StatusCode::INTERNAL_SERVER_ERROR, whole("failed")));
     }
     let handle = format!("e{}", self.state().next_number());
-    self.exports.keep(format!("{}/{handle}", self.shown), id);
+    self
+      .exports
+      .insert(format!("{}/{handle}", self.address), id);
     let body = json!({"promptHandle": handle, "tokens": 1, "version": 1}).to_string();
     Ok(self.response(id, StatusCode::OK, whole(&body)))
   }
@@ -378,8 +382,8 @@
       match self.exports.take(source) {
         Some(request) if request == id => {}
         Some(request) => {
-          let seen = format!("{id} goes on from the prompt of {request}");
-          self.recorder.records().mismatched_prompts.push(seen);
+          let observed = format!("{id} decoded from the prompt of {request}");
+          self.recorder.records().mismatched_prompts.push(observed);
         }
         None => return Ok(not_run(headers, StatusCode::SERVICE_UNAVAILABLE)),
       }
@@ -389,7 +393,7 @@
     let Some(slot) = SlotGuard::take(&self, header(headers, "x-hold")) else {
       return Ok(not_run(headers, StatusCode::SERVICE_UNAVAILABLE));
     };
-    let run = self.run(id, headers);
+    let run = self.begin_run(id, headers);
     self.apply_fault(id, fault).await?;
     if fault == Some(EndpointFault::Fails) {
       return Ok(self.response(id, StatusCode::INTERNAL_SERVER_ERROR, whole("failed")));
@@ -416,7 +420,7 @@
     match fault {
       Some(EndpointFault::Hangs) => pending().await,
       Some(EndpointFault::DropsResponses) => {
-        Err(io::Error::other(format!("the answer to {id} is lost")))
+        Err(io::Error::other(format!("the response to {id} is dropped")))
       }
       _ => Ok(()),
     }
@@ -425,14 +429,14 @@
   /// A response with this incarnation's receipt.
   fn response(&self, id: &str, status: StatusCode, body: ReplyBody) -> Response<ReplyBody> {
     let state = self.state();
-    let shown_id = if state.fault == Some(EndpointFault::WrongRequestId) {
+    let response_id = if state.fault == Some(EndpointFault::WrongRequestId) {
       "another"
     } else {
       id
     };
     Response::builder()
       .status(status)
-      .header("x-request-id", shown_id)
+      .header("x-request-id", response_id)
       .header("x-response-seal", &self.incarnation)
       .header("x-server-load", format!("{},0,{SLOTS}", state.running))
       .body(body)
--- a/soak/src/error.rs
+++ b/soak/src/error.rs
@@ -14,10 +14,10 @@
     source: io::Error,
   },
   /// No port could be opened.
-  #[error("no port for a stand-in: {0}")]
+  #[error("failed to open a port: {0}")]
   Listen(io::Error),
   /// The program could not be started.
-  #[error("{path} does not start: {source}")]
+  #[error("failed to start {path}: {source}")]
   Program {
     /// Path of the program.
     path: PathBuf,
@@ -25,7 +25,7 @@
     source: io::Error,
   },
   /// Waiting for a process failed.
-  #[error("a box's process can't be waited for: {0}")]
+  #[error("failed to wait for a box's process: {0}")]
   Wait(io::Error),
   /// Boxes did not become ready in time.
   #[error("{0} boxes are not ready")]
--- a/soak/src/exports.rs
+++ b/soak/src/exports.rs
@@ -26,7 +26,7 @@
   }
 
   /// Adds the prompt of a request.
-  pub(crate) fn keep(&self, key: String, request: &str) {
+  pub(crate) fn insert(&self, key: String, request: &str) {
     let export = Export {
       request: request.into(),
       until: Instant::now() + EXPORT_TTL,
@@ -47,11 +47,11 @@
   }
 
   /// Lists the prompts that have not expired.
-  pub(crate) fn kept(&self) -> Vec<String> {
+  pub(crate) fn live(&self) -> Vec<String> {
     let now = Instant::now();
     let lock = self.lock();
-    let kept = lock.iter().filter(|(_, export)| now < export.until);
-    kept
+    let live = lock.iter().filter(|(_, export)| now < export.until);
+    live
       .map(|(key, export)| format!("prompt of {} at {key}", export.request))
       .collect()
   }
--- a/soak/src/fault_injector.rs
+++ b/soak/src/fault_injector.rs
@@ -139,29 +139,29 @@
   fleet.end_hall_drain(hall);
 }
 
-async fn disturb_store(fleet: &Fleet, fault: StoreFault, lasts: Duration) {
+async fn disturb_store(fleet: &Fleet, fault: StoreFault, duration: Duration) {
   let store = &fleet.store;
   let _disturbed = fleet.recorder.begin_disturbance(Target::Store);
   match fault {
     StoreFault::Down => {
       store.set_down(true);
-      sleep(lasts).await;
+      sleep(duration).await;
       store.set_down(false);
     }
     StoreFault::Slow { delay_ms } => {
       store.set_delay(Duration::from_millis(delay_ms));
-      sleep(lasts).await;
+      sleep(duration).await;
       store.set_delay(Duration::ZERO);
     }
     StoreFault::DropsResponses => {
       store.set_loses_answers(true);
-      sleep(lasts).await;
+      sleep(duration).await;
       store.set_loses_answers(false);
     }
     StoreFault::CompactsHistory => store.forget_history(),
     StoreFault::LosesEntries => {
       store.set_down(true);
-      sleep(lasts).await;
+      sleep(duration).await;
       fleet.remove_entries();
       store.set_down(false);
       sleep(REREGISTRATION_DELAY).await;
@@ -176,12 +176,12 @@
 /// Stops the endpoint without a signal; its entry remains until a new incarnation replaces it.
 async fn crash(fleet: &Fleet, place: usize, down_ms: u64) -> Result {
   let _disturbed = fleet.recorder.begin_disturbance(Target::Endpoint(place));
-  let Some(ended) = fleet.end(place) else {
+  let Some(stopped) = fleet.stop_endpoint(place) else {
     return Ok(());
   };
   sleep(Duration::from_millis(down_ms)).await;
-  fleet.remove_entry(&ended);
-  fleet.restart(place, ended.kind).await
+  fleet.remove_entry(&stopped);
+  fleet.restart(place, stopped.kind).await
 }
 
 /// Restarts an engine that a request crashed, with the same incarnation id. Its entry remains meanwhile.
@@ -194,13 +194,13 @@
     return;
   }
   let _disturbed = fleet.recorder.begin_disturbance(Target::Endpoint(place));
-  let Some(ended) = fleet.end(place) else {
+  let Some(stopped) = fleet.stop_endpoint(place) else {
     return;
   };
   fleet.record_crash();
   sleep(CRASH_DOWNTIME).await;
   // Without a free port the place stays down, which later checks of the run detect.
-  let _ = fleet.restart_same_id(place, ended).await;
+  let _ = fleet.restart_same_id(place, stopped).await;
 }
 
 /// Makes the endpoint signal that it is leaving, serve for a while, and terminate.
@@ -215,11 +215,11 @@
     return Ok(());
   }
   let _disturbed = fleet.recorder.begin_disturbance(Target::Endpoint(place));
-  let Some(ended) = fleet.end(place) else {
+  let Some(stopped) = fleet.stop_endpoint(place) else {
     return Ok(());
   };
-  fleet.remove_entry(&ended);
-  fleet.restart(place, ended.kind).await
+  fleet.remove_entry(&stopped);
+  fleet.restart(place, stopped.kind).await
 }
 
 /// Stops both endpoints and restarts each at the other's address at once, while the old entries are still listed.
@@ -229,13 +229,13 @@
   }
   let _disturbed =
     [place, other].map(|place| fleet.recorder.begin_disturbance(Target::Endpoint(place)));
-  let (ended, other_ended) = (fleet.end(place), fleet.end(other));
-  let (kind, other_kind) = match (&ended, &other_ended) {
-    (Some(ended), Some(other_ended)) => (Some(other_ended.kind), Some(ended.kind)),
+  let (stopped, other_stopped) = (fleet.stop_endpoint(place), fleet.stop_endpoint(other));
+  let (kind, other_kind) = match (&stopped, &other_stopped) {
+    (Some(stopped), Some(other_stopped)) => (Some(other_stopped.kind), Some(stopped.kind)),
     // If one is already down, only the other restarts.
     _ => (
-      ended.as_ref().map(|ended| ended.kind),
-      other_ended.as_ref().map(|ended| ended.kind),
+      stopped.as_ref().map(|stopped| stopped.kind),
+      other_stopped.as_ref().map(|stopped| stopped.kind),
     ),
   };
   for (place, kind) in [(place, kind), (other, other_kind)] {
@@ -244,8 +244,8 @@
     }
   }
   sleep(STALE_ENTRY_PERIOD).await;
-  for ended in [ended, other_ended].iter().flatten() {
-    fleet.remove_entry(ended);
+  for stopped in [stopped, other_stopped].iter().flatten() {
+    fleet.remove_entry(stopped);
   }
   Ok(())
 }
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -14,7 +14,7 @@
     hall::Hall,
     link::Link,
     place::Place,
-    probe_request::{PROBE_TIMEOUT, ask},
+    probe_request::{PROBE_TIMEOUT, send_probe},
     recorder::Recorder,
     records::{HallDrain, Probe},
     running_endpoint::RunningEndpoint,
@@ -51,7 +51,7 @@
   /// Number of the next endpoint start, which serves as its start time.
   starts: AtomicU64,
   versions: AtomicU64,
-  reports: EngineEventSender,
+  events: EngineEventSender,
 }
 
 impl Fleet {
@@ -64,7 +64,7 @@
   ) -> Result<(Self, EngineEventReceiver)> {
     let recorder = Recorder::default();
     let store = PlatformStore::start().await.map_err(Error::Listen)?;
-    let (reports, news) = unbounded_channel();
+    let (events, event_receiver) = unbounded_channel();
     let mut fleet = Self {
       boxes: Vec::new(),
       exports: Exports::default(),
@@ -72,7 +72,7 @@
       incarnations: AtomicU64::new(0),
       recorder,
       places: Vec::new(),
-      reports,
+      events,
       ready: Mutex::default(),
       store,
       versions: AtomicU64::new(0),
@@ -92,7 +92,7 @@
       started.push(BoxProcess::start(&plan, index).await?);
     }
     fleet.boxes = started;
-    Ok((fleet, news))
+    Ok((fleet, event_receiver))
   }
 
   async fn add_place(&mut self, kind: EndpointKind) -> Result {
@@ -119,20 +119,15 @@
     listener: TcpListener,
   ) {
     let identity = Identity {
-      born: self.starts.fetch_add(1, Ordering::Relaxed),
+      start_number: self.starts.fetch_add(1, Ordering::Relaxed),
       incarnation,
       kind,
       place,
-      shown: self.places[place].link.address,
+      address: self.places[place].link.address,
     };
-    self.recorder.started(&identity.incarnation);
-    let endpoint = Endpoint::new(
-      identity,
-      &self.recorder,
-      &self.exports,
-      self.reports.clone(),
-    );
-    *self.places[place].running_endpoint() = Some(RunningEndpoint::start(endpoint, listener));
+    self.recorder.record_start(&identity.incarnation);
+    let endpoint = Endpoint::new(identity, &self.recorder, &self.exports, self.events.clone());
+    *self.places[place].running() = Some(RunningEndpoint::start(endpoint, listener));
     self.register(place);
   }
 
@@ -144,9 +139,9 @@
   }
 
   /// Restarts an endpoint with the same id.
-  pub(crate) async fn restart_same_id(&self, place: usize, ended: StoppedEndpoint) -> Result {
+  pub(crate) async fn restart_same_id(&self, place: usize, stopped: StoppedEndpoint) -> Result {
     let listener = self.listen_at(place).await?;
-    self.start_incarnation(ended.incarnation, place, ended.kind, listener);
+    self.start_incarnation(stopped.incarnation, place, stopped.kind, listener);
     Ok(())
   }
 
@@ -176,13 +171,13 @@
 
   /// The incarnation at a place, if one is up.
   pub(crate) fn incarnation(&self, place: usize) -> Option<String> {
-    let running_endpoint = self.places[place].running_endpoint();
-    Some(running_endpoint.as_ref()?.endpoint.incarnation.clone())
+    let running = self.places[place].running();
+    Some(running.as_ref()?.endpoint.incarnation.clone())
   }
 
   fn write_entry(&self, place: usize, state: &str) -> Option<String> {
-    let running_endpoint = self.places[place].running_endpoint();
-    let endpoint = &running_endpoint.as_ref()?.endpoint;
+    let running = self.places[place].running();
+    let endpoint = &running.as_ref()?.endpoint;
     let incarnation = endpoint.incarnation.clone();
     if self.recorder.records().leaving.contains_key(&incarnation) {
       return None;
@@ -192,7 +187,7 @@
       "service": kind.service(), "address": self.places[place].link.address, "version": "v1",
       "zone": Hall::of_place(place).name(),
       "slots": SLOTS, "state": state, "coldRemainingMs": self.cold_remaining_ms(&incarnation), "callSeq": 1,
-      "born": endpoint.born,
+      "born": endpoint.start_number,
     });
     if let Some(stage) = kind.stage() {
       entry["stage"] = json!(stage);
@@ -207,8 +202,8 @@
     let now_ms = self.recorder.now_ms();
     let records = self.recorder.records();
     let mut starts = records.starts.iter().rev();
-    let started = starts.find(|start| start.incarnation == incarnation);
-    started.map_or(0, |start| (start.at_ms + COLD_MS).saturating_sub(now_ms))
+    let start = starts.find(|start| start.incarnation == incarnation);
+    start.map_or(0, |start| (start.at_ms + COLD_MS).saturating_sub(now_ms))
   }
 
   /// Removes the entries of all endpoints, as if they had expired while the store was down.
@@ -221,11 +216,11 @@
   }
 
   /// Stops the endpoint at a place and closes its connections. Its entry remains.
-  pub(crate) fn end(&self, place: usize) -> Option<StoppedEndpoint> {
-    let running_endpoint = self.places[place].running_endpoint().take()?;
+  pub(crate) fn stop_endpoint(&self, place: usize) -> Option<StoppedEndpoint> {
+    let running = self.places[place].running().take()?;
     Some(StoppedEndpoint {
-      incarnation: running_endpoint.endpoint.incarnation.clone(),
-      kind: running_endpoint.endpoint.kind(),
+      incarnation: running.endpoint.incarnation.clone(),
+      kind: running.endpoint.kind(),
     })
   }
 
@@ -269,13 +264,15 @@
   }
 
   /// Removes the entry of an endpoint that has terminated.
-  pub(crate) fn remove_entry(&self, ended: &StoppedEndpoint) {
-    self.store.remove(&format!("servers/{}", ended.incarnation));
+  pub(crate) fn remove_entry(&self, stopped: &StoppedEndpoint) {
+    self
+      .store
+      .remove(&format!("servers/{}", stopped.incarnation));
   }
 
   /// Calls `act` with the endpoint at a place, if it is up.
   pub(crate) fn with_endpoint(&self, place: usize, act: impl FnOnce(&Endpoint)) {
-    if let Some(running_endpoint) = self.places[place].running_endpoint().as_ref() {
+    if let Some(running_endpoint) = self.places[place].running().as_ref() {
       act(&running_endpoint.endpoint);
     }
   }
@@ -296,26 +293,26 @@
 
   /// Probes, without a link, whether a box has applied the newest version.
   pub(crate) async fn probe(&self, index: usize) {
-    let asked = &self.boxes[index];
+    let target = &self.boxes[index];
     let version = self.newest_version();
-    let (process_number, sent_ms) = (asked.process_number(), self.recorder.now_ms());
+    let (process_number, sent_ms) = (target.process_number(), self.recorder.now_ms());
     let id = format!("probe-{index}-{sent_ms}");
     self.recorder.records().probe_ids.insert(id.clone());
     let request = Request::get(format!(
       "http://{}{}probe",
-      asked.direct,
+      target.direct,
       version_path(version)
     ))
     .header("host", HOST)
     .header("x-request-id", id)
     .header("x-deadline-ms", PROBE_TIMEOUT.as_millis().to_string());
-    let status = ask(request).await;
+    let status = send_probe(request).await;
     let in_force = match status {
       Some(StatusCode::NOT_FOUND) => Some(false),
       Some(status) if status.is_success() => Some(true),
       _ => None,
     };
-    if process_number == asked.process_number() {
+    if process_number == target.process_number() {
       self.recorder.records().probes.push(Probe {
         box_index: index,
         in_force,
@@ -328,12 +325,12 @@
 
   /// Polls the readiness of all boxes as the load balancer does. Returns the number that is not ready.
   pub(crate) async fn poll_readiness(&self) -> usize {
-    let asks = self.boxes.iter().map(|asked| async move {
-      let status = ask(Request::get(format!("http://{}/ready", asked.ready))).await;
-      (asked.index, status == Some(StatusCode::OK))
+    let polls = self.boxes.iter().map(|target| async move {
+      let status = send_probe(Request::get(format!("http://{}/ready", target.ready))).await;
+      (target.index, status == Some(StatusCode::OK))
     });
-    let answers = join_all(asks).await;
-    let ready: Vec<usize> = answers
+    let statuses = join_all(polls).await;
+    let ready: Vec<usize> = statuses
       .iter()
       .filter(|(_, is_ready)| *is_ready)
       .map(|(index, _)| *index)
@@ -355,7 +352,7 @@
 
   /// Lists the resources that engines hold for requests.
   pub(crate) fn held(&self) -> Vec<String> {
-    let mut held = self.exports.kept();
+    let mut held = self.exports.live();
     for place in 0..self.places.len() {
       self.with_endpoint(place, |endpoint| held.extend(endpoint.held()));
     }
--- a/soak/src/hall_check.rs
+++ b/soak/src/hall_check.rs
@@ -31,11 +31,11 @@
   requests
     .filter_map(|(id, request)| {
       let run = request.runs.iter().find(|run| is_late(request, run))?;
-      let seen = format!(
+      let observed = format!(
         "{id} began at {} ms at {} in {:?}, drained at {} ms",
         run.began_ms, run.incarnation, drain.hall, drain.from_ms
       );
-      Some(Breach::new(Promise::HallDrained, seen))
+      Some(Breach::new(Promise::HallDrained, observed))
     })
     .collect()
 }
--- a/soak/src/notice_check.rs
+++ b/soak/src/notice_check.rs
@@ -9,7 +9,7 @@
 /// Time after the signal after which no request is sent to a leaving endpoint.
 const LEAVING_MS: u64 = 2_000;
 /// Time after which requests to an endpoint in its retry-after delay count, and the allowed number.
-const PAUSE_SLACK_MS: u64 = 500;
+const BACKOFF_SLACK_MS: u64 = 500;
 const MAX_DURING_BACKOFF: usize = 2;
 
 /// Requests sent against a notice. Excludes boxes that were disturbed and endpoints that restarted since then.
@@ -18,11 +18,11 @@
     .requests
     .iter()
     .filter_map(|(id, request)| sent_to_leaving(records, id, request, slack_ms));
-  let pausing = records
+  let backing_off = records
     .rejections
     .iter()
-    .filter_map(|rejections| sent_in_pause(records, rejections, slack_ms));
-  leaving.chain(pausing).collect()
+    .filter_map(|rejection| sent_during_backoff(records, rejection, slack_ms));
+  leaving.chain(backing_off).collect()
 }
 
 /// A run at an endpoint whose leaving signal the box had received before the bound.
@@ -32,30 +32,30 @@
   request: &RequestRecord,
   slack_ms: u64,
 ) -> Option<Breach> {
-  let due_ms = |told_ms: u64| told_ms + LEAVING_MS + slack_ms;
+  let due_ms = |received_ms: u64| received_ms + LEAVING_MS + slack_ms;
   request.runs.iter().find_map(|run| {
-    let told = records.leaving_received.iter().find(|told| {
-      told.box_index == request.box_index
-        && told.incarnation == run.incarnation
-        && request.sent_ms > due_ms(told.at_ms)
-        && records.has_not_restarted(&run.incarnation, told.at_ms, run.began_ms)
-        && records.is_box_undisturbed(request.box_index, told.at_ms, run.began_ms)
+    let signal = records.leaving_received.iter().find(|signal| {
+      signal.box_index == request.box_index
+        && signal.incarnation == run.incarnation
+        && request.sent_ms > due_ms(signal.at_ms)
+        && records.has_not_restarted(&run.incarnation, signal.at_ms, run.began_ms)
+        && records.is_box_undisturbed(request.box_index, signal.at_ms, run.began_ms)
     })?;
-    let seen = format!(
-      "{id} sent at {} ms ran at {}, which had told box {} at {} ms that it leaves",
-      request.sent_ms, run.incarnation, told.box_index, told.at_ms
+    let observed = format!(
+      "{id} sent at {} ms ran at {}, which had signalled to box {} at {} ms that it is leaving",
+      request.sent_ms, run.incarnation, signal.box_index, signal.at_ms
     );
-    Some(Breach::new(Promise::LeavingSignalHonoured, seen))
+    Some(Breach::new(Promise::LeavingSignalHonoured, observed))
   })
 }
 
 /// Requests over the allowed number from a box to an endpoint that had asked that box to back off.
-fn sent_in_pause(records: &Records, asked: &Rejection, slack_ms: u64) -> Option<Breach> {
-  let box_index = records.requests.get(&asked.id)?.box_index;
-  let from_ms = asked.at_ms + PAUSE_SLACK_MS + slack_ms;
-  let until_ms = asked.at_ms + asked.pause_ms;
+fn sent_during_backoff(records: &Records, rejection: &Rejection, slack_ms: u64) -> Option<Breach> {
+  let box_index = records.requests.get(&rejection.id)?.box_index;
+  let from_ms = rejection.at_ms + BACKOFF_SLACK_MS + slack_ms;
+  let until_ms = rejection.at_ms + rejection.retry_after_ms;
   let concerns = |incarnation: &str, at_ms: u64| {
-    incarnation == asked.incarnation && (from_ms..until_ms).contains(&at_ms)
+    incarnation == rejection.incarnation && (from_ms..until_ms).contains(&at_ms)
   };
   let of_box = |request: &&RequestRecord| request.box_index == box_index;
   let runs = records
@@ -75,14 +75,14 @@
         .is_some_and(|request| of_box(&request))
     });
   let count = runs.count() + others.count();
-  let is_excused = !records.has_not_restarted(&asked.incarnation, asked.at_ms, until_ms)
-    || !records.is_box_undisturbed(box_index, asked.at_ms, until_ms);
+  let is_excused = !records.has_not_restarted(&rejection.incarnation, rejection.at_ms, until_ms)
+    || !records.is_box_undisturbed(box_index, rejection.at_ms, until_ms);
   if count <= MAX_DURING_BACKOFF || is_excused {
     return None;
   }
-  let seen = format!(
-    "{} had asked box {box_index} at {} ms for {} ms without requests, and got {count}",
-    asked.incarnation, asked.at_ms, asked.pause_ms
+  let observed = format!(
+    "{} asked box {box_index} at {} ms to back off for {} ms, and received {count} requests",
+    rejection.incarnation, rejection.at_ms, rejection.retry_after_ms
   );
-  Some(Breach::new(Promise::BackoffHonoured, seen))
+  Some(Breach::new(Promise::BackoffHonoured, observed))
 }
--- a/soak/src/organisation_check.rs
+++ b/soak/src/organisation_check.rs
@@ -23,19 +23,19 @@
   found
 }
 
-fn leaked_key(seen: &String) -> Breach {
-  Breach::new(Promise::KeysHonoured, seen)
+fn leaked_key(observed: &String) -> Breach {
+  Breach::new(Promise::KeysHonoured, observed)
 }
 
 /// An endpoint received the name of an organisation that never held the request's key.
 fn wrong_name(records: &Records, id: &str, request: &RequestRecord) -> Option<Breach> {
-  let may_name = |run: &Run| {
+  let is_a_holder = |run: &Run| {
     let mut versions = records.versions.keys();
     versions.any(|version| request.key.holder(*version) == Some(run.organisation.as_str()))
   };
-  let wrong = request.runs.iter().find(|run| !may_name(run))?;
-  let seen = format!("{id} with {:?} ran as {wrong:?}", request.key);
-  Some(Breach::new(Promise::OrganisationNamed, seen))
+  let wrong = request.runs.iter().find(|run| !is_a_holder(run))?;
+  let observed = format!("{id} with {:?} ran as {wrong:?}", request.key);
+  Some(Breach::new(Promise::OrganisationNamed, observed))
 }
 
 /// A request ran after the bound on applying the revocation of its key.
@@ -53,20 +53,20 @@
   if !records.is_connected(request.box_index, revoked_ms, request.sent_ms) {
     return None;
   }
-  let seen = format!(
-    "{id} sent at {} ms, key taken at {revoked_ms} ms",
+  let observed = format!(
+    "{id} sent at {} ms, key revoked at {revoked_ms} ms",
     request.sent_ms
   );
-  Some(Breach::new(Promise::KeysHonoured, seen))
+  Some(Breach::new(Promise::KeysHonoured, observed))
 }
 
 /// A permanent key was rejected.
 fn rejected_key(id: &str, request: &RequestRecord) -> Option<Breach> {
-  let is_lasting = request.key.revoked_in().is_none();
-  let is_refused = matches!(request.outcome, Some(Outcome::Complete { status: 401, .. }));
-  (is_lasting && is_refused).then(|| {
-    let seen = format!("{id} with {:?} got 401", request.key);
-    Breach::new(Promise::KeysHonoured, seen)
+  let is_permanent = request.key.revoked_in().is_none();
+  let is_rejected = matches!(request.outcome, Some(Outcome::Complete { status: 401, .. }));
+  (is_permanent && is_rejected).then(|| {
+    let observed = format!("{id} with {:?} got 401", request.key);
+    Breach::new(Promise::KeysHonoured, observed)
   })
 }
 
@@ -83,11 +83,14 @@
   began_ms.sort_unstable();
   let window_s = WINDOW_MS as f64 / 1_000.0;
   let allowed = HOT_UNITS_PER_S * (window_s + 1.0) * (1.0 + OVERAGE) + SLACK_UNITS;
-  let most = (allowed / REQUEST_UNITS as f64) as usize;
+  let max_runs = (allowed / REQUEST_UNITS as f64) as usize;
   // One more run than allowed, all within one window.
-  let beyond = began_ms
-    .windows(most + 1)
-    .find(|runs| runs[most] - runs[0] <= WINDOW_MS)?;
-  let seen = format!("{HOT}: over {most} requests in 8 s from {} ms", beyond[0]);
-  Some(Breach::new(Promise::QuotaLimitHonoured, seen))
+  let excess = began_ms
+    .windows(max_runs + 1)
+    .find(|runs| runs[max_runs] - runs[0] <= WINDOW_MS)?;
+  let observed = format!(
+    "{HOT}: over {max_runs} requests in 8 s from {} ms",
+    excess[0]
+  );
+  Some(Breach::new(Promise::QuotaLimitHonoured, observed))
 }
--- a/soak/src/place.rs
+++ b/soak/src/place.rs
@@ -9,23 +9,17 @@
 pub(crate) struct Place {
   pub(crate) link: Link,
   /// `None` while the endpoint is down.
-  running_endpoint: Mutex<Option<RunningEndpoint>>,
+  running: Mutex<Option<RunningEndpoint>>,
 }
 
 impl Place {
   pub(crate) fn new(link: Link) -> Self {
-    let running_endpoint = Mutex::new(None);
-    Self {
-      link,
-      running_endpoint,
-    }
+    let running = Mutex::new(None);
+    Self { link, running }
   }
 
   /// The running endpoint, locked.
-  pub(crate) fn running_endpoint(&self) -> MutexGuard<'_, Option<RunningEndpoint>> {
-    self
-      .running_endpoint
-      .lock()
-      .unwrap_or_else(PoisonError::into_inner)
+  pub(crate) fn running(&self) -> MutexGuard<'_, Option<RunningEndpoint>> {
+    self.running.lock().unwrap_or_else(PoisonError::into_inner)
   }
 }
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -71,20 +71,20 @@
     size,
   };
   let mut steps = Vec::new();
-  let mut at_ms = draw.pause_ms();
+  let mut at_ms = draw.interval_ms();
   while at_ms < size.faults_ms {
     let fault = draw.fault();
     steps.push(ScheduledFault { at_ms, fault });
     if let Some(index) = box_of(fault)
       && draw.random.random_bool(SERIES_CHANCE)
     {
-      let later_ms = at_ms + draw.between(SERIES_INTERVAL_MS);
+      let next_ms = at_ms + draw.between(SERIES_INTERVAL_MS);
       steps.push(ScheduledFault {
-        at_ms: later_ms,
+        at_ms: next_ms,
         fault: draw.process_fault(index),
       });
     }
-    at_ms += draw.pause_ms();
+    at_ms += draw.interval_ms();
   }
   steps.extend(draw_notices(seed, size));
   steps.extend(draw_limits(seed, size));
@@ -100,7 +100,7 @@
     size,
   };
   let mut steps = Vec::new();
-  let mut at_ms = NOTICE_INTERVAL_FACTOR * draw.pause_ms();
+  let mut at_ms = NOTICE_INTERVAL_FACTOR * draw.interval_ms();
   while at_ms < size.faults_ms {
     let place = draw.random.random_range(0..size.places);
     let fault = if draw.random.random_bool(0.5) {
@@ -113,7 +113,7 @@
       }
     };
     steps.push(ScheduledFault { at_ms, fault });
-    at_ms += NOTICE_INTERVAL_FACTOR * draw.pause_ms();
+    at_ms += NOTICE_INTERVAL_FACTOR * draw.interval_ms();
   }
   steps
 }
@@ -125,7 +125,7 @@
     size,
   };
   let mut steps = Vec::new();
-  let mut at_ms = draw.pause_ms();
+  let mut at_ms = draw.interval_ms();
   while at_ms < size.faults_ms {
     let fault = Fault::EndpointLimited {
       for_ms: draw.between(LIMIT_DURATION_MS),
@@ -133,7 +133,7 @@
       place: draw.random.random_range(0..size.places),
     };
     steps.push(ScheduledFault { at_ms, fault });
-    at_ms += LIMIT_INTERVAL_FACTOR * draw.pause_ms();
+    at_ms += LIMIT_INTERVAL_FACTOR * draw.interval_ms();
   }
   steps
 }
@@ -145,14 +145,14 @@
     size,
   };
   let mut steps = Vec::new();
-  let mut at_ms = draw.pause_ms();
+  let mut at_ms = draw.interval_ms();
   while at_ms < size.faults_ms {
     let fault = Fault::HallDrained {
       for_ms: draw.between(HALL_DRAIN_DURATION_MS),
       hall: draw.one_of(&[Hall::North, Hall::South]),
     };
     steps.push(ScheduledFault { at_ms, fault });
-    at_ms += HALL_DRAIN_INTERVAL_FACTOR * draw.pause_ms();
+    at_ms += HALL_DRAIN_INTERVAL_FACTOR * draw.interval_ms();
   }
   steps
 }
@@ -174,12 +174,12 @@
 }
 
 impl Draw {
-  fn between(&mut self, (least, most): (u64, u64)) -> u64 {
-    self.random.random_range(least..=most)
+  fn between(&mut self, (min, max): (u64, u64)) -> u64 {
+    self.random.random_range(min..=max)
   }
 
   /// An exponentially distributed interval, so that faults cluster.
-  fn pause_ms(&mut self) -> u64 {
+  fn interval_ms(&mut self) -> u64 {
     let draw: f64 = self.random.random();
     (-MEAN_INTERVAL_MS * (1.0 - draw).ln()) as u64 + 1
   }
--- a/soak/src/play.rs
+++ b/soak/src/play.rs
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 pub struct Report {
   /// The faults that were injected.
-  pub steps: Vec<ScheduledFault>,
+  pub faults: Vec<ScheduledFault>,
   /// What was observed.
   pub records: Records,
   /// The breaches that were found.
@@ -61,20 +61,20 @@
 
 impl Report {
   /// Number of requests whose outcome matches.
-  pub fn count(&self, ended: impl Fn(&Outcome) -> bool) -> usize {
+  pub fn count(&self, matches: impl Fn(&Outcome) -> bool) -> usize {
     let outcomes = self
       .records
       .requests
       .values()
       .filter_map(|request| request.outcome.as_ref());
-    outcomes.filter(|outcome| ended(outcome)).count()
+    outcomes.filter(|outcome| matches(outcome)).count()
   }
 }
 
 /// Plays one run. Fails if it can't be carried out; breaches are part of the report.
 pub async fn play(options: &Options) -> Result<Report> {
   let size = options.size;
-  let (fleet, engine_event) = Fleet::start(
+  let (fleet, engine_events) = Fleet::start(
     &options.program,
     &options.directory,
     size.boxes,
@@ -83,16 +83,16 @@
   .await?;
   let fleet = Arc::new(fleet);
   wait_until_ready(&fleet).await?;
-  let mut background = start_background(&fleet, engine_event);
-  let (end, ended) = watch::channel(false);
-  let mut callers = start_callers(&fleet, options, &ended);
-  let steps = draw_plan(options.seed, size);
-  play_steps(&fleet, &steps).await?;
+  let mut background = start_background(&fleet, engine_events);
+  let (stop, stopped) = watch::channel(false);
+  let mut callers = start_callers(&fleet, options, &stopped);
+  let faults = draw_plan(options.seed, size);
+  inject_faults(&fleet, &faults).await?;
   wait_until_ready(&fleet).await?;
   let faults_ended_ms = fleet.recorder.now_ms();
   fleet.recorder.records().faults_ended_ms = Some(faults_ended_ms);
   sleep(RECOVERY_PERIOD).await;
-  end_traffic(&end, &mut callers).await;
+  stop_callers(&stop, &mut callers).await;
   sleep(RELEASE_PERIOD).await;
   let held = fleet.held();
   fleet.recorder.records().held_at_end = held;
@@ -101,28 +101,28 @@
   Ok(Report {
     breaches: breaches(&records, options.slack_ms),
     records,
-    steps,
+    faults,
   })
 }
 
 /// Starts the tasks that run until the end: readiness polls, configuration probes and the handler of engine events.
-fn start_background(fleet: &Arc<Fleet>, engine_event: EngineEventReceiver) -> JoinSet<()> {
+fn start_background(fleet: &Arc<Fleet>, engine_events: EngineEventReceiver) -> JoinSet<()> {
   let mut background = JoinSet::new();
   background.spawn(poll_boxes(fleet.clone()));
   background.spawn(probe_boxes(fleet.clone()));
-  background.spawn(handle_engine_events(fleet.clone(), engine_event));
+  background.spawn(handle_engine_events(fleet.clone(), engine_events));
   background
 }
 
 fn start_callers(
   fleet: &Arc<Fleet>,
   options: &Options,
-  ended: &watch::Receiver<bool>,
+  stopped: &watch::Receiver<bool>,
 ) -> JoinSet<()> {
   let mut callers = JoinSet::new();
   for number in 0..options.callers {
     let caller = Caller::new(fleet.clone(), number, options.seed, CallerWork::Mixed);
-    callers.spawn(caller.run(ended.clone()));
+    callers.spawn(caller.run(stopped.clone()));
   }
   let crashing = Caller::new(
     fleet.clone(),
@@ -130,14 +130,14 @@
     options.seed,
     CallerWork::Crashing,
   );
-  callers.spawn(crashing.run(ended.clone()));
+  callers.spawn(crashing.run(stopped.clone()));
   callers
 }
 
 /// Stops the callers and waits for their last requests.
-async fn end_traffic(end: &watch::Sender<bool>, callers: &mut JoinSet<()>) {
+async fn stop_callers(stop: &watch::Sender<bool>, callers: &mut JoinSet<()>) {
   // The send succeeds while a caller is running.
-  let _ = end.send(true);
+  let _ = stop.send(true);
   // A caller that does not finish leaves a request without an outcome.
   let _ = timeout(CALLERS_TIMEOUT, async {
     while callers.join_next().await.is_some() {}
@@ -146,18 +146,21 @@
 }
 
 /// Starts each fault at its time and waits until all are over.
-async fn play_steps(fleet: &Arc<Fleet>, steps: &[ScheduledFault]) -> Result {
-  let begun_ms = fleet.recorder.now_ms();
+async fn inject_faults(fleet: &Arc<Fleet>, faults: &[ScheduledFault]) -> Result {
+  let start_ms = fleet.recorder.now_ms();
   let mut running = JoinSet::new();
-  for step in steps {
-    let passed_ms = fleet.recorder.now_ms() - begun_ms;
-    sleep(Duration::from_millis(step.at_ms.saturating_sub(passed_ms))).await;
-    let (fleet, fault) = (fleet.clone(), step.fault);
+  for scheduled in faults {
+    let elapsed_ms = fleet.recorder.now_ms() - start_ms;
+    sleep(Duration::from_millis(
+      scheduled.at_ms.saturating_sub(elapsed_ms),
+    ))
+    .await;
+    let (fleet, fault) = (fleet.clone(), scheduled.fault);
     running.spawn(async move { inject(&fleet, fault).await });
   }
-  while let Some(ended) = running.join_next().await {
-    match ended {
-      Ok(result) => result?,
+  while let Some(result) = running.join_next().await {
+    match result {
+      Ok(outcome) => outcome?,
       Err(error) => std::panic::resume_unwind(error.into_panic()),
     }
   }
@@ -196,10 +199,10 @@
 }
 
 /// Updates the entries of engines that switched their role, and restarts engines that a request crashed.
-async fn handle_engine_events(fleet: Arc<Fleet>, mut news: EngineEventReceiver) {
+async fn handle_engine_events(fleet: Arc<Fleet>, mut events: EngineEventReceiver) {
   let mut restarts = JoinSet::new();
-  while let Some(told) = news.recv().await {
-    match told {
+  while let Some(event) = events.recv().await {
+    match event {
       EngineEvent::RoleChanged { place } => fleet.register(place),
       EngineEvent::Crashed { place, incarnation } => {
         let fleet = fleet.clone();
--- a/soak/src/probe_request.rs
+++ b/soak/src/probe_request.rs
@@ -13,7 +13,7 @@
 pub(crate) const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Sends a request on a new connection. Returns `None` if no response arrives in time.
-pub(crate) async fn ask(request: Builder) -> Option<StatusCode> {
+pub(crate) async fn send_probe(request: Builder) -> Option<StatusCode> {
   let request = request.body(Full::<Bytes>::default()).ok()?;
   let client = HttpClient::default();
   let response = timeout(PROBE_TIMEOUT, client.send(request))
--- a/soak/src/promises.rs
+++ b/soak/src/promises.rs
@@ -63,9 +63,9 @@
   }
 
   fn unrequested_runs(&self) -> impl Iterator<Item = Breach> {
-    let seen = self.records.unrequested_runs.iter();
-    let seen = seen.chain(&self.records.mismatched_prompts);
-    seen.map(|seen| Breach::new(Promise::OnlyRequestedWork, seen))
+    let observed = self.records.unrequested_runs.iter();
+    let observed = observed.chain(&self.records.mismatched_prompts);
+    observed.map(|observed| Breach::new(Promise::OnlyRequestedWork, observed))
   }
 
   fn configuration(&self) -> Vec<Breach> {
@@ -76,16 +76,19 @@
       let process_number = (probe.box_index, probe.process_number);
       match probe.in_force {
         Some(true) => {
-          let seen = newest
+          let observed = newest
             .entry(process_number)
             .or_insert((probe.version, probe.sent_ms));
-          if probe.version > seen.0 {
-            *seen = (probe.version, probe.sent_ms);
+          if probe.version > observed.0 {
+            *observed = (probe.version, probe.sent_ms);
           }
         }
         Some(false) => {
-          found.extend(has_regressed(probe, newest.get(&process_number).copied()));
-          found.extend(self.is_late(probe));
+          found.extend(reverted_configuration(
+            probe,
+            newest.get(&process_number).copied(),
+          ));
+          found.extend(self.late_configuration(probe));
         }
         None => {}
       }
@@ -94,7 +97,7 @@
   }
 
   /// A version that a box has not applied within the bound after the store acknowledged it.
-  fn is_late(&self, probe: &Probe) -> Option<Breach> {
+  fn late_configuration(&self, probe: &Probe) -> Option<Breach> {
     let acknowledged_ms = *self.records.versions.get(&probe.version)?;
     let due_ms = acknowledged_ms + CONFIGURATION_MS + self.slack_ms;
     if probe.sent_ms <= due_ms
@@ -104,8 +107,8 @@
     {
       return None;
     }
-    let seen = format!("acknowledged at {acknowledged_ms} ms: {probe:?}");
-    Some(Breach::new(Promise::ConfigurationInTime, seen))
+    let observed = format!("acknowledged at {acknowledged_ms} ms: {probe:?}");
+    Some(Breach::new(Promise::ConfigurationInTime, observed))
   }
 
   fn planned_stops(&self) -> impl Iterator<Item = Breach> {
@@ -113,14 +116,14 @@
     stops.flat_map(|stop| {
       let requests = self.requests();
       let cut = requests.filter_map(move |request| request.is_cut_by(stop));
-      cut.chain(self.is_unclean(stop))
+      cut.chain(self.unclean_exit(stop))
     })
   }
 
   /// A process that did not exit successfully by itself after its stop signal, without other disturbances.
-  fn is_unclean(&self, stop: &PlannedStop) -> Option<Breach> {
-    let is_left_alone = self.records.is_stop_undisturbed(stop);
-    if stop.is_clean || !is_left_alone {
+  fn unclean_exit(&self, stop: &PlannedStop) -> Option<Breach> {
+    let is_undisturbed = self.records.is_stop_undisturbed(stop);
+    if stop.is_clean || !is_undisturbed {
       return None;
     }
     Some(Breach::new(Promise::GracefulStop, format!("{stop:?}")))
@@ -129,15 +132,15 @@
   fn role_commands(&self) -> Vec<Breach> {
     let mut newest: BTreeMap<&str, &RoleCommandRecord> = BTreeMap::new();
     let mut found = Vec::new();
-    for order in &self.records.role_commands {
-      let Some(last) = newest.insert(&order.incarnation, order) else {
+    for command in &self.records.role_commands {
+      let Some(last) = newest.insert(&command.incarnation, command) else {
         continue;
       };
-      let is_shared = order.fence == last.fence && order.holder != last.holder;
-      if order.fence < last.fence || is_shared {
+      let is_shared_fence = command.fence == last.fence && command.holder != last.holder;
+      if command.fence < last.fence || is_shared_fence {
         let last = (last.fence, &last.holder);
-        let seen = format!("{order:?} after {last:?}");
-        found.push(Breach::new(Promise::SingleRoleLeader, seen));
+        let observed = format!("{command:?} after {last:?}");
+        found.push(Breach::new(Promise::SingleRoleLeader, observed));
       }
     }
     found
@@ -165,8 +168,8 @@
     if late.len() <= MAX_QUARANTINED_RUNS {
       return None;
     }
-    let seen = format!("the third end was at {third_ms} ms: {late:?}");
-    Some(Breach::new(Promise::QuarantineHonoured, seen))
+    let observed = format!("the third crash was at {third_ms} ms: {late:?}");
+    Some(Breach::new(Promise::QuarantineHonoured, observed))
   }
 
   fn held(&self) -> impl Iterator<Item = Breach> {
@@ -191,22 +194,22 @@
     if served > 0 && served as f64 >= RECOVERED_SHARE * late.len() as f64 {
       return None;
     }
-    let seen = format!("{served} of {} served after {since_ms} ms", late.len());
-    Some(Breach::new(Promise::Recovered, seen))
+    let observed = format!("{served} of {} served after {since_ms} ms", late.len());
+    Some(Breach::new(Promise::Recovered, observed))
   }
 }
 
 /// A version that a process no longer has although it had the same or a newer one before.
-fn has_regressed(probe: &Probe, newest: Option<(u64, u64)>) -> Option<Breach> {
+fn reverted_configuration(probe: &Probe, newest: Option<(u64, u64)>) -> Option<Breach> {
   let (version, seen_ms) = newest?;
   if version < probe.version || probe.sent_ms <= seen_ms {
     return None;
   }
-  let seen = format!(
+  let observed = format!(
     "box {} had {version} at {seen_ms} ms: {probe:?}",
     probe.box_index
   );
-  Some(Breach::new(Promise::ConfigurationMonotonic, seen))
+  Some(Breach::new(Promise::ConfigurationMonotonic, observed))
 }
 
 fn is_served(request: &RequestRecord) -> bool {
--- a/soak/src/recorder.rs
+++ b/soak/src/recorder.rs
@@ -45,7 +45,13 @@
   }
 
   /// Records that a caller sends a request.
-  pub(crate) fn sent(&self, id: &str, kind: RequestKind, key: CallerKey, box_index: usize) {
+  pub(crate) fn record_request(
+    &self,
+    id: &str,
+    kind: RequestKind,
+    key: CallerKey,
+    box_index: usize,
+  ) {
     let record = RequestRecord {
       box_index,
       ended_ms: None,
@@ -59,7 +65,7 @@
   }
 
   /// Records the outcome of a request for its caller.
-  pub(crate) fn ended(&self, id: &str, outcome: Outcome) {
+  pub(crate) fn record_outcome(&self, id: &str, outcome: Outcome) {
     let now_ms = self.now_ms();
     if let Some(record) = self.records().requests.get_mut(id) {
       record.ended_ms = Some(now_ms);
@@ -68,60 +74,60 @@
   }
 
   /// Records that a caller received a leaving signal.
-  pub(crate) fn leaving_received(&self, box_index: usize, incarnation: &str) {
-    let told = LeavingReceived {
+  pub(crate) fn record_leaving_received(&self, box_index: usize, incarnation: &str) {
+    let received = LeavingReceived {
       at_ms: self.now_ms(),
       box_index,
       incarnation: incarnation.into(),
     };
-    self.records().leaving_received.push(told);
+    self.records().leaving_received.push(received);
   }
 
   /// Records that a caller received an advertised limit.
   pub(crate) fn record_limit_received(&self, box_index: usize, incarnation: &str) {
-    let told = LimitReceived {
+    let received = LimitReceived {
       at_ms: self.now_ms(),
       box_index,
       incarnation: incarnation.into(),
     };
-    self.records().limits_received.push(told);
+    self.records().limits_received.push(received);
   }
 
   /// Records that an endpoint advertises a limit from now on, in place of an earlier one.
   pub(crate) fn begin_limit(&self, incarnation: &str, per_s: u32) {
     self.end_limit(incarnation);
-    let named = AdvertisedLimit {
+    let limit = AdvertisedLimit {
       from_ms: self.now_ms(),
       incarnation: incarnation.into(),
       per_s,
       until_ms: None,
     };
-    self.records().advertised_limits.push(named);
+    self.records().advertised_limits.push(limit);
   }
 
   /// Records that an endpoint no longer advertises a limit.
   pub(crate) fn end_limit(&self, incarnation: &str) {
     let now_ms = self.now_ms();
     let mut records = self.records();
-    let named = records.advertised_limits.iter_mut();
-    for named in named.filter(|named| named.incarnation == incarnation) {
-      named.until_ms.get_or_insert(now_ms);
+    let limits = records.advertised_limits.iter_mut();
+    for limit in limits.filter(|limit| limit.incarnation == incarnation) {
+      limit.until_ms.get_or_insert(now_ms);
     }
   }
 
   /// Records that an endpoint rejects a request and asks the box to back off.
-  pub(crate) fn rejections(&self, id: &str, incarnation: &str, pause_ms: u64) {
-    let rejections = Rejection {
+  pub(crate) fn record_rejection(&self, id: &str, incarnation: &str, retry_after_ms: u64) {
+    let rejection = Rejection {
       at_ms: self.now_ms(),
       id: id.into(),
       incarnation: incarnation.into(),
-      pause_ms,
+      retry_after_ms,
     };
-    self.records().rejections.push(rejections);
+    self.records().rejections.push(rejection);
   }
 
   /// Records the start of an endpoint.
-  pub(crate) fn started(&self, incarnation: &str) {
+  pub(crate) fn record_start(&self, incarnation: &str) {
     let start = Start {
       at_ms: self.now_ms(),
       incarnation: incarnation.into(),
@@ -130,7 +136,7 @@
   }
 
   /// Records the start of a run at an endpoint, which ends when the guard is dropped.
-  pub(crate) fn run(
+  pub(crate) fn begin_run(
     &self,
     id: &str,
     place: usize,
--- a/soak/src/records.rs
+++ b/soak/src/records.rs
@@ -146,7 +146,7 @@
   /// Time of the rejection.
   pub at_ms: u64,
   /// Retry-after delay.
-  pub pause_ms: u64,
+  pub retry_after_ms: u64,
 }
 
 /// A start of an endpoint, possibly with an incarnation id that was used before.
--- a/soak/src/request_check.rs
+++ b/soak/src/request_check.rs
@@ -30,7 +30,7 @@
       self.not_run_is_true(),
       self.own_complete_response(),
       self.attempts(),
-      self.is_ended(),
+      self.meets_deadline(),
       self.stops_after_disconnect(),
       self.is_drained(),
     ]
@@ -44,8 +44,8 @@
     if request.kind.may_retry() || request.runs.len() <= 1 {
       return None;
     }
-    let seen = format!("{id} ran at {:?}", request.runs);
-    Some(Breach::new(Promise::RunsOnce, seen))
+    let observed = format!("{id} ran at {:?}", request.runs);
+    Some(Breach::new(Promise::RunsOnce, observed))
   }
 
   fn not_run_is_true(&self) -> Option<Breach> {
@@ -53,17 +53,17 @@
     let Some(Outcome::Complete { status, .. }) = request.outcome else {
       return None;
     };
-    let promised = matches!(status, 408 | 421 | 429 | 503);
-    if !promised || request.kind.may_retry() || request.runs.is_empty() {
+    let says_not_run = matches!(status, 408 | 421 | 429 | 503);
+    if !says_not_run || request.kind.may_retry() || request.runs.is_empty() {
       return None;
     }
-    let seen = format!("{id} told {status}, ran at {:?}", request.runs);
-    Some(Breach::new(Promise::NotRunIsTrue, seen))
+    let observed = format!("{id} rejected with {status}, but ran at {:?}", request.runs);
+    Some(Breach::new(Promise::NotRunIsTrue, observed))
   }
 
   fn own_complete_response(&self) -> Option<Breach> {
     let id = self.id;
-    let seen = match self.request.outcome.as_ref()? {
+    let observed = match self.request.outcome.as_ref()? {
       Outcome::Complete {
         status: 200..300,
         receipt,
@@ -73,20 +73,20 @@
         status: 200..300,
         body,
         ..
-      } if *body != self.expected_body() => format!("{id} whole true got {body:?}"),
+      } if *body != self.expected_body() => format!("{id} complete, but got {body:?}"),
       Outcome::ConnectionLost {
         status: Some(200),
         body,
-      } if !self.expected_body().starts_with(body) => format!("{id} whole false got {body:?}"),
+      } if !self.expected_body().starts_with(body) => format!("{id} cut, but got {body:?}"),
       _ => return None,
     };
-    Some(Breach::new(Promise::OwnCompleteResponse, seen))
+    Some(Breach::new(Promise::OwnCompleteResponse, observed))
   }
 
   /// Whether the endpoint with this receipt ran the request.
   fn has_run_with(&self, receipt: Option<&str>) -> bool {
-    let is_its_own = |run: &Run| receipt == Some(&run.incarnation);
-    self.request.runs.iter().any(is_its_own)
+    let is_its_run = |run: &Run| receipt == Some(&run.incarnation);
+    self.request.runs.iter().any(is_its_run)
   }
 
   fn expected_body(&self) -> String {
@@ -103,11 +103,11 @@
     if !request.kind.may_retry() || request.runs.len() <= request.kind.max_attempts() {
       return None;
     }
-    let seen = format!("{id} ran at {:?}", request.runs);
-    Some(Breach::new(Promise::AttemptLimit, seen))
+    let observed = format!("{id} ran at {:?}", request.runs);
+    Some(Breach::new(Promise::AttemptLimit, observed))
   }
 
-  fn is_ended(&self) -> Option<Breach> {
+  fn meets_deadline(&self) -> Option<Breach> {
     let Self { id, request, .. } = self;
     // A request without an outcome was still open when its caller was stopped.
     let is_open = matches!(request.outcome, None | Some(Outcome::Unanswered));
@@ -119,11 +119,11 @@
     {
       return None;
     }
-    let seen = format!(
+    let observed = format!(
       "{id} sent at {} ms, open at {:?} ms",
       request.sent_ms, request.ended_ms
     );
-    Some(Breach::new(Promise::DeadlineKept, seen))
+    Some(Breach::new(Promise::DeadlineKept, observed))
   }
 
   fn stops_after_disconnect(&self) -> Option<Breach> {
@@ -141,11 +141,11 @@
     {
       return None;
     }
-    let seen = format!(
-      "{id} left at {left_ms} ms, {} at work until {:?}",
+    let observed = format!(
+      "{id} left at {left_ms} ms, {} running until {:?}",
       run.incarnation, run.ended_ms
     );
-    Some(Breach::new(Promise::StopsAfterDisconnect, seen))
+    Some(Breach::new(Promise::StopsAfterDisconnect, observed))
   }
 
   fn is_drained(&self) -> Option<Breach> {
@@ -169,11 +169,11 @@
     {
       return None;
     }
-    let seen = format!(
-      "{id} began at {began_ms} ms at {}, which has been leaving since {leaving_ms} ms",
+    let observed = format!(
+      "{id} began at {began_ms} ms at {}, which has been draining since {leaving_ms} ms",
       run.incarnation
     );
-    Some(Breach::new(Promise::Drained, seen))
+    Some(Breach::new(Promise::Drained, observed))
   }
 
   /// Whether a planned stop cut the request.
@@ -181,18 +181,19 @@
     let Self { id, request, .. } = self;
     let ended_ms = request.ended_ms?;
     let cut = matches!(request.outcome, Some(Outcome::ConnectionLost { .. }));
-    let was_read =
+    let was_received =
       !request.runs.is_empty() || ended_ms > request.sent_ms + CLOSE_RACE_MS + self.slack_ms;
-    let concerned = request.box_index == stop.box_index
+    let overlaps_stop = request.box_index == stop.box_index
       && request.sent_ms < stop.gone_ms
       && ended_ms > stop.signalled_ms;
-    if !cut || !was_read || !concerned || !self.records.is_undisturbed_except_stops(request) {
+    if !cut || !was_received || !overlaps_stop || !self.records.is_undisturbed_except_stops(request)
+    {
       return None;
     }
-    let seen = format!(
+    let observed = format!(
       "{id} sent at {} ms, cut at {ended_ms} ms: {stop:?}",
       request.sent_ms
     );
-    Some(Breach::new(Promise::GracefulStop, seen))
+    Some(Breach::new(Promise::GracefulStop, observed))
   }
 }
--- a/soak/src/running_endpoint.rs
+++ b/soak/src/running_endpoint.rs
@@ -44,7 +44,7 @@
 }
 
 async fn serve_connection(endpoint: Arc<Endpoint>, stream: TcpStream) {
-  let service = service_fn(move |request| endpoint.clone().answer(request));
+  let service = service_fn(move |request| endpoint.clone().handle(request));
   // Runs on a lost connection end through their guards.
   let _ = http1::Builder::new()
     .serve_connection(TokioIo::new(stream), service)
--- a/soak/src/subcommand.rs
+++ b/soak/src/subcommand.rs
@@ -54,8 +54,8 @@
   let arguments = arguments().run();
   match play_all(&arguments) {
     Ok(0) => ExitCode::SUCCESS,
-    Ok(broken) => {
-      println!("{broken} seeds broke a promise");
+    Ok(failed) => {
+      println!("{failed} seeds had breaches");
       ExitCode::FAILURE
     }
     Err(error) => {
@@ -70,12 +70,12 @@
     Some(file) => read_seeds(file)?,
     None => (arguments.seed..arguments.seed + arguments.count).collect(),
   };
-  let mut broken = 0;
+  let mut failed = 0;
   for seed in seeds {
     let report = play_seed(arguments, seed)?;
-    broken += usize::from(!report.breaches.is_empty());
+    failed += usize::from(!report.breaches.is_empty());
   }
-  Ok(broken)
+  Ok(failed)
 }
 
 /// Reads a seed from the first word of each line that is neither empty nor a comment.
@@ -119,25 +119,25 @@
     .block_on(play(&options))
     .map_err(|error| error.to_string())?;
   print_report(seed, &report);
-  let records = format!("{:#?}\n{:#?}\n", report.steps, report.records);
+  let records = format!("{:#?}\n{:#?}\n", report.faults, report.records);
   std::fs::write(directory.join("records.txt"), records).map_err(|error| error.to_string())?;
   Ok(report)
 }
 
 fn print_report(seed: u64, report: &Report) {
-  let whole = |wanted: std::ops::Range<u16>| {
+  let completed = |statuses: std::ops::Range<u16>| {
     report.count(
-      |outcome| matches!(outcome, Outcome::Complete { status, .. } if wanted.contains(status)),
+      |outcome| matches!(outcome, Outcome::Complete { status, .. } if statuses.contains(status)),
     )
   };
   println!(
     "seed {seed}: {} faults, {} requests: {} served, {} rejected as not run, {} other errors, {} connections lost, {} disconnected, \
      {} unanswered; {} role commands, {} planned stops; {} breaches",
-    report.steps.len(),
+    report.faults.len(),
     report.records.requests.len(),
-    whole(200..300),
-    whole(503..504),
-    whole(400..503) + whole(504..600),
+    completed(200..300),
+    completed(503..504),
+    completed(400..503) + completed(504..600),
     report.count(|outcome| matches!(outcome, Outcome::ConnectionLost { .. })),
     report.count(|outcome| *outcome == Outcome::Disconnected),
     report.count(|outcome| *outcome == Outcome::Unanswered),
--- a/tests/soak_promises.rs
+++ b/tests/soak_promises.rs
@@ -517,7 +517,7 @@
       at_ms: 10_000 + number * 100,
       id,
       incarnation: "i-0".into(),
-      pause_ms: if number == 0 { 3_000 } else { 0 },
+      retry_after_ms: if number == 0 { 3_000 } else { 0 },
     });
   }
   records
