--- a/soak/src/fault_injector.rs
+++ b/soak/src/fault_injector.rs
@@ -154,11 +154,11 @@
       store.set_delay(Duration::ZERO);
     }
     StoreFault::DropsResponses => {
-      store.set_loses_answers(true);
+      store.set_drops_responses(true);
       sleep(duration).await;
-      store.set_loses_answers(false);
+      store.set_drops_responses(false);
     }
-    StoreFault::CompactsHistory => store.forget_history(),
+    StoreFault::CompactsHistory => store.compact_history(),
     StoreFault::LosesEntries => {
       store.set_down(true);
       sleep(duration).await;
@@ -169,7 +169,7 @@
         fleet.register(place);
       }
     }
-    StoreFault::ExpiresLeases => store.end_leases(),
+    StoreFault::ExpiresLeases => store.expire_leases(),
   }
 }
 
--- a/stand_ins/src/lib.rs
+++ b/stand_ins/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins that speak the published protocol of the users' platform, for the integration tests and the soak.
+//! A simulated store that speaks the platform's published protocol, for the integration tests and the soak.
 
 mod platform_store;
 mod start_store;
--- a/stand_ins/src/platform_store.rs
+++ b/stand_ins/src/platform_store.rs
@@ -1,7 +1,7 @@
-//! The platform's store, in memory, with what a test or a run may do to it.
+//! The simulated store, in memory, with the changes and faults that tests control.
 
 use {
-  super::store_contents::{Contents, OldItems},
+  super::store_contents::{Contents, StaleItems},
   axum::response::Response,
   base64::{Engine, engine::general_purpose::STANDARD},
   std::{
@@ -19,7 +19,7 @@
 /// A running store.
 #[derive(Clone)]
 pub struct PlatformStore {
-  /// Where it listens.
+  /// Listen address.
   pub address: SocketAddr,
   pub(crate) contents: Arc<Mutex<Contents>>,
   pub(crate) changed: watch::Sender<u64>,
@@ -28,12 +28,12 @@
 impl PlatformStore {
   /// The contents, locked.
   pub(crate) fn contents(&self) -> MutexGuard<'_, Contents> {
-    // A task that panicked between two changes leaves them whole.
+    // Each change leaves the contents consistent, so that a panic leaves no partial change.
     self.contents.lock().unwrap_or_else(PoisonError::into_inner)
   }
 
-  /// Changes the contents, and tells those who wait.
-  pub(crate) fn alter<T>(&self, change: impl FnOnce(&mut Contents) -> T) -> T {
+  /// Changes the contents and wakes up the watches.
+  pub(crate) fn update<T>(&self, change: impl FnOnce(&mut Contents) -> T) -> T {
     let (result, revision) = {
       let mut contents = self.contents();
       let result = change(&mut contents);
@@ -43,113 +43,113 @@
     result
   }
 
-  /// Writes a key, as the operator and the endpoints do.
+  /// Writes a base64-encoded value without a lease, as the operator and the endpoints do.
   pub fn put(&self, key: &str, value: &[u8]) {
-    self.alter(|contents| contents.write(key, STANDARD.encode(value), 0));
+    self.update(|contents| contents.write(key, STANDARD.encode(value), 0));
   }
 
-  /// Writes a key with a value that need not be base64.
-  pub fn put_text(&self, key: &str, value: &str) {
-    self.alter(|contents| contents.write(key, value.into(), 0));
+  /// Writes a value that need not be base64.
+  pub fn put_raw(&self, key: &str, value: &str) {
+    self.update(|contents| contents.write(key, value.into(), 0));
   }
 
   /// Removes a key.
   pub fn remove(&self, key: &str) {
-    self.alter(|contents| contents.remove(key));
+    self.update(|contents| contents.remove(key));
   }
 
-  /// Forgets what has changed so far: a watch from before is told so.
-  pub fn forget_history(&self) {
-    self.alter(|contents| {
+  /// Compacts the history: a watch from an earlier revision fails as gone.
+  pub fn compact_history(&self) {
+    self.update(|contents| {
       contents.revision += 1;
-      contents.history_from = contents.revision;
+      contents.compacted_revision = contents.revision;
       contents.history.clear();
     });
   }
 
-  /// Answers every call with 503, or serves again.
+  /// Responds to every call with 503, or serves again.
   pub fn set_down(&self, is_down: bool) {
-    self.alter(|contents| contents.is_down = is_down);
+    self.update(|contents| contents.is_down = is_down);
   }
 
-  /// Carries out writes without answering them, or answers again.
-  pub fn set_loses_answers(&self, loses_answers: bool) {
-    self.alter(|contents| contents.loses_answers = loses_answers);
+  /// Applies writes without responding, or responds again.
+  pub fn set_drops_responses(&self, drops_responses: bool) {
+    self.update(|contents| contents.drops_responses = drops_responses);
   }
 
-  /// Answers so much later.
+  /// Sets the latency of every call.
   pub fn set_delay(&self, delay: Duration) {
-    self.alter(|contents| contents.delay = delay);
+    self.update(|contents| contents.delay = delay);
   }
 
-  /// Ends all leases at once, and their keys with them.
-  pub fn end_leases(&self) {
-    self.alter(|contents| {
+  /// Expires all leases and removes their keys.
+  pub fn expire_leases(&self) {
+    self.update(|contents| {
       let leases: Vec<u64> = contents.leases.keys().copied().collect();
       for lease in leases {
-        contents.end_lease(lease);
+        contents.revoke_lease(lease);
       }
     });
   }
 
   /// Withholds every page of a listing but the first.
-  pub fn set_holds_pages(&self, holds_pages: bool) {
-    self.contents().holds_pages = holds_pages;
+  pub fn set_withholds_pages(&self, withholds_pages: bool) {
+    self.contents().withholds_pages = withholds_pages;
   }
 
-  /// From now on, pages that need not be as of now show what is there at this moment.
-  pub fn lag(&self) {
+  /// Freezes the current items for reads that may be stale.
+  pub fn freeze_stale_reads(&self) {
     let mut contents = self.contents();
-    contents.old = Some(OldItems {
+    contents.stale = Some(StaleItems {
       items: contents.items.clone(),
       revision: contents.revision,
     });
   }
 
-  /// How many pages that need not be as of now were asked for.
-  pub fn old_pages(&self) -> usize {
-    self.contents().old_pages
+  /// Number of pages requested by reads that may be stale.
+  pub fn stale_pages(&self) -> usize {
+    self.contents().stale_pages
   }
 
-  /// The keys that are there.
+  /// The keys in the store.
   pub fn keys(&self) -> Vec<String> {
     self.contents().items.keys().cloned().collect()
   }
 
-  /// Refuses so many pages of listings, none of them a first one, as a store does that is asked too often.
-  pub fn refuse_pages(&self, count: usize) {
-    self.contents().pages_to_refuse = count;
+  /// Rejects the next `count` pages after the first of a listing with 429, as a rate limit would.
+  pub fn reject_pages(&self, count: usize) {
+    self.contents().pages_to_reject = count;
   }
 
-  /// Whether a page is to be refused.
-  pub(crate) fn takes_refusal(&self) -> bool {
+  /// Whether to reject a page; counts the rejection.
+  pub(crate) fn takes_rejection(&self) -> bool {
     let mut contents = self.contents();
-    let is_refused = contents.pages_to_refuse > 0;
-    contents.pages_to_refuse = contents.pages_to_refuse.saturating_sub(1);
-    is_refused
+    let is_rejected = contents.pages_to_reject > 0;
+    contents.pages_to_reject = contents.pages_to_reject.saturating_sub(1);
+    is_rejected
   }
 
-  /// How many listings began.
+  /// Number of first pages requested.
   pub fn first_pages(&self) -> usize {
     self.contents().first_pages
   }
 
-  /// How many pages were asked for.
+  /// Number of pages requested.
   pub fn listings(&self) -> usize {
     self.contents().listings
   }
 
-  /// Waits as long as a slow store does; `false` when it is down.
-  pub(crate) async fn takes_call(&self) -> bool {
+  /// Waits for the configured latency. Returns `false` when the store is down.
+  pub(crate) async fn admit_call(&self) -> bool {
     let delay = self.contents().delay;
     sleep(delay).await;
     !self.contents().is_down
   }
 
-  /// Waits for a revision after the given one, for the end of the wait, or until the store is down.
-  pub(crate) async fn wait_past(&self, after: u64, wait: Duration) {
+  /// Waits for a revision after `after`, until the timeout, or until the store is down.
+  pub(crate) async fn wait_for_revision_after(&self, after: u64, wait: Duration) {
     let mut changed = self.changed.subscribe();
-    // Without a change the answer says that there is none.
+    // After a timeout the response has no events.
     let _ = timeout(
       wait,
       changed.wait_for(|revision| *revision > after || self.contents().is_down),
@@ -157,11 +157,11 @@
     .await;
   }
 
-  /// The answer to a call that changed something, unless answers are lost.
-  pub(crate) async fn answer(&self, answer: Response) -> Response {
-    if self.contents().loses_answers {
+  /// Responds to a call that changed something, unless responses are dropped.
+  pub(crate) async fn respond(&self, response: Response) -> Response {
+    if self.contents().drops_responses {
       pending::<()>().await;
     }
-    answer
+    response
   }
 }
--- a/stand_ins/src/start_store.rs
+++ b/stand_ins/src/start_store.rs
@@ -1,4 +1,4 @@
-//! Starting the platform's store.
+//! Starting the simulated store.
 
 use {
   super::{platform_store::PlatformStore, store_calls},
@@ -14,11 +14,11 @@
   tokio::{net::TcpListener, sync::watch, time::sleep},
 };
 
-/// Pause between looks for leases that are over.
-const LEASE_LOOK: Duration = Duration::from_millis(100);
+/// Interval between checks for expired leases.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl PlatformStore {
-  /// Starts a store on a free loopback port. Fails when none can be had.
+  /// Starts a store on a free loopback port. Fails if no port can be opened.
   pub async fn start() -> io::Result<Self> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let store = Self {
@@ -30,28 +30,31 @@
       .route("/kv-range", get(store_calls::range))
       .route("/kv-key", get(store_calls::key))
       .route("/kv-watch", get(store_calls::changes))
-      .route("/kv-txn", post(store_calls::change))
+      .route("/kv-txn", post(store_calls::transact))
       .route("/kv-lease", post(store_calls::grant))
       .route("/kv-keep/{lease}", post(store_calls::renew))
-      .route("/kv-lease-end/{lease}", delete(store_calls::end_lease))
+      .route("/kv-lease-end/{lease}", delete(store_calls::revoke_lease))
       .with_state(store.clone());
     tokio::spawn(async move { axum::serve(listener, router).await });
-    tokio::spawn(end_old_leases(store.clone()));
+    tokio::spawn(run_lease_expiry(store.clone()));
     Ok(store)
   }
 }
 
-async fn end_old_leases(store: PlatformStore) {
+async fn run_lease_expiry(store: PlatformStore) {
   loop {
-    sleep(LEASE_LOOK).await;
+    sleep(LEASE_CHECK_INTERVAL).await;
     let now = Instant::now();
-    let over: Vec<u64> = {
+    let expired: Vec<u64> = {
       let contents = store.contents();
-      let old = contents.leases.iter().filter(|(_, lease)| lease.ends < now);
+      let old = contents
+        .leases
+        .iter()
+        .filter(|(_, lease)| lease.expires < now);
       old.map(|(id, _)| *id).collect()
     };
-    for lease in over {
-      store.alter(|contents| contents.end_lease(lease));
+    for lease in expired {
+      store.update(|contents| contents.revoke_lease(lease));
     }
   }
 }
--- a/stand_ins/src/store_contents.rs
+++ b/stand_ins/src/store_contents.rs
@@ -1,4 +1,4 @@
-//! What the platform's store knows.
+//! The contents of the simulated store.
 
 use {
   serde_json::{Value, json},
@@ -8,55 +8,55 @@
   },
 };
 
-/// What a key holds.
+/// The value of a key.
 #[derive(Clone)]
 pub(crate) struct Item {
   pub(crate) value: String,
   pub(crate) revision: u64,
-  /// 0: none.
+  /// Lease id; 0 without a lease.
   pub(crate) lease: u64,
 }
 
-/// How long the keys of a box stand.
+/// A lease, with which its keys expire.
 pub(crate) struct Lease {
   pub(crate) ttl: Duration,
-  pub(crate) ends: Instant,
+  pub(crate) expires: Instant,
 }
 
-/// The items as they were at a revision.
+/// The items at an earlier revision.
 #[derive(Clone)]
-pub(crate) struct OldItems {
+pub(crate) struct StaleItems {
   pub(crate) items: BTreeMap<String, Item>,
   pub(crate) revision: u64,
 }
 
-/// All that the store knows, and how it misbehaves.
+/// The items, leases and history, and the faults in effect.
 #[derive(Default)]
 pub(crate) struct Contents {
   pub(crate) items: BTreeMap<String, Item>,
   pub(crate) leases: HashMap<u64, Lease>,
   pub(crate) last_lease: u64,
-  /// Changes as a watch tells them.
+  /// Watch events by revision.
   pub(crate) history: Vec<(u64, Value)>,
-  pub(crate) history_from: u64,
+  pub(crate) compacted_revision: u64,
   pub(crate) revision: u64,
-  /// What pages show that need not be as of now.
-  pub(crate) old: Option<OldItems>,
+  /// Items returned by reads that may be stale.
+  pub(crate) stale: Option<StaleItems>,
   pub(crate) is_down: bool,
-  pub(crate) loses_answers: bool,
+  pub(crate) drops_responses: bool,
   pub(crate) delay: Duration,
-  pub(crate) holds_pages: bool,
+  pub(crate) withholds_pages: bool,
   pub(crate) listings: usize,
-  /// Pages that need not be as of now.
-  pub(crate) old_pages: usize,
-  /// Listings that began with the first page.
+  /// Number of pages requested by reads that may be stale.
+  pub(crate) stale_pages: usize,
+  /// Number of first pages requested.
   pub(crate) first_pages: usize,
-  /// Pages after the first that are still to be refused.
-  pub(crate) pages_to_refuse: usize,
+  /// Number of pages after a first one that are still to be rejected.
+  pub(crate) pages_to_reject: usize,
 }
 
 impl Contents {
-  /// Writes a key; the new revision.
+  /// Writes a key and returns the new revision.
   pub(crate) fn write(&mut self, key: &str, value: String, lease: u64) -> u64 {
     self.revision += 1;
     let revision = self.revision;
@@ -65,12 +65,12 @@
       revision,
       value,
     };
-    self.history.push((revision, shown(key, &item)));
+    self.history.push((revision, item_json(key, &item)));
     self.items.insert(key.into(), item);
     revision
   }
 
-  /// Removes a key; the revision after that.
+  /// Removes a key and returns the revision afterwards.
   pub(crate) fn remove(&mut self, key: &str) -> u64 {
     if self.items.remove(key).is_none() {
       return self.revision;
@@ -82,24 +82,24 @@
     revision
   }
 
-  /// Ends a lease, and its keys with it; the revision after that.
-  pub(crate) fn end_lease(&mut self, lease: u64) -> u64 {
+  /// Removes a lease with its keys and returns the revision afterwards.
+  pub(crate) fn revoke_lease(&mut self, lease: u64) -> u64 {
     self.leases.remove(&lease);
-    let held: Vec<String> = self
+    let attached: Vec<String> = self
       .items
       .iter()
       .filter(|(_, item)| item.lease == lease)
       .map(|(key, _)| key.clone())
       .collect();
-    for key in held {
+    for key in attached {
       self.remove(&key);
     }
     self.revision
   }
 }
 
-/// An item as the store's answers show it.
-pub(crate) fn shown(key: &str, item: &Item) -> Value {
+/// An item in the format of the store's responses.
+pub(crate) fn item_json(key: &str, item: &Item) -> Value {
   json!({
     "key": key, "value": item.value, "revision": item.revision, "created": item.revision,
     "lease": item.lease,
--- a/tests/gateway/configuration.rs
+++ b/tests/gateway/configuration.rs
@@ -50,7 +50,7 @@
   assert!(eventually(PATIENCE, seen_by_other).await);
   assert!(is_found(&gateway, "/newest/a").await);
   gateway.test.store.put("op/config", b"{not a configuration");
-  gateway.test.store.forget_history();
+  gateway.test.store.compact_history();
   let listings = gateway.test.store.listings();
   assert!(eventually(PATIENCE, async || gateway.test.store.listings() > listings).await);
   assert!(is_found(&gateway, "/newest/a").await);
@@ -85,7 +85,7 @@
   let other = EndpointStandIn::start(|seen| Reply::ok(seen, "other")).await;
   gateway.test.store.remove("servers/p-1");
   gateway.test.enter("p-2", "portal", None, &other);
-  gateway.test.store.forget_history();
+  gateway.test.store.compact_history();
   let comes_from_other =
     async || gateway.ask("/unsafe/a", "r").await.body.as_deref() == Ok("other");
   assert!(eventually(PATIENCE, comes_from_other).await);
@@ -111,7 +111,7 @@
   // Longer than the pause after a failed call, so that the box has noticed.
   sleep(Duration::from_millis(800)).await;
   gateway.test.store.remove("servers/p-1");
-  gateway.test.store.forget_history();
+  gateway.test.store.compact_history();
   let listings = gateway.test.store.listings();
   gateway.test.store.set_down(false);
   assert!(eventually(PATIENCE, async || gateway.test.store.listings() > listings).await);
@@ -181,12 +181,12 @@
   for id in ["p-1", "p-2", "p-3"] {
     test.enter(id, "portal", None, &one);
   }
-  test.store.set_holds_pages(true);
+  test.store.set_withholds_pages(true);
   let gateway = test.start_unready();
   let asked_for_more = async || gateway.test.store.listings() >= 2;
   assert!(eventually(PATIENCE, asked_for_more).await);
   assert!(!gateway.is_ready().await);
-  gateway.test.store.set_holds_pages(false);
+  gateway.test.store.set_withholds_pages(false);
   assert!(gateway.is_ready_soon().await);
 }
 
@@ -194,7 +194,7 @@
 async fn listing_goes_on_after_a_page_that_was_refused() {
   let endpoint = EndpointStandIn::start(|seen| Reply::ok(seen, "fine")).await;
   let test = GatewayTest::new().await;
-  test.store.refuse_pages(3);
+  test.store.reject_pages(3);
   for number in 1..6 {
     test.enter(&format!("p-{number}"), "portal", None, &endpoint);
   }
@@ -212,7 +212,7 @@
   test.put_configuration();
   test.enter("p-1", "portal", None, first);
   test.enter("p-2", "portal", None, left);
-  test.store.lag();
+  test.store.freeze_stale_reads();
   test.store.remove("servers/p-2");
   test.enter("p-3", "portal", None, came);
   test
@@ -237,10 +237,10 @@
   let came = EndpointStandIn::start(|seen| Reply::ok(seen, "came")).await;
   let test = store_that_lags(&first, &left, &came).await;
   if history_is_lost {
-    test.store.forget_history();
+    test.store.compact_history();
   }
   let gateway = test.start().await;
-  assert!(gateway.test.store.old_pages() > 0);
+  assert!(gateway.test.store.stale_pages() > 0);
   assert!(is_reached(&gateway, &came).await);
   let before = left.requests().len();
   for _ in 0..10 {
@@ -256,19 +256,19 @@
   let test = GatewayTest::new().await;
   test.enter("p-1", "portal", None, &first);
   let gateway = test.start().await;
-  gateway.test.store.lag();
+  gateway.test.store.freeze_stale_reads();
   gateway.test.store.remove("servers/p-1");
   gateway.test.enter("p-2", "portal", None, &came);
   assert!(is_reached(&gateway, &came).await);
-  let (listings, old_pages) = (
+  let (listings, stale_pages) = (
     gateway.test.store.listings(),
-    gateway.test.store.old_pages(),
+    gateway.test.store.stale_pages(),
   );
-  gateway.test.store.forget_history();
+  gateway.test.store.compact_history();
   assert!(eventually(PATIENCE, async || gateway.test.store.listings() > listings).await);
   assert_eq!(
     gateway.ask("/safe/a", "r").await.body.as_deref(),
     Ok("came")
   );
-  assert_eq!(gateway.test.store.old_pages(), old_pages);
+  assert_eq!(gateway.test.store.stale_pages(), stale_pages);
 }
--- a/tests/gateway/hall_drain.rs
+++ b/tests/gateway/hall_drain.rs
@@ -118,7 +118,7 @@
 async fn drain_whose_value_cannot_be_read_holds(#[case] value: &str) {
   let test = GatewayTest::new().await;
   let _endpoints = two_halls(&test).await;
-  test.store.put_text(&drain_key(OWN_HALL), value);
+  test.store.put_raw(&drain_key(OWN_HALL), value);
   let gateway = test.start().await;
   assert!(leaves_alone(&gateway, OWN_HALL).await);
 }
@@ -166,7 +166,7 @@
     assert!(is_answered_by(&gateway, OTHER_HALL).await);
   }
   assert!(drained.requests().is_empty());
-  gateway.test.store.forget_history();
+  gateway.test.store.compact_history();
   assert!(is_used_again(&gateway, &gateway.test).await);
 }
 
--- a/tests/gateway/relay.rs
+++ b/tests/gateway/relay.rs
@@ -211,7 +211,7 @@
   gateway.test.store.set_down(true);
   gateway.test.store.remove("servers/p-1");
   gateway.test.enter("p-3", "portal", None, &one);
-  gateway.test.store.forget_history();
+  gateway.test.store.compact_history();
   gateway.test.store.set_down(false);
   assert!(eventually(PATIENCE, async || gateway.test.store.listings() > listings).await);
   let heard_all = async || match changes_after(&gateway, before).await {
