--- a/tests/soak_play.rs
+++ b/tests/soak_play.rs
@@ -5,10 +5,9 @@
   std::path::Path,
 };
 
-/// Faults come for so long.
 const FAULTS_MS: u64 = 6_000;
-/// The machine of a test may be busy: bounds on time are stretched by this much. Promises without a bound on time
-/// are checked as they are.
+/// Additional time in the promises' time bounds, for a loaded test machine. Promises without a time bound are checked as
+/// they are.
 const SLACK_MS: u64 = 20_000;
 
 #[tokio::test(flavor = "multi_thread")]
--- a/tests/soak_promises.rs
+++ b/tests/soak_promises.rs
@@ -1,4 +1,4 @@
-//! The soak's checks: each finds its promise broken in planted records, and nothing in sound ones.
+//! The soak's checks: each finds the breach in prepared records, and none in records without one.
 
 use {
   rstest::rstest,
@@ -21,7 +21,7 @@
   }
 }
 
-fn whole(status: u16, receipt: Option<&str>, body: &str) -> Outcome {
+fn complete(status: u16, receipt: Option<&str>, body: &str) -> Outcome {
   Outcome::Complete {
     body: body.into(),
     receipt: receipt.map(String::from),
@@ -30,7 +30,7 @@
 }
 
 fn served(body: &str) -> Outcome {
-  whole(200, Some("i-0"), body)
+  complete(200, Some("i-0"), body)
 }
 
 fn request(kind: RequestKind, outcome: Outcome, runs: Vec<Run>) -> RequestRecord {
@@ -46,7 +46,7 @@
 }
 
 /// Records of one request with the id "a".
-fn one(kind: RequestKind, outcome: Outcome, runs: Vec<Run>) -> Records {
+fn single_request(kind: RequestKind, outcome: Outcome, runs: Vec<Run>) -> Records {
   let mut records = Records::default();
   records.versions.insert(1, 0);
   records
@@ -55,19 +55,19 @@
   records
 }
 
-/// The whole answer to the request "a".
+/// The complete response to the request "a".
 fn plain_body() -> String {
   "answer to a\n".repeat(8)
 }
 
-/// The events of the stream "a" from one to another.
+/// The events `first` to `last` of the stream "a".
 fn events(first: u64, last: u64) -> String {
   (first..=last)
     .map(|number| format!("id: {number}\ndata: a part {number}\n\n"))
     .collect()
 }
 
-/// The stream "a" has so many events: 4, and its letter's code modulo 24.
+/// Number of events of the stream "a": 4 plus the code of its letter modulo 24.
 const EVENTS: u64 = 4 + 97 % 24;
 
 fn found(records: &Records) -> Vec<Promise> {
@@ -82,25 +82,25 @@
 #[rstest]
 #[case::plain(RequestKind::NonRetryable, served(&plain_body()), vec![run(0, 10_010, Some(10_020))])]
 #[case::stream(RequestKind::Stream, served(&events(1, EVENTS)), vec![run(0, 10_010, Some(10_900))])]
-#[case::repeated(
+#[case::retried(
   RequestKind::ResumableStream,
   served(&events(1, EVENTS)),
   vec![run(0, 10_010, Some(10_100)), run(1, 10_200, Some(10_900))]
 )]
-#[case::not_run(RequestKind::NonRetryable, whole(503, None, ""), vec![])]
-#[case::lost(RequestKind::NonRetryable, whole(502, None, ""), vec![run(0, 10_010, Some(10_020))])]
-#[case::cut_stream_that_shows(
+#[case::not_run(RequestKind::NonRetryable, complete(503, None, ""), vec![])]
+#[case::lost(RequestKind::NonRetryable, complete(502, None, ""), vec![run(0, 10_010, Some(10_020))])]
+#[case::detectable_cut(
   RequestKind::Stream,
   Outcome::ConnectionLost { body: events(1, 3), status: Some(200) },
   vec![run(0, 10_010, Some(10_100))]
 )]
-#[case::caller_who_left(RequestKind::Stream, Outcome::Disconnected, vec![run(0, 10_010, Some(20_900))])]
-fn sound_requests_break_nothing(
+#[case::caller_disconnected(RequestKind::Stream, Outcome::Disconnected, vec![run(0, 10_010, Some(20_900))])]
+fn valid_requests_have_no_breach(
   #[case] kind: RequestKind,
   #[case] outcome: Outcome,
   #[case] runs: Vec<Run>,
 ) {
-  assert_eq!(found(&one(kind, outcome, runs)), []);
+  assert_eq!(found(&single_request(kind, outcome, runs)), []);
 }
 
 #[rstest]
@@ -110,16 +110,16 @@
   vec![run(0, 10_010, Some(10_020)), run(1, 10_030, Some(10_040))],
   Promise::RunsOnce
 )]
-#[case::told_not_run(RequestKind::Stream, whole(503, None, ""), vec![run(0, 10_010, None)], Promise::NotRunIsTrue)]
+#[case::ran_despite_not_run(RequestKind::Stream, complete(503, None, ""), vec![run(0, 10_010, None)], Promise::NotRunIsTrue)]
 #[case::foreign_receipt(
   RequestKind::Retryable,
-  whole(200, Some("i-9"), &plain_body()),
+  complete(200, Some("i-9"), &plain_body()),
   vec![run(0, 10_010, Some(10_020))],
   Promise::OwnCompleteResponse
 )]
 #[case::no_receipt(
   RequestKind::Retryable,
-  whole(200, None, &plain_body()),
+  complete(200, None, &plain_body()),
   vec![run(0, 10_010, Some(10_020))],
   Promise::OwnCompleteResponse
 )]
@@ -135,7 +135,7 @@
   vec![run(0, 10_010, Some(10_900))],
   Promise::OwnCompleteResponse
 )]
-#[case::cut_that_looks_whole(
+#[case::undetectable_cut(
   RequestKind::Stream,
   served(&events(1, 3)),
   vec![run(0, 10_010, Some(10_100))],
@@ -153,20 +153,20 @@
   (0..3).map(|place| run(place, 10_010, Some(10_020))).collect(),
   Promise::AttemptLimit
 )]
-#[case::never_ended(RequestKind::Retryable, Outcome::Unanswered, vec![], Promise::DeadlineKept)]
-#[case::at_work_for_nobody(
+#[case::missed_deadline(RequestKind::Retryable, Outcome::Unanswered, vec![], Promise::DeadlineKept)]
+#[case::running_after_disconnect(
   RequestKind::Stream,
   Outcome::Disconnected,
   vec![run(0, 10_010, Some(21_100))],
   Promise::StopsAfterDisconnect
 )]
-fn broken_requests_are_found(
+fn request_breaches_are_found(
   #[case] kind: RequestKind,
   #[case] outcome: Outcome,
   #[case] runs: Vec<Run>,
   #[case] promise: Promise,
 ) {
-  assert_eq!(found(&one(kind, outcome, runs)), [promise]);
+  assert_eq!(found(&single_request(kind, outcome, runs)), [promise]);
 }
 
 #[rstest]
@@ -174,8 +174,8 @@
 #[case::another_box(Target::Box(1), false)]
 #[case::its_endpoint(Target::Endpoint(0), true)]
 #[case::another_endpoint(Target::Endpoint(1), false)]
-fn bounds_on_time_hold_for_the_undisturbed(#[case] target: Target, #[case] excused: bool) {
-  let mut records = one(
+fn time_bounds_exclude_disturbed_requests(#[case] target: Target, #[case] excused: bool) {
+  let mut records = single_request(
     RequestKind::Stream,
     Outcome::Disconnected,
     vec![run(0, 10_010, Some(22_000))],
@@ -191,8 +191,8 @@
 #[rstest]
 #[case::in_time(12_400, vec![])]
 #[case::late(12_600, vec![Promise::Drained])]
-fn leaving_endpoints_get_nothing_new(#[case] began_ms: u64, #[case] promises: Vec<Promise>) {
-  let mut records = one(
+fn request_to_draining_endpoint_is_found(#[case] began_ms: u64, #[case] promises: Vec<Promise>) {
+  let mut records = single_request(
     RequestKind::Stream,
     served(&events(1, EVENTS)),
     vec![run(0, began_ms, Some(13_000))],
@@ -215,12 +215,12 @@
 #[case::in_force(vec![probe(5, 11_000, Some(true))], vec![])]
 #[case::not_yet(vec![probe(5, 12_400, Some(false))], vec![])]
 #[case::too_late(vec![probe(5, 12_600, Some(false))], vec![Promise::ConfigurationInTime])]
-#[case::no_answer(vec![probe(5, 12_600, None)], vec![])]
-#[case::gone_back(
+#[case::no_response(vec![probe(5, 12_600, None)], vec![])]
+#[case::reverted(
   vec![probe(5, 11_000, Some(true)), probe(5, 11_500, Some(false))],
   vec![Promise::ConfigurationMonotonic]
 )]
-fn configurations_come_in_time_and_stay(
+fn late_or_reverted_configuration_is_found(
   #[case] probes: Vec<Probe>,
   #[case] promises: Vec<Promise>,
 ) {
@@ -231,19 +231,19 @@
 }
 
 #[rstest]
-#[case::read_and_cut(vec![run(0, 10_010, Some(20_000))], None, vec![Promise::GracefulStop])]
+#[case::received_and_cut(vec![run(0, 10_010, Some(20_000))], None, vec![Promise::GracefulStop])]
 #[case::its_endpoint_crashed(vec![run(0, 10_010, Some(20_000))], Some(Target::Endpoint(0)), vec![])]
 #[case::another_endpoint_crashed(
   vec![run(0, 10_010, Some(20_000))],
   Some(Target::Endpoint(1)),
   vec![Promise::GracefulStop]
 )]
-#[case::told_to_stop_again(
+#[case::second_stop_signal(
   vec![run(0, 10_010, Some(20_000))],
   Some(Target::Leaving(0)),
   vec![Promise::GracefulStop]
 )]
-fn planned_stops_cut_nothing(
+fn request_cut_by_planned_stop_is_found(
   #[case] runs: Vec<Run>,
   #[case] disturbed: Option<Target>,
   #[case] promises: Vec<Promise>,
@@ -252,7 +252,7 @@
     body: String::new(),
     status: None,
   };
-  let mut records = one(RequestKind::Stream, cut, runs);
+  let mut records = single_request(RequestKind::Stream, cut, runs);
   records.stops.push(PlannedStop {
     box_index: 0,
     gone_ms: 20_000,
@@ -270,10 +270,10 @@
 }
 
 #[rstest]
-#[case::one_after_the_other(&[("north", 3), ("south", 5)], vec![])]
-#[case::passed(&[("south", 5), ("north", 3)], vec![Promise::SingleRoleLeader])]
+#[case::in_order(&[("north", 3), ("south", 5)], vec![])]
+#[case::out_of_order(&[("south", 5), ("north", 3)], vec![Promise::SingleRoleLeader])]
 #[case::shared_fence(&[("north", 3), ("south", 3)], vec![Promise::SingleRoleLeader])]
-fn orders_of_two_boxes_never_pass(
+fn stale_role_command_is_found(
   #[case] role_commands: &[(&str, u64)],
   #[case] promises: Vec<Promise>,
 ) {
@@ -290,13 +290,13 @@
   assert_eq!(found(&records), promises);
 }
 
-/// The third engine ended at 10 s; contact and slack make 13.5 s.
+/// The third crash is at 10 s; the bound on contact and the slack end at 13.5 s.
 #[rstest]
 #[case::three_more(&[9_000, 14_000, 15_000, 16_000], None, vec![])]
 #[case::four_more(&[14_000, 15_000, 16_000, 17_000], None, vec![Promise::QuarantineHonoured])]
-#[case::four_while_the_store_was_away(&[14_000, 15_000, 16_000, 17_000], Some(Target::Store), vec![])]
+#[case::four_while_the_store_was_down(&[14_000, 15_000, 16_000, 17_000], Some(Target::Store), vec![])]
 #[case::four_right_after_the_third(&[10_100, 11_000, 12_000, 13_000], None, vec![])]
-fn crashing_request_that_is_sent_on_is_found(
+fn crashing_request_sent_after_quarantine_is_found(
   #[case] began_ms: &[u64],
   #[case] disturbed: Option<Target>,
   #[case] promises: Vec<Promise>,
@@ -324,8 +324,8 @@
 }
 
 #[test]
-fn what_is_held_and_what_is_not_served_at_the_end_is_found() {
-  let mut records = one(RequestKind::Retryable, whole(503, None, ""), vec![]);
+fn held_resources_and_missing_recovery_are_found() {
+  let mut records = single_request(RequestKind::Retryable, complete(503, None, ""), vec![]);
   records.faults_ended_ms = Some(1_000);
   records.held_at_end.push("slot h1 at i-0".into());
   assert_eq!(
@@ -337,12 +337,9 @@
 }
 
 #[rstest]
-#[case::left_alone(None, vec![Promise::GracefulStop])]
+#[case::undisturbed(None, vec![Promise::GracefulStop])]
 #[case::killed_meanwhile(Some(Target::Box(0)), vec![])]
-fn box_that_does_not_stop_by_itself_is_found(
-  #[case] disturbed: Option<Target>,
-  #[case] promises: Vec<Promise>,
-) {
+fn unclean_exit_is_found(#[case] disturbed: Option<Target>, #[case] promises: Vec<Promise>) {
   let mut records = Records::default();
   records.stops.push(PlannedStop {
     box_index: 0,
@@ -361,8 +358,8 @@
 }
 
 #[test]
-fn request_that_is_still_open_at_the_end_is_found() {
-  let mut records = one(RequestKind::Retryable, Outcome::Unanswered, vec![]);
+fn request_without_outcome_is_found() {
+  let mut records = single_request(RequestKind::Retryable, Outcome::Unanswered, vec![]);
   let request = records.requests.get_mut("a").unwrap();
   request.ended_ms = None;
   request.outcome = None;
@@ -370,7 +367,7 @@
 }
 
 #[test]
-fn calm_without_a_request_shows_nothing() {
+fn recovery_needs_a_served_request() {
   let records = Records {
     faults_ended_ms: Some(1_000),
     ..Records::default()
@@ -378,13 +375,13 @@
   assert_eq!(found(&records), [Promise::Recovered]);
 }
 
-/// A request with a key that ran once, in the name of an organisation.
-fn keyed(key: CallerKey, organisation: &str, sent_ms: u64) -> Records {
+/// A request with a key that ran once, with an organisation's name.
+fn records_with_key(key: CallerKey, organisation: &str, sent_ms: u64) -> Records {
   let runs = vec![Run {
     organisation: organisation.into(),
     ..run(0, sent_ms + 10, Some(sent_ms + 20))
   }];
-  let mut records = one(RequestKind::NonRetryable, served(&plain_body()), runs);
+  let mut records = single_request(RequestKind::NonRetryable, served(&plain_body()), runs);
   if let Some(request) = records.requests.get_mut("a") {
     request.key = key;
     request.sent_ms = sent_ms;
@@ -394,35 +391,38 @@
 }
 
 #[rstest]
-#[case::lasting(CallerKey::Lectures, "lectures", 10_000)]
-#[case::passed_before(CallerKey::Transferred, "captions", 10_000)]
-#[case::passed_after(CallerKey::Transferred, "lectures", 10_000)]
-#[case::taken_just_now(CallerKey::ForVersion(1), "captions", 8_100)]
-fn sound_keys_break_nothing(
+#[case::permanent(CallerKey::Lectures, "lectures", 10_000)]
+#[case::transferred_before(CallerKey::Transferred, "captions", 10_000)]
+#[case::transferred_after(CallerKey::Transferred, "lectures", 10_000)]
+#[case::revoked_recently(CallerKey::ForVersion(1), "captions", 8_100)]
+fn valid_keys_have_no_breach(
   #[case] key: CallerKey,
   #[case] organisation: &str,
   #[case] sent_ms: u64,
 ) {
-  assert_eq!(found(&keyed(key, organisation, sent_ms)), []);
+  assert_eq!(found(&records_with_key(key, organisation, sent_ms)), []);
 }
 
 #[rstest]
 #[case::other_holder(CallerKey::Lectures, "captions", 10_000, Promise::OrganisationNamed)]
 #[case::claimed(CallerKey::Lectures, "claimed", 10_000, Promise::OrganisationNamed)]
 #[case::nobody(CallerKey::Captions, "", 10_000, Promise::OrganisationNamed)]
-#[case::taken_long_ago(CallerKey::ForVersion(1), "captions", 11_000, Promise::KeysHonoured)]
-fn wrong_holder_or_lost_key_is_found(
+#[case::revoked_before(CallerKey::ForVersion(1), "captions", 11_000, Promise::KeysHonoured)]
+fn wrong_organisation_or_revoked_key_is_found(
   #[case] key: CallerKey,
   #[case] organisation: &str,
   #[case] sent_ms: u64,
   #[case] promise: Promise,
 ) {
-  assert_eq!(found(&keyed(key, organisation, sent_ms)), [promise]);
+  assert_eq!(
+    found(&records_with_key(key, organisation, sent_ms)),
+    [promise]
+  );
 }
 
 #[test]
-fn taken_key_is_no_breach_at_a_box_that_was_cut_off() {
-  let mut records = keyed(CallerKey::ForVersion(1), "captions", 11_000);
+fn revoked_key_is_excused_at_a_disconnected_box() {
+  let mut records = records_with_key(CallerKey::ForVersion(1), "captions", 11_000);
   records.disturbances.push(Disturbance {
     from_ms: 7_000,
     target: Target::StoreLink(0),
@@ -432,22 +432,22 @@
 }
 
 #[test]
-fn held_key_that_is_refused_is_found() {
-  let records = one(RequestKind::NonRetryable, whole(401, None, ""), vec![]);
+fn rejected_valid_key_is_found() {
+  let records = single_request(RequestKind::NonRetryable, complete(401, None, ""), vec![]);
   assert_eq!(found(&records), [Promise::KeysHonoured]);
-  let mut lost = records;
-  lost.requests.get_mut("a").unwrap().key = CallerKey::ForVersion(1);
-  assert_eq!(found(&lost), []);
+  let mut revoked = records;
+  revoked.requests.get_mut("a").unwrap().key = CallerKey::ForVersion(1);
+  assert_eq!(found(&revoked), []);
 }
 
 #[test]
-fn key_that_an_endpoint_saw_is_found() {
+fn leaked_key_is_found() {
   let mut records = Records::default();
   records.leaked_keys.push("a at i-0".into());
   assert_eq!(found(&records), [Promise::KeysHonoured]);
 }
 
-/// So many requests of the hot organisation, all run within 8 s.
+/// `count` requests of the hot organisation that all run within 8 s.
 fn hot_requests(count: u64) -> Records {
   let mut records = Records::default();
   records.versions.insert(2, 0);
@@ -465,17 +465,17 @@
 }
 
 #[test]
-fn use_beyond_the_limit_is_found() {
+fn usage_over_the_limit_is_found() {
   assert_eq!(found(&hot_requests(150)), []);
   assert_eq!(found(&hot_requests(170)), [Promise::QuotaLimitHonoured]);
 }
 
-/// A request that was sent at 10 s and ran at an endpoint which had told its box at a time that it leaves.
-fn sent_after_word(told_ms: u64) -> Records {
+/// A request sent at 10 s that ran at an endpoint whose leaving signal its box had received at `received_ms`.
+fn sent_after_leaving_signal(received_ms: u64) -> Records {
   let run = run(0, 10_050, Some(10_100));
-  let mut records = one(RequestKind::NonRetryable, served(&plain_body()), vec![run]);
+  let mut records = single_request(RequestKind::NonRetryable, served(&plain_body()), vec![run]);
   records.leaving_received.push(LeavingReceived {
-    at_ms: told_ms,
+    at_ms: received_ms,
     box_index: 0,
     incarnation: "i-0".into(),
   });
@@ -483,35 +483,35 @@
 }
 
 #[test]
-fn request_to_an_endpoint_that_had_told_its_box_that_it_leaves_is_found() {
-  assert_eq!(found(&sent_after_word(8_000)), []);
-  let late = sent_after_word(7_000);
+fn request_after_leaving_signal_is_found() {
+  assert_eq!(found(&sent_after_leaving_signal(8_000)), []);
+  let late = sent_after_leaving_signal(7_000);
   assert_eq!(found(&late), [Promise::LeavingSignalHonoured]);
-  let mut of_another_box = late.clone();
-  of_another_box.leaving_received[0].box_index = 1;
-  assert_eq!(found(&of_another_box), []);
+  let mut by_another_box = late.clone();
+  by_another_box.leaving_received[0].box_index = 1;
+  assert_eq!(found(&by_another_box), []);
   let mut started_again = late.clone();
   started_again.starts.push(Start {
     at_ms: 9_000,
     incarnation: "i-0".into(),
   });
   assert_eq!(found(&started_again), []);
-  let mut stood_still = late;
-  stood_still.disturbances.push(Disturbance {
+  let mut box_paused = late;
+  box_paused.disturbances.push(Disturbance {
     from_ms: 8_000,
     target: Target::Box(0),
     until_ms: Some(9_000),
   });
-  assert_eq!(found(&stood_still), []);
+  assert_eq!(found(&box_paused), []);
 }
 
-/// So many requests that an endpoint turned away, one each 100 ms from 10 s on, the first of them with a pause of 3 s.
+/// `count` requests that an endpoint rejected, one every 100 ms from 10 s on; the first with a retry-after delay of 3 s.
 fn rejections(count: u64) -> Records {
   let mut records = Records::default();
   records.versions.insert(1, 0);
   for number in 0..count {
     let id = format!("t{number}");
-    let sent = request(RequestKind::NonRetryable, whole(503, None, ""), vec![]);
+    let sent = request(RequestKind::NonRetryable, complete(503, None, ""), vec![]);
     records.requests.insert(id.clone(), sent);
     records.rejections.push(Rejection {
       at_ms: 10_000 + number * 100,
@@ -524,14 +524,14 @@
 }
 
 #[test]
-fn requests_in_a_pause_are_found() {
-  // Those within a second are on their way, with the slack of these checks.
+fn requests_during_backoff_are_found() {
+  // Requests within the first second are not counted, because of the bound and the slack.
   assert_eq!(found(&rejections(12)), []);
   let three = rejections(13);
   assert_eq!(found(&three), [Promise::BackoffHonoured]);
-  let mut of_another_box = three.clone();
-  of_another_box.requests.get_mut("t12").unwrap().box_index = 1;
-  assert_eq!(found(&of_another_box), []);
+  let mut by_another_box = three.clone();
+  by_another_box.requests.get_mut("t12").unwrap().box_index = 1;
+  assert_eq!(found(&by_another_box), []);
   let mut with_run = rejections(12);
   let run = run(0, 11_500, Some(11_550));
   let served = request(RequestKind::NonRetryable, Outcome::Disconnected, vec![run]);
@@ -539,8 +539,8 @@
   assert_eq!(found(&with_run), [Promise::BackoffHonoured]);
 }
 
-/// An endpoint that named a limit of 2 a second at 10 s, and got a request each `pause_ms` from then on, by two boxes in turn.
-fn requests_at_limited(pause_ms: u64) -> Records {
+/// Requests every `interval_ms`, from two boxes in turn, to an endpoint that advertises 2 per second from 10 s on.
+fn requests_at_limited_endpoint(interval_ms: u64) -> Records {
   let mut records = Records::default();
   records.versions.insert(1, 0);
   records.advertised_limits.push(AdvertisedLimit {
@@ -556,8 +556,8 @@
       incarnation: "i-0".into(),
     });
   }
-  for number in 0..15_000 / pause_ms {
-    let began_ms = 10_000 + number * pause_ms;
+  for number in 0..15_000 / interval_ms {
+    let began_ms = 10_000 + number * interval_ms;
     let run = run(0, began_ms, Some(began_ms + 5));
     let mut sent = request(RequestKind::NonRetryable, Outcome::Disconnected, vec![run]);
     sent.box_index = usize::from(number.is_multiple_of(2));
@@ -569,29 +569,29 @@
 }
 
 #[test]
-fn sum_over_boxes_beyond_an_endpoints_limit_is_found() {
-  assert_eq!(found(&requests_at_limited(240)), []);
-  let beyond = requests_at_limited(220);
-  assert_eq!(found(&beyond), [Promise::EndpointLimitHonoured]);
-  let mut one_was_not_told = beyond.clone();
-  one_was_not_told.limits_received.pop();
-  assert_eq!(found(&one_was_not_told), []);
-  let mut one_stood_still = beyond.clone();
-  one_stood_still.disturbances.push(Disturbance {
+fn total_over_an_endpoint_limit_is_found() {
+  assert_eq!(found(&requests_at_limited_endpoint(240)), []);
+  let over_limit = requests_at_limited_endpoint(220);
+  assert_eq!(found(&over_limit), [Promise::EndpointLimitHonoured]);
+  let mut one_box_unaware = over_limit.clone();
+  one_box_unaware.limits_received.pop();
+  assert_eq!(found(&one_box_unaware), []);
+  let mut one_box_paused = over_limit.clone();
+  one_box_paused.disturbances.push(Disturbance {
     from_ms: 12_000,
     target: Target::Box(0),
     until_ms: Some(12_500),
   });
-  assert_eq!(found(&one_stood_still), []);
-  let mut ended = beyond;
+  assert_eq!(found(&one_box_paused), []);
+  let mut ended = over_limit;
   ended.advertised_limits[0].until_ms = Some(15_000);
   assert_eq!(found(&ended), []);
 }
 
-/// A request that began at a place at a time, while the hall of the even places was drained from 1,000 ms on.
-fn run_while_drained(place: usize, began_ms: u64) -> Records {
+/// A request that started at `place` at `began_ms`, with the hall of the even places drained from 1 s on.
+fn run_during_hall_drain(place: usize, began_ms: u64) -> Records {
   let run = run(place, began_ms, Some(began_ms + 5));
-  let mut records = one(RequestKind::NonRetryable, Outcome::Disconnected, vec![run]);
+  let mut records = single_request(RequestKind::NonRetryable, Outcome::Disconnected, vec![run]);
   records.hall_drains.push(HallDrain {
     from_ms: 1_000,
     hall: Hall::North,
@@ -604,31 +604,31 @@
 }
 
 #[test]
-fn run_in_a_hall_that_was_drained_long_before_is_found() {
-  let late = run_while_drained(0, 7_000);
+fn late_run_in_a_drained_hall_is_found() {
+  let late = run_during_hall_drain(0, 7_000);
   assert_eq!(found(&late), [Promise::HallDrained]);
-  assert_eq!(found(&run_while_drained(1, 7_000)), []);
-  assert_eq!(found(&run_while_drained(0, 5_500)), []);
-  assert_eq!(found(&run_while_drained(0, 18_500)), []);
-  let mut out_of_reach = late;
-  out_of_reach.disturbances.push(Disturbance {
+  assert_eq!(found(&run_during_hall_drain(1, 7_000)), []);
+  assert_eq!(found(&run_during_hall_drain(0, 5_500)), []);
+  assert_eq!(found(&run_during_hall_drain(0, 18_500)), []);
+  let mut disconnected = late;
+  disconnected.disturbances.push(Disturbance {
     from_ms: 2_000,
     target: Target::StoreLink(0),
     until_ms: Some(2_500),
   });
-  assert_eq!(found(&out_of_reach), []);
+  assert_eq!(found(&disconnected), []);
 }
 
-/// Requests that began one after the other, with pauses, at an endpoint that started at 1,000 ms.
-fn requests_after_start(pause_ms: u64) -> Records {
+/// Requests every `interval_ms` to an endpoint that started at 1 s.
+fn requests_after_start(interval_ms: u64) -> Records {
   let mut records = Records::default();
   records.versions.insert(1, 0);
   records.starts.push(Start {
     at_ms: 1_000,
     incarnation: "i-0".into(),
   });
-  for number in 0..3_000 / pause_ms {
-    let began_ms = 1_000 + number * pause_ms;
+  for number in 0..3_000 / interval_ms {
+    let began_ms = 1_000 + number * interval_ms;
     let run = run(0, began_ms, Some(began_ms + 5));
     let mut sent = request(RequestKind::NonRetryable, Outcome::Disconnected, vec![run]);
     sent.box_index = usize::from(number.is_multiple_of(2));
@@ -640,21 +640,21 @@
 }
 
 #[test]
-fn sum_over_boxes_beyond_what_a_cold_endpoint_carries_is_found() {
+fn total_over_the_cold_rate_is_found() {
   assert_eq!(found(&requests_after_start(95)), []);
-  let beyond = requests_after_start(80);
-  assert_eq!(found(&beyond), [Promise::ColdRateHonoured]);
-  let mut under_its_id = beyond.clone();
-  under_its_id.starts.push(Start {
+  let over_limit = requests_after_start(80);
+  assert_eq!(found(&over_limit), [Promise::ColdRateHonoured]);
+  let mut same_id_restarted = over_limit.clone();
+  same_id_restarted.starts.push(Start {
     at_ms: 500,
     incarnation: "i-0".into(),
   });
-  assert_eq!(found(&under_its_id), []);
-  let mut one_was_out_of_reach = beyond;
-  one_was_out_of_reach.disturbances.push(Disturbance {
+  assert_eq!(found(&same_id_restarted), []);
+  let mut one_box_disconnected = over_limit;
+  one_box_disconnected.disturbances.push(Disturbance {
     from_ms: 500,
     target: Target::StoreLink(0),
     until_ms: Some(900),
   });
-  assert_eq!(found(&one_was_out_of_reach), []);
+  assert_eq!(found(&one_box_disconnected), []);
 }
