--- a/soak/src/box_process.rs
+++ b/soak/src/box_process.rs
@@ -25,7 +25,7 @@
   },
 };
 
-/// Seconds from the stop signal to the end of the process (the platform's `graceS` is 8).
+/// Seconds that a box has to stop, below the platform's `graceS` of 8.
 const STOP_S: f64 = 6.0;
 /// Additional time before a process that did not stop in time is killed.
 const KILL_MARGIN: Duration = Duration::from_millis(1_000);
@@ -43,7 +43,7 @@
 pub(crate) struct BoxProcess {
   pub(crate) index: usize,
   /// Link through which callers connect.
-  pub(crate) callers: Link,
+  pub(crate) caller_link: Link,
   /// Listen address for callers, without a link.
   pub(crate) direct: SocketAddr,
   /// Listen address of the readiness probe.
@@ -64,7 +64,7 @@
   pub(crate) async fn start(plan: &BoxPlan<'_>, index: usize) -> Result<Self> {
     let [direct, ready, boxes, metrics] = loopback_addresses(index);
     let store_link = open_link(plan.store.address).await?;
-    let callers = open_link(direct).await?;
+    let caller_link = open_link(direct).await?;
     let name = format!("north-{index:03}");
     let addresses = [direct, ready, boxes, metrics, store_link.address];
     let contents = settings_text(&name, addresses);
@@ -74,7 +74,7 @@
       source,
     })?;
     let started = Self {
-      callers,
+      caller_link,
       direct,
       index,
       recorder: plan.recorder.clone(),
@@ -156,7 +156,7 @@
     let status = child.wait().await.map_err(Error::Wait)?;
     let stop = PlannedStop {
       box_index: self.index,
-      gone_ms: self.recorder.now_ms(),
+      exited_ms: self.recorder.now_ms(),
       is_clean: has_exited && status.success(),
       signalled_ms: leaving.began_ms(),
     };
--- a/soak/src/caller.rs
+++ b/soak/src/caller.rs
@@ -70,10 +70,10 @@
     }
   }
 
-  /// Sends requests until `end` is set.
-  pub(crate) async fn run(mut self, end: watch::Receiver<bool>) {
+  /// Sends requests until `stopped` is set.
+  pub(crate) async fn run(mut self, stopped: watch::Receiver<bool>) {
     self.reconnect();
-    while !*end.borrow() {
+    while !*stopped.borrow() {
       let is_reusable = self.send_request().await;
       if !is_reusable {
         self.reconnect();
@@ -146,7 +146,7 @@
   }
 
   fn request(&self, kind: RequestKind, key: CallerKey, id: &str) -> Request<Full<Bytes>> {
-    let address = self.fleet.boxes[self.box_index].callers.address;
+    let address = self.fleet.boxes[self.box_index].caller_link.address;
     let (method, name, body): (_, _, &[u8]) = match kind {
       RequestKind::Retryable => (Method::GET, id, b""),
       RequestKind::CrashingStream => (Method::POST, CRASHING_NAME, CRASHING_BODY),
--- a/soak/src/caller_key.rs
+++ b/soak/src/caller_key.rs
@@ -78,12 +78,12 @@
     .chain(of_versions)
     .collect();
   let organisation = |name: &str| {
-    let held: Vec<String> = keys
+    let valid_keys: Vec<String> = keys
       .iter()
       .filter(|key| key.holder(version) == Some(name))
       .map(|key| key.text())
       .collect();
-    json!({"name": name, "apiKeys": held, "unit": "token_stream", "plainTokens": REQUEST_UNITS})
+    json!({"name": name, "apiKeys": valid_keys, "unit": "token_stream", "plainTokens": REQUEST_UNITS})
   };
   let mut hot = organisation(HOT);
   let share = if version.is_multiple_of(2) {
--- a/soak/src/endpoint.rs
+++ b/soak/src/endpoint.rs
@@ -11,7 +11,7 @@
     fault::EndpointFault,
     recorder::{Recorder, RunGuard},
     records::RoleCommandRecord,
-    reply::{ReplyBody, cut_body, json_response, not_run, status, whole, with_retry_after},
+    reply::{ReplyBody, cut_body, full_body, json_response, not_run, status, with_retry_after},
   },
   bytes::Bytes,
   http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode, header::AUTHORIZATION},
@@ -87,7 +87,7 @@
   }
 
   fn state(&self) -> MutexGuard<'_, EndpointState> {
-    // State changes are single assignments, so that a panic leaves no partial change.
+    // A panic between two changes leaves a consistent state.
     self.state.lock().unwrap_or_else(PoisonError::into_inner)
   }
 
@@ -134,20 +134,20 @@
   }
 
   /// Lists the resources still held for requests.
-  pub(crate) fn held(&self) -> Vec<String> {
+  pub(crate) fn unreleased_resources(&self) -> Vec<String> {
     let mut state = self.state();
     // Removes expired reservations.
     state.has_free_slot();
     let name = &self.incarnation;
-    let mut held: Vec<String> = state
+    let mut resources: Vec<String> = state
       .holds
       .keys()
       .map(|id| format!("slot {id} at {name}"))
       .collect();
     if state.running > 0 {
-      held.push(format!("{} running at {name}", state.running));
+      resources.push(format!("{} running at {name}", state.running));
     }
-    held
+    resources
   }
 
   /// Responds to a box's call or a forwarded request, with the leaving signal and the limit if they are set.
@@ -193,7 +193,7 @@
 
   fn reserve(&self, body: &Bytes) -> Response<ReplyBody> {
     let mut state = self.state();
-    if state.fault == Some(EndpointFault::Sheds) {
+    if state.fault == Some(EndpointFault::ShedsLoad) {
       return with_retry_after(status(StatusCode::SERVICE_UNAVAILABLE), RETRY_AFTER);
     }
     if state.kind == EndpointKind::Plain
@@ -300,7 +300,7 @@
     if fault == Some(EndpointFault::Full) || switching {
       return Ok(not_run(headers, StatusCode::SERVICE_UNAVAILABLE));
     }
-    if fault == Some(EndpointFault::Sheds) {
+    if fault == Some(EndpointFault::ShedsLoad) {
       let retry_after_ms = u64::try_from(RETRY_AFTER.as_millis()).unwrap_or(u64::MAX);
       self
         .recorder
@@ -345,12 +345,12 @@
     self.apply_fault(id, fault).await?;
     match fault {
       Some(EndpointFault::Fails) => {
-        Ok(self.response(id, StatusCode::INTERNAL_SERVER_ERROR, whole("failed")))
+        Ok(self.response(id, StatusCode::INTERNAL_SERVER_ERROR, full_body("failed")))
       }
       Some(EndpointFault::TruncatesResponses) => {
         Ok(self.response(id, StatusCode::OK, cut_body(&content::plain_response(id))))
       }
-      _ => Ok(self.response(id, StatusCode::OK, whole(&content::plain_response(id)))),
+      _ => Ok(self.response(id, StatusCode::OK, full_body(&content::plain_response(id)))),
     }
   }
 
@@ -362,14 +362,14 @@
     sleep(PREFILL_DURATION).await;
     self.apply_fault(id, fault).await?;
     if fault == Some(EndpointFault::Fails) {
-      return Ok(self.response(id, StatusCode::INTERNAL_SERVER_ERROR, whole("failed")));
+      return Ok(self.response(id, StatusCode::INTERNAL_SERVER_ERROR, full_body("failed")));
     }
     let handle = format!("e{}", self.state().next_number());
     self
       .exports
       .insert(format!("{}/{handle}", self.address), id);
     let body = json!({"promptHandle": handle, "tokens": 1, "version": 1}).to_string();
-    Ok(self.response(id, StatusCode::OK, whole(&body)))
+    Ok(self.response(id, StatusCode::OK, full_body(&body)))
   }
 
   async fn run_stream(
@@ -396,7 +396,7 @@
     let run = self.begin_run(id, headers);
     self.apply_fault(id, fault).await?;
     if fault == Some(EndpointFault::Fails) {
-      return Ok(self.response(id, StatusCode::INTERNAL_SERVER_ERROR, whole("failed")));
+      return Ok(self.response(id, StatusCode::INTERNAL_SERVER_ERROR, full_body("failed")));
     }
     let last = header(headers, "last-event-id").and_then(|text| text.parse().ok());
     let first = last.unwrap_or(0) + 1;
@@ -440,7 +440,7 @@
       .header("x-response-seal", &self.incarnation)
       .header("x-server-load", format!("{},0,{SLOTS}", state.running))
       .body(body)
-      .unwrap_or_else(|_| Response::new(whole("")))
+      .unwrap_or_else(|_| Response::new(full_body("")))
   }
 }
 
--- a/soak/src/event_stream.rs
+++ b/soak/src/event_stream.rs
@@ -44,11 +44,11 @@
     let event = content::event(&self.id, self.next);
     let is_cut = self.cut_at == Some(self.next);
     self.next += 1;
-    let shown = if is_cut {
+    let data = if is_cut {
       &event[..event.len() / 2]
     } else {
       &event
     };
-    Some(Ok(Bytes::copy_from_slice(shown.as_bytes())))
+    Some(Ok(Bytes::copy_from_slice(data.as_bytes())))
   }
 }
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -56,7 +56,7 @@
   /// Responds with the id of another request.
   WrongRequestId,
   /// Rejects all requests with a retry-after delay.
-  Sheds,
+  ShedsLoad,
   /// Starts its work late, so that much may change between prefill and decode.
   Slow,
 }
--- a/soak/src/fault_injector.rs
+++ b/soak/src/fault_injector.rs
@@ -40,7 +40,7 @@
       fault,
       for_ms,
     } => {
-      let link = &fleet.boxes[index].callers;
+      let link = &fleet.boxes[index].caller_link;
       disturb_link(fleet, link, Target::Box(index), fault, for_ms).await;
       Ok(())
     }
@@ -66,13 +66,13 @@
       disturb_store(fleet, fault, Duration::from_millis(for_ms)).await;
       Ok(())
     }
-    Fault::EndpointCrashed { place, down_ms } => crash(fleet, place, down_ms).await,
+    Fault::EndpointCrashed { place, down_ms } => crash_endpoint(fleet, place, down_ms).await,
     Fault::EndpointLeaves { place } => match fleet.announce_leaving(place) {
-      Some(incarnation) => leave(fleet, place, incarnation).await,
+      Some(incarnation) => shut_down_endpoint(fleet, place, incarnation).await,
       None => Ok(()),
     },
     Fault::EndpointLeavesUnlisted { place } => match fleet.incarnation(place) {
-      Some(incarnation) => leave(fleet, place, incarnation).await,
+      Some(incarnation) => shut_down_endpoint(fleet, place, incarnation).await,
       None => Ok(()),
     },
     Fault::EndpointLimited {
@@ -105,9 +105,9 @@
 
 async fn disturb_link(fleet: &Fleet, link: &Link, target: Target, fault: LinkFault, for_ms: u64) {
   let _disturbed = fleet.recorder.begin_disturbance(target);
-  link.begin(fault);
+  link.begin_fault(fault);
   sleep(Duration::from_millis(for_ms)).await;
-  link.clear();
+  link.clear_fault();
 }
 
 async fn disturb_endpoint(fleet: &Fleet, place: usize, fault: EndpointFault, for_ms: u64) {
@@ -174,7 +174,7 @@
 }
 
 /// Stops the endpoint without a signal; its entry remains until a new incarnation replaces it.
-async fn crash(fleet: &Fleet, place: usize, down_ms: u64) -> Result {
+async fn crash_endpoint(fleet: &Fleet, place: usize, down_ms: u64) -> Result {
   let _disturbed = fleet.recorder.begin_disturbance(Target::Endpoint(place));
   let Some(stopped) = fleet.stop_endpoint(place) else {
     return Ok(());
@@ -204,7 +204,7 @@
 }
 
 /// Makes the endpoint signal that it is leaving, serve for a while, and terminate.
-async fn leave(fleet: &Fleet, place: usize, incarnation: String) -> Result {
+async fn shut_down_endpoint(fleet: &Fleet, place: usize, incarnation: String) -> Result {
   fleet.with_endpoint(place, |endpoint| endpoint.set_leaving());
   sleep(LEAVING_PERIOD).await;
   let mut is_same = false;
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -164,7 +164,7 @@
     self
       .recorder
       .records()
-      .leaving
+      .draining
       .insert(incarnation.clone(), now_ms);
     Some(incarnation)
   }
@@ -179,7 +179,7 @@
     let running = self.places[place].running();
     let endpoint = &running.as_ref()?.endpoint;
     let incarnation = endpoint.incarnation.clone();
-    if self.recorder.records().leaving.contains_key(&incarnation) {
+    if self.recorder.records().draining.contains_key(&incarnation) {
       return None;
     }
     let kind = endpoint.kind();
@@ -351,12 +351,14 @@
   }
 
   /// Lists the resources that engines hold for requests.
-  pub(crate) fn held(&self) -> Vec<String> {
-    let mut held = self.exports.live();
+  pub(crate) fn unreleased_resources(&self) -> Vec<String> {
+    let mut resources = self.exports.live();
     for place in 0..self.places.len() {
-      self.with_endpoint(place, |endpoint| held.extend(endpoint.held()));
+      self.with_endpoint(place, |endpoint| {
+        resources.extend(endpoint.unreleased_resources())
+      });
     }
-    held
+    resources
   }
 }
 
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -89,7 +89,7 @@
   }
 
   /// Starts a fault; a reset happens once.
-  pub(crate) fn begin(&self, fault: LinkFault) {
+  pub(crate) fn begin_fault(&self, fault: LinkFault) {
     self.condition.send_modify(|condition| {
       if fault == LinkFault::Reset {
         condition.resets += 1;
@@ -100,7 +100,7 @@
   }
 
   /// Ends the current fault; traffic that was blocked is delivered.
-  pub(crate) fn clear(&self) {
+  pub(crate) fn clear_fault(&self) {
     self
       .condition
       .send_modify(|condition| condition.fault = None);
@@ -129,8 +129,8 @@
     reset(&caller);
     return;
   };
-  let small_packets = caller.set_nodelay(true).and(target.set_nodelay(true));
-  if small_packets.is_err() {
+  let nodelay = caller.set_nodelay(true).and(target.set_nodelay(true));
+  if nodelay.is_err() {
     return;
   }
   let sockets = [&caller, &target].map(|stream| SockRef::from(stream).try_clone());
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -107,7 +107,7 @@
       Fault::EndpointLeavesUnlisted { place }
     } else {
       Fault::Endpoint {
-        fault: EndpointFault::Sheds,
+        fault: EndpointFault::ShedsLoad,
         for_ms: draw.between(SHEDDING_DURATION_MS),
         place,
       }
--- a/soak/src/play.rs
+++ b/soak/src/play.rs
@@ -94,8 +94,8 @@
   sleep(RECOVERY_PERIOD).await;
   stop_callers(&stop, &mut callers).await;
   sleep(RELEASE_PERIOD).await;
-  let held = fleet.held();
-  fleet.recorder.records().held_at_end = held;
+  let resources = fleet.unreleased_resources();
+  fleet.recorder.records().unreleased_resources = resources;
   background.shutdown().await;
   let records = fleet.recorder.records().clone();
   Ok(Report {
--- a/soak/src/promises.rs
+++ b/soak/src/promises.rs
@@ -34,7 +34,7 @@
   breaches.extend(check.planned_stops());
   breaches.extend(check.role_commands());
   breaches.extend(check.crashes());
-  breaches.extend(check.held());
+  breaches.extend(check.unreleased_resources());
   breaches.extend(check.recovery());
   breaches.extend(organisation_breaches(records, slack_ms));
   breaches.extend(notice_breaches(records, slack_ms));
@@ -73,21 +73,18 @@
     // The newest version applied by each process, and the time of the first probe that showed it.
     let mut newest: BTreeMap<(usize, u64), (u64, u64)> = BTreeMap::new();
     for probe in &self.records.probes {
-      let process_number = (probe.box_index, probe.process_number);
+      let process = (probe.box_index, probe.process_number);
       match probe.in_force {
         Some(true) => {
           let observed = newest
-            .entry(process_number)
+            .entry(process)
             .or_insert((probe.version, probe.sent_ms));
           if probe.version > observed.0 {
             *observed = (probe.version, probe.sent_ms);
           }
         }
         Some(false) => {
-          found.extend(reverted_configuration(
-            probe,
-            newest.get(&process_number).copied(),
-          ));
+          found.extend(reverted_configuration(probe, newest.get(&process).copied()));
           found.extend(self.late_configuration(probe));
         }
         None => {}
@@ -115,7 +112,7 @@
     let stops = self.records.stops.iter();
     stops.flat_map(|stop| {
       let requests = self.requests();
-      let cut = requests.filter_map(move |request| request.is_cut_by(stop));
+      let cut = requests.filter_map(move |request| request.cut_by_stop(stop));
       cut.chain(self.unclean_exit(stop))
     })
   }
@@ -172,9 +169,9 @@
     Some(Breach::new(Promise::QuarantineHonoured, observed))
   }
 
-  fn held(&self) -> impl Iterator<Item = Breach> {
-    let held = self.records.held_at_end.iter();
-    held.map(|held| Breach::new(Promise::ResourcesReleased, held))
+  fn unreleased_resources(&self) -> impl Iterator<Item = Breach> {
+    let resources = self.records.unreleased_resources.iter();
+    resources.map(|resource| Breach::new(Promise::ResourcesReleased, resource))
   }
 
   fn recovery(&self) -> Option<Breach> {
@@ -201,12 +198,12 @@
 
 /// A version that a process no longer has although it had the same or a newer one before.
 fn reverted_configuration(probe: &Probe, newest: Option<(u64, u64)>) -> Option<Breach> {
-  let (version, seen_ms) = newest?;
-  if version < probe.version || probe.sent_ms <= seen_ms {
+  let (version, observed_ms) = newest?;
+  if version < probe.version || probe.sent_ms <= observed_ms {
     return None;
   }
   let observed = format!(
-    "box {} had {version} at {seen_ms} ms: {probe:?}",
+    "box {} had {version} at {observed_ms} ms: {probe:?}",
     probe.box_index
   );
   Some(Breach::new(Promise::ConfigurationMonotonic, observed))
--- a/soak/src/records.rs
+++ b/soak/src/records.rs
@@ -166,7 +166,7 @@
   /// Time of the stop signal.
   pub signalled_ms: u64,
   /// Time at which the process had exited.
-  pub gone_ms: u64,
+  pub exited_ms: u64,
   /// Whether the process exited in time by itself, with success.
   pub is_clean: bool,
 }
@@ -189,7 +189,7 @@
   /// Time at which the store acknowledged each version.
   pub versions: BTreeMap<u64, u64>,
   /// Time at which each draining incarnation was marked in the store.
-  pub leaving: BTreeMap<String, u64>,
+  pub draining: BTreeMap<String, u64>,
   /// Responses with a leaving signal.
   pub leaving_received: Vec<LeavingReceived>,
   /// Advertised limits.
@@ -211,7 +211,7 @@
   /// Disturbances.
   pub disturbances: Vec<Disturbance>,
   /// Resources that engines still held after the traffic had ended.
-  pub held_at_end: Vec<String>,
+  pub unreleased_resources: Vec<String>,
   /// Time since which no fault is active and all boxes are ready.
   pub faults_ended_ms: Option<u64>,
 }
--- a/soak/src/reply.rs
+++ b/soak/src/reply.rs
@@ -14,7 +14,7 @@
 pub(crate) type ReplyBody = UnsyncBoxBody<Bytes, io::Error>;
 
 /// A body in one piece.
-pub(crate) fn whole(text: &str) -> ReplyBody {
+pub(crate) fn full_body(text: &str) -> ReplyBody {
   Full::new(Bytes::copy_from_slice(text.as_bytes()))
     .map_err(|never| match never {})
     .boxed_unsync()
@@ -29,14 +29,14 @@
 
 /// A response without a body.
 pub(crate) fn status(status: StatusCode) -> Response<ReplyBody> {
-  let mut response = Response::new(whole(""));
+  let mut response = Response::new(full_body(""));
   *response.status_mut() = status;
   response
 }
 
 /// A JSON response to a box's call.
 pub(crate) fn json_response(value: Value) -> Response<ReplyBody> {
-  Response::new(whole(&value.to_string()))
+  Response::new(full_body(&value.to_string()))
 }
 
 /// A rejection that states that the request did not run.
@@ -53,11 +53,11 @@
 
 /// Adds a retry-after delay to a rejection.
 pub(crate) fn with_retry_after(
-  mut refusal: Response<ReplyBody>,
-  pause: Duration,
+  mut rejection: Response<ReplyBody>,
+  delay: Duration,
 ) -> Response<ReplyBody> {
-  refusal
+  rejection
     .headers_mut()
-    .insert(RETRY_AFTER, HeaderValue::from(pause.as_secs()));
-  refusal
+    .insert(RETRY_AFTER, HeaderValue::from(delay.as_secs()));
+  rejection
 }
--- a/soak/src/request_check.rs
+++ b/soak/src/request_check.rs
@@ -32,7 +32,7 @@
       self.attempts(),
       self.meets_deadline(),
       self.stops_after_disconnect(),
-      self.is_drained(),
+      self.sent_while_draining(),
     ]
     .into_iter()
     .flatten()
@@ -148,43 +148,43 @@
     Some(Breach::new(Promise::StopsAfterDisconnect, observed))
   }
 
-  fn is_drained(&self) -> Option<Breach> {
+  fn sent_while_draining(&self) -> Option<Breach> {
     let mut runs = self.request.runs.iter();
-    runs.find_map(|run| self.began_at_leaving(run))
+    runs.find_map(|run| self.began_while_draining(run))
   }
 
   /// A run that started at a draining endpoint after the bound.
-  fn began_at_leaving(&self, run: &Run) -> Option<Breach> {
+  fn began_while_draining(&self, run: &Run) -> Option<Breach> {
     let Self { id, request, .. } = self;
-    let leaving_ms = *self.records.leaving.get(&run.incarnation)?;
-    let due_ms = leaving_ms + DRAIN_MS + self.slack_ms;
+    let draining_ms = *self.records.draining.get(&run.incarnation)?;
+    let due_ms = draining_ms + DRAIN_MS + self.slack_ms;
     let began_ms = run.began_ms;
     if began_ms <= due_ms
       || !self
         .records
-        .is_connected(request.box_index, leaving_ms, began_ms)
+        .is_connected(request.box_index, draining_ms, began_ms)
       || !self
         .records
-        .is_request_undisturbed(request, leaving_ms, began_ms)
+        .is_request_undisturbed(request, draining_ms, began_ms)
     {
       return None;
     }
     let observed = format!(
-      "{id} began at {began_ms} ms at {}, which has been draining since {leaving_ms} ms",
+      "{id} began at {began_ms} ms at {}, which has been draining since {draining_ms} ms",
       run.incarnation
     );
     Some(Breach::new(Promise::Drained, observed))
   }
 
-  /// Whether a planned stop cut the request.
-  pub(crate) fn is_cut_by(&self, stop: &PlannedStop) -> Option<Breach> {
+  /// Finds a cut of the request by a planned stop.
+  pub(crate) fn cut_by_stop(&self, stop: &PlannedStop) -> Option<Breach> {
     let Self { id, request, .. } = self;
     let ended_ms = request.ended_ms?;
     let cut = matches!(request.outcome, Some(Outcome::ConnectionLost { .. }));
     let was_received =
       !request.runs.is_empty() || ended_ms > request.sent_ms + CLOSE_RACE_MS + self.slack_ms;
     let overlaps_stop = request.box_index == stop.box_index
-      && request.sent_ms < stop.gone_ms
+      && request.sent_ms < stop.exited_ms
       && ended_ms > stop.signalled_ms;
     if !cut || !was_received || !overlaps_stop || !self.records.is_undisturbed_except_stops(request)
     {
--- a/soak/src/subcommand.rs
+++ b/soak/src/subcommand.rs
@@ -87,10 +87,10 @@
     .filter(|line| !line.is_empty() && !line.starts_with('#'));
   lines
     .map(|line| {
-      let word = line.split_whitespace().next().unwrap_or_default();
-      word
+      let seed = line.split_whitespace().next().unwrap_or_default();
+      seed
         .parse()
-        .map_err(|error| format!("{}: {word}: {error}", file.display()))
+        .map_err(|error| format!("{}: {seed}: {error}", file.display()))
     })
     .collect()
 }
@@ -131,8 +131,8 @@
     )
   };
   println!(
-    "seed {seed}: {} faults, {} requests: {} served, {} rejected as not run, {} other errors, {} connections lost, {} disconnected, \
-     {} unanswered; {} role commands, {} planned stops; {} breaches",
+    "seed {seed}: {} faults, {} requests: {} served, {} rejected as not run, {} other errors, \
+     {} connections lost, {} disconnected, {} unanswered; {} role commands, {} planned stops; {} breaches",
     report.faults.len(),
     report.records.requests.len(),
     completed(200..300),
--- a/soak/src/undisturbed.rs
+++ b/soak/src/undisturbed.rs
@@ -63,7 +63,7 @@
 
   /// Whether stop signals were the only disturbances of a box while it stopped.
   pub(crate) fn is_stop_undisturbed(&self, stop: &PlannedStop) -> bool {
-    self.is_undisturbed(stop.signalled_ms, stop.gone_ms, |target| {
+    self.is_undisturbed(stop.signalled_ms, stop.exited_ms, |target| {
       target == Target::Box(stop.box_index)
     })
   }
--- a/stand_ins/src/platform_store.rs
+++ b/stand_ins/src/platform_store.rs
@@ -28,7 +28,7 @@
 impl PlatformStore {
   /// The contents, locked.
   pub(crate) fn contents(&self) -> MutexGuard<'_, Contents> {
-    // Each change leaves the contents consistent, so that a panic leaves no partial change.
+    // A panic between two changes leaves consistent contents.
     self.contents.lock().unwrap_or_else(PoisonError::into_inner)
   }
 
--- a/tests/soak_promises.rs
+++ b/tests/soak_promises.rs
@@ -197,7 +197,7 @@
     served(&events(1, EVENTS)),
     vec![run(0, began_ms, Some(13_000))],
   );
-  records.leaving.insert("i-0".into(), 10_000);
+  records.draining.insert("i-0".into(), 10_000);
   assert_eq!(found(&records), promises);
 }
 
@@ -255,7 +255,7 @@
   let mut records = single_request(RequestKind::Stream, cut, runs);
   records.stops.push(PlannedStop {
     box_index: 0,
-    gone_ms: 20_000,
+    exited_ms: 20_000,
     is_clean: true,
     signalled_ms: 15_000,
   });
@@ -327,7 +327,7 @@
 fn held_resources_and_missing_recovery_are_found() {
   let mut records = single_request(RequestKind::Retryable, complete(503, None, ""), vec![]);
   records.faults_ended_ms = Some(1_000);
-  records.held_at_end.push("slot h1 at i-0".into());
+  records.unreleased_resources.push("slot h1 at i-0".into());
   assert_eq!(
     found(&records),
     [Promise::ResourcesReleased, Promise::Recovered]
@@ -343,7 +343,7 @@
   let mut records = Records::default();
   records.stops.push(PlannedStop {
     box_index: 0,
-    gone_ms: 20_000,
+    exited_ms: 20_000,
     is_clean: false,
     signalled_ms: 15_000,
   });
@@ -583,9 +583,9 @@
     until_ms: Some(12_500),
   });
   assert_eq!(found(&one_box_paused), []);
-  let mut ended = over_limit;
-  ended.advertised_limits[0].until_ms = Some(15_000);
-  assert_eq!(found(&ended), []);
+  let mut limit_withdrawn = over_limit;
+  limit_withdrawn.advertised_limits[0].until_ms = Some(15_000);
+  assert_eq!(found(&limit_withdrawn), []);
 }
 
 /// A request that started at `place` at `began_ms`, with the hall of the even places drained from 1 s on.
