--- a/soak/src/breach.rs
+++ b/soak/src/breach.rs
@@ -1,25 +1,25 @@
-//! One promise broken once.
+//! A violation of a promise.
 
 use {super::promise::Promise, std::fmt};
 
-/// One promise broken once.
+/// A violation of a promise.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Breach {
-  /// The promise.
+  /// The violated promise.
   pub promise: Promise,
-  /// What was seen.
-  pub seen: String,
+  /// Description of what was observed.
+  pub observed: String,
 }
 
 impl Breach {
-  pub(crate) fn new(promise: Promise, seen: impl Into<String>) -> Self {
-    let seen = seen.into();
-    Self { promise, seen }
+  pub(crate) fn new(promise: Promise, observed: impl Into<String>) -> Self {
+    let observed = observed.into();
+    Self { promise, observed }
   }
 }
 
 impl fmt::Display for Breach {
   fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-    write!(formatter, "{:?}: {}", self.promise, self.seen)
+    write!(formatter, "{:?}: {}", self.promise, self.observed)
   }
 }
--- a/soak/src/caller.rs
+++ b/soak/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: keeps its connection to a box until that breaks, asks one thing after another, and sometimes leaves.
+//! A caller: sends one request after another over a connection to a box, and disconnects early at times.
 
 use {
   super::{
@@ -23,29 +23,28 @@
   },
 };
 
-/// How long a caller waits.
+/// Deadline of a request.
 const DEADLINE: Duration = Duration::from_millis(4_000);
-/// A request that has not ended this long after its deadline counts as unanswered.
-const ANSWER_MARGIN: Duration = Duration::from_millis(1_500);
-/// Share of requests whose caller leaves early.
-const LEAVE_CHANCE: f64 = 0.05;
-/// When it leaves, after sending.
-const LEAVE_AFTER_MS: (u64, u64) = (5, 400);
-/// Pause between requests.
-const PAUSE_MS: (u64, u64) = (5, 60);
-/// Pause after a refusal or a broken connection: callers come back, not at once.
-const FAILED_PAUSE: Duration = Duration::from_millis(150);
+/// Time after the deadline at which a request counts as unanswered.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(1_500);
+/// Share of requests whose caller disconnects early.
+const DISCONNECT_CHANCE: f64 = 0.05;
+/// Time from sending a request to an early disconnect.
+const DISCONNECT_AFTER_MS: (u64, u64) = (5, 400);
+/// Interval between requests.
+const THINK_TIME_MS: (u64, u64) = (5, 60);
+/// Delay before reconnecting after a rejection or a lost connection.
+const RECONNECT_DELAY: Duration = Duration::from_millis(150);
 
-/// What a caller asks for.
+/// The requests that a caller sends.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum CallerWork {
-  /// All kinds of requests that endpoints survive.
+  /// All kinds of requests that do not crash endpoints.
   Mixed,
-  /// The one request that ends engines, again and again.
+  /// Only the request that crashes engines.
   Crashing,
 }
 
-/// One caller.
 pub(crate) struct Caller {
   work: CallerWork,
   fleet: Arc<Fleet>,
@@ -71,22 +70,22 @@
     }
   }
 
-  /// Asks until told to end.
-  pub(crate) async fn run(mut self, end: watch::Receiver<bool>) {
-    self.move_on();
-    while !*end.borrow() {
-      let keeps_box = self.ask().await;
-      if !keeps_box {
-        self.move_on();
-        sleep(FAILED_PAUSE).await;
+  /// Sends requests until `stopped` is set.
+  pub(crate) async fn run(mut self, stopped: watch::Receiver<bool>) {
+    self.reconnect();
+    while !*stopped.borrow() {
+      let is_reusable = self.send_request().await;
+      if !is_reusable {
+        self.reconnect();
+        sleep(RECONNECT_DELAY).await;
       }
-      let pause_ms = self.random.random_range(PAUSE_MS.0..=PAUSE_MS.1);
-      sleep(Duration::from_millis(pause_ms)).await;
+      let think_time_ms = self.random.random_range(THINK_TIME_MS.0..=THINK_TIME_MS.1);
+      sleep(Duration::from_millis(think_time_ms)).await;
     }
   }
 
-  /// Takes a new connection to a box that is ready.
-  fn move_on(&mut self) {
+  /// Opens a new connection to a ready box.
+  fn reconnect(&mut self) {
     self.client = HttpClient::default();
     let draw = self.random.random();
     self.box_index = self.fleet.ready_box(draw);
@@ -97,14 +96,14 @@
       return RequestKind::CrashingStream;
     }
     match self.random.random_range(0..4) {
-      0 => RequestKind::Repeatable,
-      1 => RequestKind::Unrepeatable,
+      0 => RequestKind::Retryable,
+      1 => RequestKind::NonRetryable,
       2 => RequestKind::Stream,
       _ => RequestKind::ResumableStream,
     }
   }
 
-  /// One request in five is the hot organisation's.
+  /// One request in five belongs to the organisation over its limit.
   fn key(&mut self) -> CallerKey {
     if self.work == CallerWork::Crashing {
       return CallerKey::Captions;
@@ -113,43 +112,45 @@
       0..3 => CallerKey::Captions,
       3..5 => CallerKey::Lectures,
       5..7 => CallerKey::Hot,
-      7..9 => CallerKey::Passed,
-      _ => CallerKey::OfVersion(self.fleet.newest_version()),
+      7..9 => CallerKey::Transferred,
+      _ => CallerKey::ForVersion(self.fleet.newest_version()),
     }
   }
 
-  /// Sends one request and notes how it ended; whether the connection is kept.
-  async fn ask(&mut self) -> bool {
+  /// Sends one request and records its outcome. Returns whether the connection can be reused.
+  async fn send_request(&mut self) -> bool {
     let kind = self.kind();
     let key = self.key();
     self.count += 1;
     let id = format!("{}-{}", self.name, self.count);
-    let may_leave = self.work == CallerWork::Mixed;
-    let leaves_after_ms = (may_leave && self.random.random_bool(LEAVE_CHANCE)).then(|| {
-      self
-        .random
-        .random_range(LEAVE_AFTER_MS.0..=LEAVE_AFTER_MS.1)
-    });
-    let ledger = &self.fleet.ledger;
+    let may_disconnect = self.work == CallerWork::Mixed;
+    let disconnects_after_ms =
+      (may_disconnect && self.random.random_bool(DISCONNECT_CHANCE)).then(|| {
+        self
+          .random
+          .random_range(DISCONNECT_AFTER_MS.0..=DISCONNECT_AFTER_MS.1)
+      });
+    let recorder = &self.fleet.recorder;
     let request = self.request(kind, key, &id);
-    ledger.sent(&id, kind, key, self.box_index);
-    let limit = leaves_after_ms.map_or(DEADLINE + ANSWER_MARGIN, Duration::from_millis);
-    let asked = timeout(limit, self.answer(request)).await;
-    let (outcome, keeps_box) = match asked {
-      Ok((outcome, keeps_box)) => (outcome, keeps_box),
-      Err(_) if leaves_after_ms.is_some() => (Outcome::Left, false),
+    recorder.record_request(&id, kind, key, self.box_index);
+    let timeout_after =
+      disconnects_after_ms.map_or(DEADLINE + RESPONSE_MARGIN, Duration::from_millis);
+    let result = timeout(timeout_after, self.exchange(request)).await;
+    let (outcome, is_reusable) = match result {
+      Ok((outcome, is_reusable)) => (outcome, is_reusable),
+      Err(_) if disconnects_after_ms.is_some() => (Outcome::Disconnected, false),
       Err(_) => (Outcome::Unanswered, false),
     };
-    ledger.ended(&id, outcome);
-    keeps_box
+    recorder.record_outcome(&id, outcome);
+    is_reusable
   }
 
   fn request(&self, kind: RequestKind, key: CallerKey, id: &str) -> Request<Full<Bytes>> {
-    let address = self.fleet.boxes[self.box_index].callers.address;
+    let address = self.fleet.boxes[self.box_index].caller_link.address;
     let (method, name, body): (_, _, &[u8]) = match kind {
-      RequestKind::Repeatable => (Method::GET, id, b""),
+      RequestKind::Retryable => (Method::GET, id, b""),
       RequestKind::CrashingStream => (Method::POST, CRASHING_NAME, CRASHING_BODY),
-      RequestKind::Unrepeatable | RequestKind::Stream | RequestKind::ResumableStream => {
+      RequestKind::NonRetryable | RequestKind::Stream | RequestKind::ResumableStream => {
         (Method::POST, id, b"prompt")
       }
     };
@@ -174,27 +175,33 @@
     request
   }
 
-  /// Notes whose answer says that its endpoint leaves, or names a limit.
-  fn note_words(&self, headers: &HeaderMap) {
+  /// Records whether the response signals that its endpoint is leaving, or advertises a limit.
+  fn record_signals(&self, headers: &HeaderMap) {
     let Some(incarnation) = receipt(headers) else {
       return;
     };
     if headers.contains_key("server-leaving") {
-      self.fleet.ledger.told_leaving(self.box_index, incarnation);
+      self
+        .fleet
+        .recorder
+        .record_leaving_received(self.box_index, incarnation);
     }
     if headers.contains_key("server-limit") {
-      self.fleet.ledger.told_limit(self.box_index, incarnation);
+      self
+        .fleet
+        .recorder
+        .record_limit_received(self.box_index, incarnation);
     }
   }
 
-  async fn answer(&self, request: Request<Full<Bytes>>) -> (Outcome, bool) {
+  async fn exchange(&self, request: Request<Full<Bytes>>) -> (Outcome, bool) {
     match self.client.send(request).await {
       Ok(response) => {
-        self.note_words(response.headers());
+        self.record_signals(response.headers());
         read(response).await
       }
       Err(_) => (
-        Outcome::Broken {
+        Outcome::ConnectionLost {
           body: String::new(),
           status: None,
         },
@@ -204,12 +211,12 @@
   }
 }
 
-/// The endpoint that signed an answer.
+/// The endpoint's incarnation, from the response's receipt.
 fn receipt(headers: &HeaderMap) -> Option<&str> {
   headers.get("x-response-seal")?.to_str().ok()
 }
 
-/// Reads an answer to its end, or to where it breaks.
+/// Reads a response to its end, or until the connection is lost.
 async fn read(response: Response<Incoming>) -> (Outcome, bool) {
   let (head, mut body) = response.into_parts();
   let status = head.status.as_u16();
@@ -219,28 +226,28 @@
     .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
   let receipt = receipt(&head.headers).map(String::from);
   let mut bytes = Vec::new();
-  let mut is_whole = true;
+  let mut is_complete = true;
   while let Some(frame) = body.frame().await {
     match frame {
       Ok(frame) => bytes.extend(frame.into_data().unwrap_or_default()),
       Err(_) => {
-        is_whole = false;
+        is_complete = false;
         break;
       }
     }
   }
   let body = String::from_utf8_lossy(&bytes).into_owned();
-  let outcome = if is_whole {
-    Outcome::Whole {
+  let outcome = if is_complete {
+    Outcome::Complete {
       body,
       receipt,
       status,
     }
   } else {
-    Outcome::Broken {
+    Outcome::ConnectionLost {
       body,
       status: Some(status),
     }
   };
-  (outcome, is_whole && !closes && status < 500)
+  (outcome, is_complete && !closes && status < 500)
 }
--- a/soak/src/part.rs
+++ b/soak/src/endpoint_kind.rs
@@ -1,18 +1,18 @@
-//! What an endpoint is.
+//! The kinds of endpoints.
 
-/// What an endpoint is; an engine may change its role.
+/// The kind of an endpoint. An engine may switch its role.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Part {
+pub(crate) enum EndpointKind {
   /// A plain service.
   Plain,
-  /// An engine that reads prompts.
+  /// A prefill engine.
   Prefill,
-  /// An engine that writes answers.
+  /// A decode engine.
   Decode,
 }
 
-impl Part {
-  /// The service that it belongs to.
+impl EndpointKind {
+  /// Name of the service that it belongs to.
   pub(crate) fn service(self) -> &'static str {
     match self {
       Self::Plain => "portal",
@@ -20,7 +20,7 @@
     }
   }
 
-  /// An engine's role, as the platform spells it.
+  /// The engine's role in the platform's protocol.
   pub(crate) fn stage(self) -> Option<&'static str> {
     match self {
       Self::Plain => None,
@@ -29,10 +29,10 @@
     }
   }
 
-  /// The engine with a role that the platform spells so.
-  pub(crate) fn of_stage(stage: &str) -> Option<Self> {
+  /// Parses an engine's role of the platform's protocol.
+  pub(crate) fn from_stage(stage: &str) -> Option<Self> {
     [Self::Prefill, Self::Decode]
       .into_iter()
-      .find(|part| part.stage() == Some(stage))
+      .find(|kind| kind.stage() == Some(stage))
   }
 }
--- a/soak/src/event_stream.rs
+++ b/soak/src/event_stream.rs
@@ -1,7 +1,7 @@
-//! The body of an engine's answer.
+//! The streamed response body of an engine.
 
 use {
-  super::{content, ledger::RunGuard, reply::ReplyBody},
+  super::{content, recorder::RunGuard, reply::ReplyBody},
   bytes::Bytes,
   futures_util::stream,
   http_body_util::{BodyExt, StreamBody},
@@ -10,17 +10,17 @@
   tokio::time::sleep,
 };
 
-/// Pause between the events of a stream.
-const EVENT_PAUSE: Duration = Duration::from_millis(25);
+/// Interval between the events of a stream.
+const EVENT_INTERVAL: Duration = Duration::from_millis(25);
 
-/// The rest of a stream, sent event by event. The run and its seat last until the stream is dropped.
+/// The remaining events of a stream. The run ends and the slot is released when the stream is dropped.
 pub(crate) struct EventStream<S> {
   pub(crate) id: String,
   pub(crate) next: u64,
-  /// The event within which the stream is cut.
+  /// Number of the event in the middle of which the stream is cut.
   pub(crate) cut_at: Option<u64>,
   pub(crate) _run: RunGuard,
-  pub(crate) _seat: S,
+  pub(crate) _slot: S,
 }
 
 impl<S: Send + 'static> EventStream<S> {
@@ -33,22 +33,22 @@
   }
 
   async fn take_next(&mut self) -> Option<io::Result<Bytes>> {
-    // Looked at before the end: a stream that is cut within its last event must not end as a whole one.
+    // Checked before the end of the stream: one cut within its last event must not end normally.
     if self.cut_at.is_some_and(|cut_at| self.next > cut_at) {
       return Some(Err(io::Error::other("cut")));
     }
     if self.next > content::event_count(&self.id) {
       return None;
     }
-    sleep(EVENT_PAUSE).await;
+    sleep(EVENT_INTERVAL).await;
     let event = content::event(&self.id, self.next);
     let is_cut = self.cut_at == Some(self.next);
     self.next += 1;
-    let shown = if is_cut {
+    let data = if is_cut {
       &event[..event.len() / 2]
     } else {
       &event
     };
-    Some(Ok(Bytes::copy_from_slice(shown.as_bytes())))
+    Some(Ok(Bytes::copy_from_slice(data.as_bytes())))
   }
 }
--- /dev/null
+++ b/soak/src/fault_injector.rs
@@ -0,0 +1,251 @@
+//! Injects the faults of a plan. Each runs in a task of its own, so that they may overlap.
+
+use {
+  super::{
+    disturbance::Target,
+    error::Result,
+    fault::{EndpointFault, Fault, LinkFault, StoreFault},
+    fleet::Fleet,
+    hall::Hall,
+    link::Link,
+  },
+  std::time::Duration,
+  tokio::time::sleep,
+};
+
+/// Time that an endpoint serves after it signals that it is leaving (the bound on draining and a margin).
+const LEAVING_PERIOD: Duration = Duration::from_millis(2_800);
+/// Time from the store's return until endpoints register again (within the platform's two seconds).
+const REREGISTRATION_DELAY: Duration = Duration::from_millis(1_200);
+/// Time until an engine that a request crashed is restarted.
+const CRASH_DOWNTIME: Duration = Duration::from_millis(1_000);
+/// Time that the store entry of a crashed endpoint remains after its address is in use by another.
+const STALE_ENTRY_PERIOD: Duration = Duration::from_millis(1_500);
+
+/// Injects a fault and returns when it is over.
+pub(crate) async fn inject(fleet: &Fleet, fault: Fault) -> Result {
+  match fault {
+    Fault::BoxKilled { index, down_ms } => fleet.boxes[index].kill(down_ms).await,
+    Fault::BoxStopped { index } => fleet.boxes[index].stop().await,
+    Fault::BoxPaused { index, for_ms } => {
+      fleet.boxes[index].pause(for_ms).await;
+      Ok(())
+    }
+    Fault::BoxReloaded { index } => {
+      fleet.boxes[index].reload().await;
+      Ok(())
+    }
+    Fault::CallerLink {
+      index,
+      fault,
+      for_ms,
+    } => {
+      let link = &fleet.boxes[index].caller_link;
+      disturb_link(fleet, link, Target::Box(index), fault, for_ms).await;
+      Ok(())
+    }
+    Fault::StoreLink {
+      index,
+      fault,
+      for_ms,
+    } => {
+      let link = &fleet.boxes[index].store_link;
+      disturb_link(fleet, link, Target::StoreLink(index), fault, for_ms).await;
+      Ok(())
+    }
+    Fault::EndpointLink {
+      place,
+      fault,
+      for_ms,
+    } => {
+      let link = &fleet.places[place].link;
+      disturb_link(fleet, link, Target::Endpoint(place), fault, for_ms).await;
+      Ok(())
+    }
+    Fault::Store { fault, for_ms } => {
+      disturb_store(fleet, fault, Duration::from_millis(for_ms)).await;
+      Ok(())
+    }
+    Fault::EndpointCrashed { place, down_ms } => crash_endpoint(fleet, place, down_ms).await,
+    Fault::EndpointLeaves { place } => match fleet.announce_leaving(place) {
+      Some(incarnation) => shut_down_endpoint(fleet, place, incarnation).await,
+      None => Ok(()),
+    },
+    Fault::EndpointLeavesUnlisted { place } => match fleet.incarnation(place) {
+      Some(incarnation) => shut_down_endpoint(fleet, place, incarnation).await,
+      None => Ok(()),
+    },
+    Fault::EndpointLimited {
+      place,
+      per_s,
+      for_ms,
+    } => {
+      limit_endpoint(fleet, place, per_s, for_ms).await;
+      Ok(())
+    }
+    Fault::HallDrained { hall, for_ms } => {
+      drain_hall(fleet, hall, for_ms).await;
+      Ok(())
+    }
+    Fault::Endpoint {
+      place,
+      fault,
+      for_ms,
+    } => {
+      disturb_endpoint(fleet, place, fault, for_ms).await;
+      Ok(())
+    }
+    Fault::AddressesSwapped { place, other } => swap_addresses(fleet, place, other).await,
+    Fault::ConfigurationChanged => {
+      fleet.configure();
+      Ok(())
+    }
+  }
+}
+
+async fn disturb_link(fleet: &Fleet, link: &Link, target: Target, fault: LinkFault, for_ms: u64) {
+  let _disturbed = fleet.recorder.begin_disturbance(target);
+  link.begin_fault(fault);
+  sleep(Duration::from_millis(for_ms)).await;
+  link.clear_fault();
+}
+
+async fn disturb_endpoint(fleet: &Fleet, place: usize, fault: EndpointFault, for_ms: u64) {
+  let _disturbed = fleet.recorder.begin_disturbance(Target::Endpoint(place));
+  fleet.with_endpoint(place, |endpoint| endpoint.set_fault(Some(fault)));
+  sleep(Duration::from_millis(for_ms)).await;
+  fleet.with_endpoint(place, |endpoint| endpoint.set_fault(None));
+}
+
+/// Makes the endpoint advertise a limit for a while, unless it terminates before.
+async fn limit_endpoint(fleet: &Fleet, place: usize, per_s: u32, for_ms: u64) {
+  let Some(incarnation) = fleet.incarnation(place) else {
+    return;
+  };
+  fleet.with_endpoint(place, |endpoint| endpoint.set_limit(Some(per_s)));
+  sleep(Duration::from_millis(for_ms)).await;
+  fleet.with_endpoint(place, |endpoint| {
+    if endpoint.incarnation == incarnation {
+      endpoint.set_limit(None);
+    }
+  });
+}
+
+async fn drain_hall(fleet: &Fleet, hall: Hall, for_ms: u64) {
+  if !fleet.drain_hall(hall) {
+    return;
+  }
+  sleep(Duration::from_millis(for_ms)).await;
+  fleet.end_hall_drain(hall);
+}
+
+async fn disturb_store(fleet: &Fleet, fault: StoreFault, duration: Duration) {
+  let store = &fleet.store;
+  let _disturbed = fleet.recorder.begin_disturbance(Target::Store);
+  match fault {
+    StoreFault::Down => {
+      store.set_down(true);
+      sleep(duration).await;
+      store.set_down(false);
+    }
+    StoreFault::Slow { delay_ms } => {
+      store.set_delay(Duration::from_millis(delay_ms));
+      sleep(duration).await;
+      store.set_delay(Duration::ZERO);
+    }
+    StoreFault::DropsResponses => {
+      store.set_drops_responses(true);
+      sleep(duration).await;
+      store.set_drops_responses(false);
+    }
+    StoreFault::CompactsHistory => store.compact_history(),
+    StoreFault::LosesEntries => {
+      store.set_down(true);
+      sleep(duration).await;
+      fleet.remove_entries();
+      store.set_down(false);
+      sleep(REREGISTRATION_DELAY).await;
+      for place in 0..fleet.places.len() {
+        fleet.register(place);
+      }
+    }
+    StoreFault::ExpiresLeases => store.expire_leases(),
+  }
+}
+
+/// Stops the endpoint without a signal; its entry remains until a new incarnation replaces it.
+async fn crash_endpoint(fleet: &Fleet, place: usize, down_ms: u64) -> Result {
+  let _disturbed = fleet.recorder.begin_disturbance(Target::Endpoint(place));
+  let Some(stopped) = fleet.stop_endpoint(place) else {
+    return Ok(());
+  };
+  sleep(Duration::from_millis(down_ms)).await;
+  fleet.remove_entry(&stopped);
+  fleet.restart(place, stopped.kind).await
+}
+
+/// Restarts an engine that a request crashed, with the same incarnation id. Its entry remains meanwhile.
+pub(crate) async fn crash_and_restart(fleet: &Fleet, place: usize, incarnation: &str) {
+  let mut is_same = false;
+  fleet.with_endpoint(place, |endpoint| {
+    is_same = endpoint.incarnation == incarnation;
+  });
+  if !is_same {
+    return;
+  }
+  let _disturbed = fleet.recorder.begin_disturbance(Target::Endpoint(place));
+  let Some(stopped) = fleet.stop_endpoint(place) else {
+    return;
+  };
+  fleet.record_crash();
+  sleep(CRASH_DOWNTIME).await;
+  // Without a free port the place stays down, which later checks of the run detect.
+  let _ = fleet.restart_same_id(place, stopped).await;
+}
+
+/// Makes the endpoint signal that it is leaving, serve for a while, and terminate.
+async fn shut_down_endpoint(fleet: &Fleet, place: usize, incarnation: String) -> Result {
+  fleet.with_endpoint(place, |endpoint| endpoint.set_leaving());
+  sleep(LEAVING_PERIOD).await;
+  let mut is_same = false;
+  fleet.with_endpoint(place, |endpoint| {
+    is_same = endpoint.incarnation == incarnation
+  });
+  if !is_same {
+    return Ok(());
+  }
+  let _disturbed = fleet.recorder.begin_disturbance(Target::Endpoint(place));
+  let Some(stopped) = fleet.stop_endpoint(place) else {
+    return Ok(());
+  };
+  fleet.remove_entry(&stopped);
+  fleet.restart(place, stopped.kind).await
+}
+
+/// Stops both endpoints and restarts each at the other's address at once, while the old entries are still listed.
+async fn swap_addresses(fleet: &Fleet, place: usize, other: usize) -> Result {
+  if place == other {
+    return Ok(());
+  }
+  let _disturbed =
+    [place, other].map(|place| fleet.recorder.begin_disturbance(Target::Endpoint(place)));
+  let (stopped, other_stopped) = (fleet.stop_endpoint(place), fleet.stop_endpoint(other));
+  let (kind, other_kind) = match (&stopped, &other_stopped) {
+    (Some(stopped), Some(other_stopped)) => (Some(other_stopped.kind), Some(stopped.kind)),
+    // If one is already down, only the other restarts.
+    _ => (
+      stopped.as_ref().map(|stopped| stopped.kind),
+      other_stopped.as_ref().map(|stopped| stopped.kind),
+    ),
+  };
+  for (place, kind) in [(place, kind), (other, other_kind)] {
+    if let Some(kind) = kind {
+      fleet.restart(place, kind).await?;
+    }
+  }
+  sleep(STALE_ENTRY_PERIOD).await;
+  for stopped in [stopped, other_stopped].iter().flatten() {
+    fleet.remove_entry(stopped);
+  }
+  Ok(())
+}
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -1,4 +1,4 @@
-//! A loopback TCP proxy before one listener: the place where connections are delayed, cut one way, silenced or
+//! A loopback TCP proxy in front of one listener, at which connections are delayed, blocked in one or both directions, or
 //! reset.
 
 use {
@@ -21,18 +21,16 @@
   },
 };
 
-/// Bytes that are moved at once.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// What a link does with bytes now.
+/// The current state of a link.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 struct Condition {
   fault: Option<LinkFault>,
-  /// Connections made before it rose are reset.
+  /// Number of resets so far; connections opened before the last one are reset.
   resets: u64,
 }
 
-/// Which way bytes go.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Direction {
   /// Towards the target.
@@ -44,9 +42,9 @@
 impl Condition {
   fn blocks(self, direction: Direction) -> bool {
     match self.fault {
-      Some(LinkFault::Silent) => true,
-      Some(LinkFault::SilentForward) => direction == Direction::Forward,
-      Some(LinkFault::SilentBack) => direction == Direction::Back,
+      Some(LinkFault::Blocked) => true,
+      Some(LinkFault::BlockedForward) => direction == Direction::Forward,
+      Some(LinkFault::BlockedBack) => direction == Direction::Back,
       Some(LinkFault::Delayed { .. } | LinkFault::Reset) | None => false,
     }
   }
@@ -59,10 +57,10 @@
   }
 }
 
-/// A proxied way to one target.
+/// A proxy in front of one target.
 #[derive(Clone)]
 pub(crate) struct Link {
-  /// Where connections are taken.
+  /// Listen address.
   pub(crate) address: SocketAddr,
   target: Arc<Mutex<SocketAddr>>,
   condition: watch::Sender<Condition>,
@@ -81,7 +79,7 @@
     Ok(link)
   }
 
-  /// New connections go elsewhere.
+  /// Forwards new connections to another target.
   pub(crate) fn set_target(&self, target: SocketAddr) {
     *self.target.lock().unwrap_or_else(PoisonError::into_inner) = target;
   }
@@ -90,8 +88,8 @@
     *self.target.lock().unwrap_or_else(PoisonError::into_inner)
   }
 
-  /// Begins a fault; a reset strikes once.
-  pub(crate) fn begin(&self, fault: LinkFault) {
+  /// Starts a fault; a reset happens once.
+  pub(crate) fn begin_fault(&self, fault: LinkFault) {
     self.condition.send_modify(|condition| {
       if fault == LinkFault::Reset {
         condition.resets += 1;
@@ -101,8 +99,8 @@
     });
   }
 
-  /// Ends the present fault; bytes that were held pass.
-  pub(crate) fn mend(&self) {
+  /// Ends the current fault; traffic that was blocked is delivered.
+  pub(crate) fn clear_fault(&self) {
     self
       .condition
       .send_modify(|condition| condition.fault = None);
@@ -111,15 +109,15 @@
 
 async fn accept(listener: TcpListener, link: Link) {
   while let Ok((caller, _)) = listener.accept().await {
-    tokio::spawn(carry(caller, link.clone()));
+    tokio::spawn(proxy_connection(caller, link.clone()));
   }
 }
 
-/// Carries one connection to its end, or until it is reset.
-async fn carry(caller: TcpStream, link: Link) {
+/// Forwards one connection until it is closed or reset.
+async fn proxy_connection(caller: TcpStream, link: Link) {
   let mut condition = link.condition.subscribe();
   let resets = condition.borrow().resets;
-  // A connection through a cut comes up once the cut is mended, if its caller still waits.
+  // A connection opened while the link is blocked is established once it is unblocked, if its caller still waits.
   if condition
     .wait_for(|now| !now.blocks(Direction::Forward) || now.resets != resets)
     .await
@@ -131,77 +129,82 @@
     reset(&caller);
     return;
   };
-  let small_packets = caller.set_nodelay(true).and(target.set_nodelay(true));
-  if small_packets.is_err() {
+  let nodelay = caller.set_nodelay(true).and(target.set_nodelay(true));
+  if nodelay.is_err() {
     return;
   }
   let sockets = [&caller, &target].map(|stream| SockRef::from(stream).try_clone());
-  if pump_both_ways(caller, target, &link, resets).await == Ending::Reset {
+  if copy_both_ways(caller, target, &link, resets).await == CloseKind::Reset {
     for socket in sockets.into_iter().flatten() {
-      // A socket that has closed by itself needs no reset.
+      // The socket may already be closed.
       let _ = socket.set_linger(Some(Duration::ZERO));
     }
   }
 }
 
-/// Moves bytes until both directions have ended, or one is reset.
-async fn pump_both_ways(caller: TcpStream, target: TcpStream, link: &Link, resets: u64) -> Ending {
+/// Copies bytes until both directions are closed, or one is reset.
+async fn copy_both_ways(
+  caller: TcpStream,
+  target: TcpStream,
+  link: &Link,
+  resets: u64,
+) -> CloseKind {
   let (caller_read, caller_write) = caller.into_split();
   let (target_read, target_write) = target.into_split();
-  let pump = |from, to, direction| Pump {
+  let copier = |from, to, direction| Copier {
     condition: link.condition.subscribe(),
     direction,
     from,
     resets,
     to,
   };
-  let forward = pump(caller_read, target_write, Direction::Forward);
-  let back = pump(target_read, caller_write, Direction::Back);
+  let forward = copier(caller_read, target_write, Direction::Forward);
+  let back = copier(target_read, caller_write, Direction::Back);
   match tokio::join!(forward.run(), back.run()) {
-    (Ending::Closed, Ending::Closed) => Ending::Closed,
-    _ => Ending::Reset,
+    (CloseKind::Closed, CloseKind::Closed) => CloseKind::Closed,
+    _ => CloseKind::Reset,
   }
 }
 
 fn reset(stream: &TcpStream) {
-  // A socket that has closed by itself needs no reset.
+  // The socket may already be closed.
   let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// How one direction ended.
+/// How one direction was closed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Ending {
-  /// With an end of the bytes.
+enum CloseKind {
+  /// By the end of the stream.
   Closed,
   /// By a reset of the link, or of the connection on one side.
   Reset,
 }
 
 /// One direction of a connection.
-struct Pump {
+struct Copier {
   from: OwnedReadHalf,
   to: OwnedWriteHalf,
   condition: watch::Receiver<Condition>,
   direction: Direction,
-  /// The link's resets when the connection was made.
+  /// Number of resets of the link when the connection was opened.
   resets: u64,
 }
 
-impl Pump {
-  /// Moves bytes until the end, as far as the link's condition allows.
-  async fn run(mut self) -> Ending {
-    match self.move_all().await {
-      Ok(()) => Ending::Closed,
+impl Copier {
+  /// Copies bytes until the end of the stream, subject to the link's condition.
+  async fn run(mut self) -> CloseKind {
+    match self.copy_all().await {
+      Ok(()) => CloseKind::Closed,
       Err(_) => {
-        // Dropped, it would say an orderly end before the reset.
+        // Dropping the half would send a FIN before the reset.
         self.to.forget();
-        Ending::Reset
+        CloseKind::Reset
       }
     }
   }
 
   /// Fails when the connection or the link was reset.
-  async fn move_all(&mut self) -> io::Result<()> {
+  async fn copy_all(&mut self) -> io::Result<()> {
     let mut buffer = vec![0; CHUNK_BYTES];
     let mut watched = self.condition.clone();
     let resets = self.resets;
--- a/soak/src/place.rs
+++ b/soak/src/place.rs
@@ -1,26 +1,25 @@
-//! Where endpoints serve.
+//! The places of endpoints.
 
 use {
-  super::{link::Link, serving::Serving},
+  super::{link::Link, running_endpoint::RunningEndpoint},
   std::sync::{Mutex, MutexGuard, PoisonError},
 };
 
-/// One endpoint's place: an address behind a link, where one incarnation serves after the other.
+/// An address behind a link, at which incarnations of an endpoint run one after another.
 pub(crate) struct Place {
   pub(crate) link: Link,
-  /// Nothing while the endpoint is down.
-  serving: Mutex<Option<Serving>>,
+  /// `None` while the endpoint is down.
+  running: Mutex<Option<RunningEndpoint>>,
 }
 
 impl Place {
-  /// A place where nothing serves yet.
   pub(crate) fn new(link: Link) -> Self {
-    let serving = Mutex::new(None);
-    Self { link, serving }
+    let running = Mutex::new(None);
+    Self { link, running }
   }
 
-  /// What serves here, locked.
-  pub(crate) fn serving(&self) -> MutexGuard<'_, Option<Serving>> {
-    self.serving.lock().unwrap_or_else(PoisonError::into_inner)
+  /// The running endpoint, locked.
+  pub(crate) fn running(&self) -> MutexGuard<'_, Option<RunningEndpoint>> {
+    self.running.lock().unwrap_or_else(PoisonError::into_inner)
   }
 }
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! The faults of one run, drawn from a seed: the same seed draws the same faults at the same times.
+//! The faults of one run, drawn from a seed: the same seed gives the same faults at the same times.
 
 use {
   super::{
@@ -9,55 +9,55 @@
   rand_chacha::ChaCha8Rng,
 };
 
-/// Mean pause between faults.
-const MEAN_PAUSE_MS: f64 = 900.0;
-/// How long a fault that ends by itself lasts.
-const LASTS_MS: (u64, u64) = (200, 4_000);
-/// How long an endpoint turns all away.
-const SHEDS_MS: (u64, u64) = (2_000, 6_000);
-/// Such endpoints come so many times more rarely than all else.
-const NOTICES_RARER: u64 = 4;
-/// How long an endpoint names a limit, and which: it holds from three seconds on.
-const LIMITED_MS: (u64, u64) = (6_000, 10_000);
-const LIMITS_PER_S: std::ops::Range<u32> = 0..6;
-/// Such endpoints come so many times more rarely than all else.
-const LIMITS_RARER: u64 = 5;
-/// Their draws are those of another seed.
-const LIMITS_ROTATION: u32 = 17;
-/// How long a hall is drained: what reaches it counts from five seconds on.
-const HALL_DRAINED_MS: (u64, u64) = (6_000, 10_000);
-/// Drained halls come so many times more rarely than all else.
-const HALL_DRAINS_RARER: u64 = 8;
-/// Their draws are those of another seed.
-const HALL_DRAINS_ROTATION: u32 = 31;
-/// Added latency of a delayed link, and of a slow store.
+/// Mean interval between faults.
+const MEAN_INTERVAL_MS: f64 = 900.0;
+/// Duration of a temporary fault.
+const FAULT_DURATION_MS: (u64, u64) = (200, 4_000);
+/// Duration in which an endpoint sheds all load.
+const SHEDDING_DURATION_MS: (u64, u64) = (2_000, 6_000);
+/// Ratio of the mean interval between leaving or shedding endpoints to that of other faults.
+const NOTICE_INTERVAL_FACTOR: u64 = 4;
+/// Duration in which an endpoint advertises a limit, and the range of the limit. The promise applies after three seconds.
+const LIMIT_DURATION_MS: (u64, u64) = (6_000, 10_000);
+const LIMIT_RANGE_PER_S: std::ops::Range<u32> = 0..6;
+/// Ratio of the mean interval between advertised limits to that of other faults.
+const LIMIT_INTERVAL_FACTOR: u64 = 5;
+/// Bits by which the seed is rotated, for an independent sequence of draws.
+const LIMIT_SEED_ROTATION: u32 = 17;
+/// Duration of a hall drain. The promise applies after five seconds.
+const HALL_DRAIN_DURATION_MS: (u64, u64) = (6_000, 10_000);
+/// Ratio of the mean interval between hall drains to that of other faults.
+const HALL_DRAIN_INTERVAL_FACTOR: u64 = 8;
+/// Bits by which the seed is rotated, for an independent sequence of draws.
+const HALL_DRAIN_SEED_ROTATION: u32 = 31;
+/// Added latency of a delayed link or a slow store.
 const DELAY_MS: (u64, u64) = (20, 800);
-/// Chance that a fault is soon followed by another on the same box: signals come in series and overlap.
+/// Chance that a fault of a box's process is followed by another one, so that signals overlap.
 const SERIES_CHANCE: f64 = 0.3;
-/// Pause within a series.
-const SERIES_PAUSE_MS: (u64, u64) = (20, 700);
+/// Interval between such faults.
+const SERIES_INTERVAL_MS: (u64, u64) = (20, 700);
 
-/// How large a run is.
+/// The scale of a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Size {
-  /// Boxes.
+  /// Number of boxes.
   pub boxes: usize,
-  /// Places of endpoints.
+  /// Number of endpoints.
   pub places: usize,
-  /// How long faults come.
+  /// Period in which faults start.
   pub faults_ms: u64,
 }
 
-/// A fault at its time.
+/// A fault and its start time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Step {
-  /// When, since the traffic began.
+pub struct ScheduledFault {
+  /// Time since the start of the traffic.
   pub at_ms: u64,
-  /// What.
+  /// The fault.
   pub fault: Fault,
 }
 
-/// Draws the faults of a run, in the order of their times.
+/// Draws the faults of a run, sorted by time.
 ///
 /// ```
 /// use soak::{Size, draw_plan};
@@ -65,26 +65,26 @@
 /// assert_eq!(draw_plan(7, size), draw_plan(7, size));
 /// assert_ne!(draw_plan(7, size), draw_plan(8, size));
 /// ```
-pub fn draw_plan(seed: u64, size: Size) -> Vec<Step> {
+pub fn draw_plan(seed: u64, size: Size) -> Vec<ScheduledFault> {
   let mut draw = Draw {
     random: ChaCha8Rng::seed_from_u64(seed),
     size,
   };
   let mut steps = Vec::new();
-  let mut at_ms = draw.pause_ms();
+  let mut at_ms = draw.interval_ms();
   while at_ms < size.faults_ms {
     let fault = draw.fault();
-    steps.push(Step { at_ms, fault });
+    steps.push(ScheduledFault { at_ms, fault });
     if let Some(index) = box_of(fault)
       && draw.random.random_bool(SERIES_CHANCE)
     {
-      let later_ms = at_ms + draw.between(SERIES_PAUSE_MS);
-      steps.push(Step {
-        at_ms: later_ms,
+      let next_ms = at_ms + draw.between(SERIES_INTERVAL_MS);
+      steps.push(ScheduledFault {
+        at_ms: next_ms,
         fault: draw.process_fault(index),
       });
     }
-    at_ms += draw.pause_ms();
+    at_ms += draw.interval_ms();
   }
   steps.extend(draw_notices(seed, size));
   steps.extend(draw_limits(seed, size));
@@ -93,71 +93,71 @@
   steps
 }
 
-/// Draws endpoints that turn all away, or leave by their own word alone: apart from the others, whose times stay as they are.
-fn draw_notices(seed: u64, size: Size) -> Vec<Step> {
+/// Draws endpoints that shed load, or leave without an updated store entry, from a separate sequence.
+fn draw_notices(seed: u64, size: Size) -> Vec<ScheduledFault> {
   let mut draw = Draw {
     random: ChaCha8Rng::seed_from_u64(!seed),
     size,
   };
   let mut steps = Vec::new();
-  let mut at_ms = NOTICES_RARER * draw.pause_ms();
+  let mut at_ms = NOTICE_INTERVAL_FACTOR * draw.interval_ms();
   while at_ms < size.faults_ms {
     let place = draw.random.random_range(0..size.places);
     let fault = if draw.random.random_bool(0.5) {
       Fault::EndpointLeavesUnlisted { place }
     } else {
       Fault::Endpoint {
-        fault: EndpointFault::Sheds,
-        for_ms: draw.between(SHEDS_MS),
+        fault: EndpointFault::ShedsLoad,
+        for_ms: draw.between(SHEDDING_DURATION_MS),
         place,
       }
     };
-    steps.push(Step { at_ms, fault });
-    at_ms += NOTICES_RARER * draw.pause_ms();
+    steps.push(ScheduledFault { at_ms, fault });
+    at_ms += NOTICE_INTERVAL_FACTOR * draw.interval_ms();
   }
   steps
 }
 
-/// Draws endpoints that name limits, apart from all others.
-fn draw_limits(seed: u64, size: Size) -> Vec<Step> {
+/// Draws endpoints that advertise limits, from a separate sequence.
+fn draw_limits(seed: u64, size: Size) -> Vec<ScheduledFault> {
   let mut draw = Draw {
-    random: ChaCha8Rng::seed_from_u64(seed.rotate_left(LIMITS_ROTATION)),
+    random: ChaCha8Rng::seed_from_u64(seed.rotate_left(LIMIT_SEED_ROTATION)),
     size,
   };
   let mut steps = Vec::new();
-  let mut at_ms = draw.pause_ms();
+  let mut at_ms = draw.interval_ms();
   while at_ms < size.faults_ms {
     let fault = Fault::EndpointLimited {
-      for_ms: draw.between(LIMITED_MS),
-      per_s: draw.random.random_range(LIMITS_PER_S),
+      for_ms: draw.between(LIMIT_DURATION_MS),
+      per_s: draw.random.random_range(LIMIT_RANGE_PER_S),
       place: draw.random.random_range(0..size.places),
     };
-    steps.push(Step { at_ms, fault });
-    at_ms += LIMITS_RARER * draw.pause_ms();
+    steps.push(ScheduledFault { at_ms, fault });
+    at_ms += LIMIT_INTERVAL_FACTOR * draw.interval_ms();
   }
   steps
 }
 
-/// Draws data halls that operators drain, apart from all others; both may be drained at once.
-fn draw_hall_drains(seed: u64, size: Size) -> Vec<Step> {
+/// Draws hall drains, from a separate sequence. Both halls may be drained at once.
+fn draw_hall_drains(seed: u64, size: Size) -> Vec<ScheduledFault> {
   let mut draw = Draw {
-    random: ChaCha8Rng::seed_from_u64(seed.rotate_left(HALL_DRAINS_ROTATION)),
+    random: ChaCha8Rng::seed_from_u64(seed.rotate_left(HALL_DRAIN_SEED_ROTATION)),
     size,
   };
   let mut steps = Vec::new();
-  let mut at_ms = draw.pause_ms();
+  let mut at_ms = draw.interval_ms();
   while at_ms < size.faults_ms {
     let fault = Fault::HallDrained {
-      for_ms: draw.between(HALL_DRAINED_MS),
+      for_ms: draw.between(HALL_DRAIN_DURATION_MS),
       hall: draw.one_of(&[Hall::North, Hall::South]),
     };
-    steps.push(Step { at_ms, fault });
-    at_ms += HALL_DRAINS_RARER * draw.pause_ms();
+    steps.push(ScheduledFault { at_ms, fault });
+    at_ms += HALL_DRAIN_INTERVAL_FACTOR * draw.interval_ms();
   }
   steps
 }
 
-/// The box whose process a fault strikes.
+/// The box whose process a fault concerns.
 fn box_of(fault: Fault) -> Option<usize> {
   match fault {
     Fault::BoxKilled { index, .. }
@@ -174,20 +174,20 @@
 }
 
 impl Draw {
-  fn between(&mut self, (least, most): (u64, u64)) -> u64 {
-    self.random.random_range(least..=most)
+  fn between(&mut self, (min, max): (u64, u64)) -> u64 {
+    self.random.random_range(min..=max)
   }
 
-  /// An exponential pause: faults cluster as they do by chance.
-  fn pause_ms(&mut self) -> u64 {
+  /// An exponentially distributed interval, so that faults cluster.
+  fn interval_ms(&mut self) -> u64 {
     let draw: f64 = self.random.random();
-    (-MEAN_PAUSE_MS * (1.0 - draw).ln()) as u64 + 1
+    (-MEAN_INTERVAL_MS * (1.0 - draw).ln()) as u64 + 1
   }
 
   fn fault(&mut self) -> Fault {
     let index = self.random.random_range(0..self.size.boxes);
     let place = self.random.random_range(0..self.size.places);
-    let for_ms = self.between(LASTS_MS);
+    let for_ms = self.between(FAULT_DURATION_MS);
     match self.random.random_range(0..12) {
       0..3 => self.process_fault(index),
       3 => Fault::CallerLink {
@@ -219,23 +219,23 @@
         for_ms,
         place,
       },
-      10 => Fault::AddressesExchanged {
+      10 => Fault::AddressesSwapped {
         other: self.random.random_range(0..self.size.places),
         place,
       },
-      _ => Fault::Configured,
+      _ => Fault::ConfigurationChanged,
     }
   }
 
   fn process_fault(&mut self, index: usize) -> Fault {
     match self.random.random_range(0..4) {
       0 => Fault::BoxKilled {
-        down_ms: self.between(LASTS_MS),
+        down_ms: self.between(FAULT_DURATION_MS),
         index,
       },
       1 => Fault::BoxStopped { index },
       2 => Fault::BoxPaused {
-        for_ms: self.between(LASTS_MS),
+        for_ms: self.between(FAULT_DURATION_MS),
         index,
       },
       _ => Fault::BoxReloaded { index },
@@ -246,9 +246,9 @@
     let delay_ms = self.between(DELAY_MS);
     let faults = [
       LinkFault::Delayed { delay_ms },
-      LinkFault::Silent,
-      LinkFault::SilentForward,
-      LinkFault::SilentBack,
+      LinkFault::Blocked,
+      LinkFault::BlockedForward,
+      LinkFault::BlockedBack,
       LinkFault::Reset,
     ];
     self.one_of(&faults)
@@ -259,10 +259,10 @@
     let faults = [
       StoreFault::Down,
       StoreFault::Slow { delay_ms },
-      StoreFault::LosesAnswers,
-      StoreFault::ForgetsHistory,
+      StoreFault::DropsResponses,
+      StoreFault::CompactsHistory,
       StoreFault::LosesEntries,
-      StoreFault::EndsLeases,
+      StoreFault::ExpiresLeases,
     ];
     self.one_of(&faults)
   }
@@ -270,11 +270,11 @@
   fn endpoint_fault(&mut self) -> EndpointFault {
     let faults = [
       EndpointFault::Fails,
-      EndpointFault::LosesAnswers,
-      EndpointFault::CutsAnswers,
-      EndpointFault::Mute,
+      EndpointFault::DropsResponses,
+      EndpointFault::TruncatesResponses,
+      EndpointFault::Hangs,
       EndpointFault::Full,
-      EndpointFault::Confuses,
+      EndpointFault::WrongRequestId,
       EndpointFault::Slow,
     ];
     self.one_of(&faults)
--- a/soak/src/play.rs
+++ b/soak/src/play.rs
@@ -1,14 +1,14 @@
-//! One run: traffic while faults come, then calm, then an end in which engines must be empty.
+//! A run: traffic with faults, then a recovery period, then a check that engines have released all resources.
 
 use {
   super::{
     breach::Breach,
     caller::{Caller, CallerWork},
-    conductor::{carry_out, crash_again},
-    engine_news::{EngineNews, EngineNewsItem},
+    engine_event::{EngineEvent, EngineEventReceiver},
     error::{Error, Result},
+    fault_injector::{crash_and_restart, inject},
     fleet::Fleet,
-    plan::{Size, Step, draw_plan},
+    plan::{ScheduledFault, Size, draw_plan},
     promises::breaches,
     records::{Outcome, Records},
   },
@@ -20,61 +20,61 @@
   },
 };
 
-/// How long all boxes have to come up, and to come back after the last fault.
-const START_LIMIT: Duration = Duration::from_secs(30);
-/// Pause of the balancer between its questions.
-const LOOK_PAUSE: Duration = Duration::from_millis(300);
-/// Calm traffic after the last fault: the users' bound on contact, and as long again to be served in.
-const CALM: Duration = Duration::from_millis(8_000);
-/// How long callers may take to end their last requests.
-const CALLERS_LIMIT: Duration = Duration::from_secs(8);
-/// Engines are empty this long after the traffic: reservations and prompts lapse in 1.5 s.
-const EMPTY_AFTER: Duration = Duration::from_millis(2_500);
+/// Time in which all boxes must become ready, at the start and after the last fault.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval between polls of the load balancer.
+const POLL_INTERVAL: Duration = Duration::from_millis(300);
+/// Traffic after the last fault: the bound on contact, and about as long to measure the share that is served.
+const RECOVERY_PERIOD: Duration = Duration::from_millis(8_000);
+/// Time in which callers must finish their last requests.
+const CALLERS_TIMEOUT: Duration = Duration::from_secs(8);
+/// Time after the end of the traffic until engines must be empty: reservations and prompts expire within 1.5 s.
+const RELEASE_PERIOD: Duration = Duration::from_millis(2_500);
 
-/// What to play.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-  /// The program whose boxes are run.
+  /// Path of the gateway program.
   pub program: PathBuf,
-  /// Draws the faults and the callers' choices.
+  /// Seed of the faults and the callers' choices.
   pub seed: u64,
-  /// Boxes, endpoints, and how long faults come.
+  /// Number of boxes and endpoints, and duration of the faults.
   pub size: Size,
-  /// Callers at work at once.
+  /// Number of concurrent callers.
   pub callers: u64,
-  /// Stretches the promises' bounds on time, for the machine.
+  /// Additional time in the promises' bounds, for a loaded machine.
   pub slack_ms: u64,
-  /// Where settings and the boxes' logs go.
+  /// Directory of the settings files and logs.
   pub directory: PathBuf,
 }
 
-/// What a run came to.
+/// Result of a run.
 #[derive(Debug)]
 pub struct Report {
-  /// The faults that were played.
-  pub steps: Vec<Step>,
-  /// What was seen.
+  /// The faults that were injected.
+  pub faults: Vec<ScheduledFault>,
+  /// What was observed.
   pub records: Records,
-  /// Promises that were broken.
+  /// The breaches that were found.
   pub breaches: Vec<Breach>,
 }
 
 impl Report {
-  /// How many requests ended in a way.
-  pub fn count(&self, ended: impl Fn(&Outcome) -> bool) -> usize {
+  /// Number of requests whose outcome matches.
+  pub fn count(&self, matches: impl Fn(&Outcome) -> bool) -> usize {
     let outcomes = self
       .records
       .requests
       .values()
       .filter_map(|request| request.outcome.as_ref());
-    outcomes.filter(|outcome| ended(outcome)).count()
+    outcomes.filter(|outcome| matches(outcome)).count()
   }
 }
 
-/// Plays one run. Fails when it can't be played; broken promises stand in the report.
+/// Plays one run. Fails if it can't be carried out; breaches are part of the report.
 pub async fn play(options: &Options) -> Result<Report> {
   let size = options.size;
-  let (fleet, engine_news) = Fleet::start(
+  let (fleet, engine_events) = Fleet::start(
     &options.program,
     &options.directory,
     size.boxes,
@@ -83,46 +83,46 @@
   .await?;
   let fleet = Arc::new(fleet);
   wait_until_ready(&fleet).await?;
-  let mut background = start_background(&fleet, engine_news);
-  let (end, ended) = watch::channel(false);
-  let mut callers = start_callers(&fleet, options, &ended);
-  let steps = draw_plan(options.seed, size);
-  play_steps(&fleet, &steps).await?;
+  let mut background = start_background(&fleet, engine_events);
+  let (stop, stopped) = watch::channel(false);
+  let mut callers = start_callers(&fleet, options, &stopped);
+  let faults = draw_plan(options.seed, size);
+  inject_faults(&fleet, &faults).await?;
   wait_until_ready(&fleet).await?;
-  let calm_ms = fleet.ledger.now_ms();
-  fleet.ledger.records().calm_ms = Some(calm_ms);
-  sleep(CALM).await;
-  end_traffic(&end, &mut callers).await;
-  sleep(EMPTY_AFTER).await;
-  let held = fleet.held();
-  fleet.ledger.records().held_at_end = held;
+  let faults_ended_ms = fleet.recorder.now_ms();
+  fleet.recorder.records().faults_ended_ms = Some(faults_ended_ms);
+  sleep(RECOVERY_PERIOD).await;
+  stop_callers(&stop, &mut callers).await;
+  sleep(RELEASE_PERIOD).await;
+  let resources = fleet.unreleased_resources();
+  fleet.recorder.records().unreleased_resources = resources;
   background.shutdown().await;
-  let records = fleet.ledger.records().clone();
+  let records = fleet.recorder.records().clone();
   Ok(Report {
     breaches: breaches(&records, options.slack_ms),
     records,
-    steps,
+    faults,
   })
 }
 
-/// What runs beside the traffic until the end: the balancer, the questions for versions, and the engines' entries.
-fn start_background(fleet: &Arc<Fleet>, engine_news: EngineNews) -> JoinSet<()> {
+/// Starts the tasks that run until the end: readiness polls, configuration probes and the handler of engine events.
+fn start_background(fleet: &Arc<Fleet>, engine_events: EngineEventReceiver) -> JoinSet<()> {
   let mut background = JoinSet::new();
-  background.spawn(keep_looking(fleet.clone()));
-  background.spawn(keep_probing(fleet.clone()));
-  background.spawn(follow_engines(fleet.clone(), engine_news));
+  background.spawn(poll_boxes(fleet.clone()));
+  background.spawn(probe_boxes(fleet.clone()));
+  background.spawn(handle_engine_events(fleet.clone(), engine_events));
   background
 }
 
 fn start_callers(
   fleet: &Arc<Fleet>,
   options: &Options,
-  ended: &watch::Receiver<bool>,
+  stopped: &watch::Receiver<bool>,
 ) -> JoinSet<()> {
   let mut callers = JoinSet::new();
   for number in 0..options.callers {
     let caller = Caller::new(fleet.clone(), number, options.seed, CallerWork::Mixed);
-    callers.spawn(caller.run(ended.clone()));
+    callers.spawn(caller.run(stopped.clone()));
   }
   let crashing = Caller::new(
     fleet.clone(),
@@ -130,34 +130,37 @@
     options.seed,
     CallerWork::Crashing,
   );
-  callers.spawn(crashing.run(ended.clone()));
+  callers.spawn(crashing.run(stopped.clone()));
   callers
 }
 
-/// Tells the callers to end, and waits for their last requests.
-async fn end_traffic(end: &watch::Sender<bool>, callers: &mut JoinSet<()>) {
-  // All callers hold a receiver until they end.
-  let _ = end.send(true);
-  // One that is stuck shows as a request without an outcome.
-  let _ = timeout(CALLERS_LIMIT, async {
+/// Stops the callers and waits for their last requests.
+async fn stop_callers(stop: &watch::Sender<bool>, callers: &mut JoinSet<()>) {
+  // The send succeeds while a caller is running.
+  let _ = stop.send(true);
+  // A caller that does not finish leaves a request without an outcome.
+  let _ = timeout(CALLERS_TIMEOUT, async {
     while callers.join_next().await.is_some() {}
   })
   .await;
 }
 
-/// Begins each fault at its time, and waits for the last to end.
-async fn play_steps(fleet: &Arc<Fleet>, steps: &[Step]) -> Result {
-  let begun_ms = fleet.ledger.now_ms();
+/// Starts each fault at its time and waits until all are over.
+async fn inject_faults(fleet: &Arc<Fleet>, faults: &[ScheduledFault]) -> Result {
+  let start_ms = fleet.recorder.now_ms();
   let mut running = JoinSet::new();
-  for step in steps {
-    let passed_ms = fleet.ledger.now_ms() - begun_ms;
-    sleep(Duration::from_millis(step.at_ms.saturating_sub(passed_ms))).await;
-    let (fleet, fault) = (fleet.clone(), step.fault);
-    running.spawn(async move { carry_out(&fleet, fault).await });
+  for scheduled in faults {
+    let elapsed_ms = fleet.recorder.now_ms() - start_ms;
+    sleep(Duration::from_millis(
+      scheduled.at_ms.saturating_sub(elapsed_ms),
+    ))
+    .await;
+    let (fleet, fault) = (fleet.clone(), scheduled.fault);
+    running.spawn(async move { inject(&fleet, fault).await });
   }
-  while let Some(ended) = running.join_next().await {
-    match ended {
-      Ok(result) => result?,
+  while let Some(result) = running.join_next().await {
+    match result {
+      Ok(outcome) => outcome?,
       Err(error) => std::panic::resume_unwind(error.into_panic()),
     }
   }
@@ -168,42 +171,42 @@
   let mut missing = fleet.boxes.len();
   let waiting = async {
     loop {
-      missing = fleet.look().await;
+      missing = fleet.poll_readiness().await;
       if missing == 0 {
         return;
       }
-      sleep(LOOK_PAUSE).await;
+      sleep(POLL_INTERVAL).await;
     }
   };
-  let is_ready = timeout(START_LIMIT, waiting).await.is_ok();
+  let is_ready = timeout(START_TIMEOUT, waiting).await.is_ok();
   is_ready.then_some(()).ok_or(Error::NotReady(missing))
 }
 
-async fn keep_looking(fleet: Arc<Fleet>) {
+async fn poll_boxes(fleet: Arc<Fleet>) {
   loop {
-    sleep(LOOK_PAUSE).await;
-    fleet.look().await;
+    sleep(POLL_INTERVAL).await;
+    fleet.poll_readiness().await;
   }
 }
 
-async fn keep_probing(fleet: Arc<Fleet>) {
+async fn probe_boxes(fleet: Arc<Fleet>) {
   loop {
     for index in 0..fleet.boxes.len() {
       fleet.probe(index).await;
     }
-    sleep(LOOK_PAUSE).await;
+    sleep(POLL_INTERVAL).await;
   }
 }
 
-/// Writes the entries of engines that have changed their role, and starts those again that a request has ended.
-async fn follow_engines(fleet: Arc<Fleet>, mut news: EngineNews) {
+/// Updates the entries of engines that switched their role, and restarts engines that a request crashed.
+async fn handle_engine_events(fleet: Arc<Fleet>, mut events: EngineEventReceiver) {
   let mut restarts = JoinSet::new();
-  while let Some(told) = news.recv().await {
-    match told {
-      EngineNewsItem::ChangedPart { place } => fleet.enter(place),
-      EngineNewsItem::Crashed { place, incarnation } => {
+  while let Some(event) = events.recv().await {
+    match event {
+      EngineEvent::RoleChanged { place } => fleet.register(place),
+      EngineEvent::Crashed { place, incarnation } => {
         let fleet = fleet.clone();
-        restarts.spawn(async move { crash_again(&fleet, place, &incarnation).await });
+        restarts.spawn(async move { crash_and_restart(&fleet, place, &incarnation).await });
       }
     }
     while restarts.try_join_next().is_some() {}
--- a/soak/src/promises.rs
+++ b/soak/src/promises.rs
@@ -1,40 +1,40 @@
-//! The promises of the users' pages, checked against the records of a run.
+//! Checks the promises against the records of a run.
 
 use {
   super::{
     breach::Breach,
     caller_key::CallerKey,
-    calm::{CONFIGURE_MS, CONTACT_MS},
     cold_check::cold_breaches,
     hall_check::hall_breaches,
     limit_check::limit_breaches,
     notice_check::notice_breaches,
     organisation_check::organisation_breaches,
     promise::Promise,
-    records::{OrderRecord, Outcome, PlannedStop, Probe, Records, RequestRecord},
+    records::{Outcome, PlannedStop, Probe, Records, RequestRecord, RoleCommandRecord},
     request_check::RequestCheck,
     request_kind::RequestKind,
+    undisturbed::{CONFIGURATION_MS, CONTACT_MS},
   },
   std::collections::BTreeMap,
 };
 
-/// Ends of engines after which a request is held, and runs that it may still have (the users' bounds).
-const ENDS_BEFORE_HELD: usize = 3;
-const MOST_RUNS_HELD: usize = 3;
-/// Share of requests that is served once recovered.
+/// Number of crashes after which a request is quarantined, and of runs that are allowed after that.
+const CRASHES_BEFORE_QUARANTINE: usize = 3;
+const MAX_QUARANTINED_RUNS: usize = 3;
+/// Share of requests that must be served after recovery.
 const RECOVERED_SHARE: f64 = 0.9;
 
-/// Checks all promises. Bounds on time are stretched by `slack_ms`, for the machine that runs all this.
+/// Checks all promises. `slack_ms` extends the time bounds, for a loaded machine.
 pub fn breaches(records: &Records, slack_ms: u64) -> Vec<Breach> {
   let check = Check { records, slack_ms };
   let mut breaches = Vec::new();
   breaches.extend(check.requests().flat_map(|request| request.breaches()));
-  breaches.extend(check.unasked());
+  breaches.extend(check.unrequested_runs());
   breaches.extend(check.configuration());
   breaches.extend(check.planned_stops());
-  breaches.extend(check.orders());
+  breaches.extend(check.role_commands());
   breaches.extend(check.crashes());
-  breaches.extend(check.held());
+  breaches.extend(check.unreleased_resources());
   breaches.extend(check.recovery());
   breaches.extend(organisation_breaches(records, slack_ms));
   breaches.extend(notice_breaches(records, slack_ms));
@@ -44,7 +44,7 @@
   breaches
 }
 
-/// Records of a whole run, to be checked.
+/// Context of a check.
 struct Check<'a> {
   records: &'a Records,
   slack_ms: u64,
@@ -62,28 +62,30 @@
     })
   }
 
-  fn unasked(&self) -> impl Iterator<Item = Breach> {
-    let seen = self.records.unasked.iter();
-    let seen = seen.chain(&self.records.mixed_prompts);
-    seen.map(|seen| Breach::new(Promise::OnlyWhatWasAsked, seen))
+  fn unrequested_runs(&self) -> impl Iterator<Item = Breach> {
+    let observed = self.records.unrequested_runs.iter();
+    let observed = observed.chain(&self.records.mismatched_prompts);
+    observed.map(|observed| Breach::new(Promise::OnlyRequestedWork, observed))
   }
 
   fn configuration(&self) -> Vec<Breach> {
     let mut found = Vec::new();
-    // The newest version that each process had, and when it was first seen there.
+    // The newest version applied by each process, and the time of the first probe that showed it.
     let mut newest: BTreeMap<(usize, u64), (u64, u64)> = BTreeMap::new();
     for probe in &self.records.probes {
-      let life = (probe.box_index, probe.life);
+      let process = (probe.box_index, probe.process_number);
       match probe.in_force {
         Some(true) => {
-          let seen = newest.entry(life).or_insert((probe.version, probe.sent_ms));
-          if probe.version > seen.0 {
-            *seen = (probe.version, probe.sent_ms);
+          let observed = newest
+            .entry(process)
+            .or_insert((probe.version, probe.sent_ms));
+          if probe.version > observed.0 {
+            *observed = (probe.version, probe.sent_ms);
           }
         }
         Some(false) => {
-          found.extend(has_gone_back(probe, newest.get(&life).copied()));
-          found.extend(self.is_late(probe));
+          found.extend(reverted_configuration(probe, newest.get(&process).copied()));
+          found.extend(self.late_configuration(probe));
         }
         None => {}
       }
@@ -91,10 +93,10 @@
     found
   }
 
-  /// A version that a box does not have although it has long been acknowledged.
-  fn is_late(&self, probe: &Probe) -> Option<Breach> {
+  /// A version that a box has not applied within the bound after the store acknowledged it.
+  fn late_configuration(&self, probe: &Probe) -> Option<Breach> {
     let acknowledged_ms = *self.records.versions.get(&probe.version)?;
-    let due_ms = acknowledged_ms + CONFIGURE_MS + self.slack_ms;
+    let due_ms = acknowledged_ms + CONFIGURATION_MS + self.slack_ms;
     if probe.sent_ms <= due_ms
       || !self
         .records
@@ -102,48 +104,48 @@
     {
       return None;
     }
-    let seen = format!("acknowledged at {acknowledged_ms} ms: {probe:?}");
-    Some(Breach::new(Promise::Configured, seen))
+    let observed = format!("acknowledged at {acknowledged_ms} ms: {probe:?}");
+    Some(Breach::new(Promise::ConfigurationInTime, observed))
   }
 
   fn planned_stops(&self) -> impl Iterator<Item = Breach> {
     let stops = self.records.stops.iter();
     stops.flat_map(|stop| {
       let requests = self.requests();
-      let cut = requests.filter_map(move |request| request.is_cut_by(stop));
-      cut.chain(self.is_unclean(stop))
+      let cut = requests.filter_map(move |request| request.cut_by_stop(stop));
+      cut.chain(self.unclean_exit(stop))
     })
   }
 
-  /// A process that was told to stop, was left alone, and did not end by itself and well.
-  fn is_unclean(&self, stop: &PlannedStop) -> Option<Breach> {
-    let is_left_alone = self.records.is_box_undisturbed(stop);
-    if stop.is_clean || !is_left_alone {
+  /// A process that did not exit successfully by itself after its stop signal, without other disturbances.
+  fn unclean_exit(&self, stop: &PlannedStop) -> Option<Breach> {
+    let is_undisturbed = self.records.is_stop_undisturbed(stop);
+    if stop.is_clean || !is_undisturbed {
       return None;
     }
-    Some(Breach::new(Promise::StopCutsNothing, format!("{stop:?}")))
+    Some(Breach::new(Promise::GracefulStop, format!("{stop:?}")))
   }
 
-  fn orders(&self) -> Vec<Breach> {
-    let mut newest: BTreeMap<&str, &OrderRecord> = BTreeMap::new();
+  fn role_commands(&self) -> Vec<Breach> {
+    let mut newest: BTreeMap<&str, &RoleCommandRecord> = BTreeMap::new();
     let mut found = Vec::new();
-    for order in &self.records.orders {
-      let Some(last) = newest.insert(&order.incarnation, order) else {
+    for command in &self.records.role_commands {
+      let Some(last) = newest.insert(&command.incarnation, command) else {
         continue;
       };
-      let is_shared = order.fence == last.fence && order.holder != last.holder;
-      if order.fence < last.fence || is_shared {
+      let is_shared_fence = command.fence == last.fence && command.holder != last.holder;
+      if command.fence < last.fence || is_shared_fence {
         let last = (last.fence, &last.holder);
-        let seen = format!("{order:?} after {last:?}");
-        found.push(Breach::new(Promise::OneSteward, seen));
+        let observed = format!("{command:?} after {last:?}");
+        found.push(Breach::new(Promise::SingleRoleLeader, observed));
       }
     }
     found
   }
 
-  /// A request that ends engines is sent on by boxes that had time to hear of its third end, more often than is allowed.
+  /// Runs of a crashing request over the allowed number, at boxes that had time to learn of its third crash.
   fn crashes(&self) -> Option<Breach> {
-    let third_ms = *self.records.crashes.get(ENDS_BEFORE_HELD - 1)?;
+    let third_ms = *self.records.crashes.get(CRASHES_BEFORE_QUARANTINE - 1)?;
     let known_ms = third_ms + CONTACT_MS + self.slack_ms;
     let late = self.records.requests.iter().flat_map(|(id, request)| {
       let is_late = |began_ms: &u64| {
@@ -160,53 +162,53 @@
         .collect::<Vec<_>>()
     });
     let late: Vec<String> = late.collect();
-    if late.len() <= MOST_RUNS_HELD {
+    if late.len() <= MAX_QUARANTINED_RUNS {
       return None;
     }
-    let seen = format!("the third end was at {third_ms} ms: {late:?}");
-    Some(Breach::new(Promise::FewCrashes, seen))
+    let observed = format!("the third crash was at {third_ms} ms: {late:?}");
+    Some(Breach::new(Promise::QuarantineHonoured, observed))
   }
 
-  fn held(&self) -> impl Iterator<Item = Breach> {
-    let held = self.records.held_at_end.iter();
-    held.map(|held| Breach::new(Promise::NothingHeld, held))
+  fn unreleased_resources(&self) -> impl Iterator<Item = Breach> {
+    let resources = self.records.unreleased_resources.iter();
+    resources.map(|resource| Breach::new(Promise::ResourcesReleased, resource))
   }
 
   fn recovery(&self) -> Option<Breach> {
-    let since_ms = self.records.calm_ms? + CONTACT_MS;
+    let since_ms = self.records.faults_ended_ms? + CONTACT_MS;
     let late: Vec<&RequestRecord> = self
       .records
       .requests
       .values()
-      .filter(|request| request.sent_ms >= since_ms && request.outcome != Some(Outcome::Left))
-      // Who asks for several times its limit is not served all of it.
+      .filter(|request| request.sent_ms >= since_ms && request.outcome != Some(Outcome::Disconnected))
+      // The organisation over its limit is not served all of its requests.
       .filter(|request| request.key != CallerKey::Hot)
-      // Nobody expects what ends engines to be served.
+      // Requests that crash engines are not expected to be served.
       .filter(|request| request.kind != RequestKind::CrashingStream)
       .collect();
     let served = late.iter().filter(|request| is_served(request)).count();
-    // Without a request nothing is shown.
+    // A run without requests does not show recovery.
     if served > 0 && served as f64 >= RECOVERED_SHARE * late.len() as f64 {
       return None;
     }
-    let seen = format!("{served} of {} served after {since_ms} ms", late.len());
-    Some(Breach::new(Promise::Recovered, seen))
+    let observed = format!("{served} of {} served after {since_ms} ms", late.len());
+    Some(Breach::new(Promise::Recovered, observed))
   }
 }
 
-/// A version that a box does not have although the same process had it, or a newer one, before.
-fn has_gone_back(probe: &Probe, newest: Option<(u64, u64)>) -> Option<Breach> {
-  let (version, seen_ms) = newest?;
-  if version < probe.version || probe.sent_ms <= seen_ms {
+/// A version that a process no longer has although it had the same or a newer one before.
+fn reverted_configuration(probe: &Probe, newest: Option<(u64, u64)>) -> Option<Breach> {
+  let (version, observed_ms) = newest?;
+  if version < probe.version || probe.sent_ms <= observed_ms {
     return None;
   }
-  let seen = format!(
-    "box {} had {version} at {seen_ms} ms: {probe:?}",
+  let observed = format!(
+    "box {} had {version} at {observed_ms} ms: {probe:?}",
     probe.box_index
   );
-  Some(Breach::new(Promise::NeverBack, seen))
+  Some(Breach::new(Promise::ConfigurationMonotonic, observed))
 }
 
 fn is_served(request: &RequestRecord) -> bool {
-  matches!(&request.outcome, Some(Outcome::Whole { status, .. }) if (200..300).contains(status))
+  matches!(&request.outcome, Some(Outcome::Complete { status, .. }) if (200..300).contains(status))
 }
--- a/soak/src/ledger.rs
+++ b/soak/src/recorder.rs
@@ -1,11 +1,12 @@
-//! The book that all parts of a run write their records in.
+//! The shared recorder of a run.
 
 use {
   super::{
     caller_key::CallerKey,
     disturbance::{Disturbance, Target},
     records::{
-      NamedLimit, Outcome, Records, RequestRecord, Run, Start, ToldLeaving, ToldLimit, TurnedAway,
+      AdvertisedLimit, LeavingReceived, LimitReceived, Outcome, Records, Rejection, RequestRecord,
+      Run, Start,
     },
     request_kind::RequestKind,
   },
@@ -15,14 +16,14 @@
   },
 };
 
-/// The shared book of records, with the run's clock.
+/// Records of a run, shared by its tasks, with the run's clock.
 #[derive(Clone)]
-pub struct Ledger {
+pub struct Recorder {
   started: Instant,
   records: Arc<Mutex<Records>>,
 }
 
-impl Default for Ledger {
+impl Default for Recorder {
   fn default() -> Self {
     Self {
       records: Arc::default(),
@@ -31,20 +32,26 @@
   }
 }
 
-impl Ledger {
-  /// Time since the run began.
+impl Recorder {
+  /// Time since the start of the run.
   pub fn now_ms(&self) -> u64 {
     u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
   }
 
   /// The records, locked.
   pub fn records(&self) -> MutexGuard<'_, Records> {
-    // A task that panicked while it wrote leaves whole records behind: each write is one assignment or push.
+    // Each write is one assignment or push, so that a panic leaves no partial record.
     self.records.lock().unwrap_or_else(PoisonError::into_inner)
   }
 
-  /// A caller sends a request.
-  pub(crate) fn sent(&self, id: &str, kind: RequestKind, key: CallerKey, box_index: usize) {
+  /// Records that a caller sends a request.
+  pub(crate) fn record_request(
+    &self,
+    id: &str,
+    kind: RequestKind,
+    key: CallerKey,
+    box_index: usize,
+  ) {
     let record = RequestRecord {
       box_index,
       ended_ms: None,
@@ -57,8 +64,8 @@
     self.records().requests.insert(id.into(), record);
   }
 
-  /// A request ended for its caller.
-  pub(crate) fn ended(&self, id: &str, outcome: Outcome) {
+  /// Records the outcome of a request for its caller.
+  pub(crate) fn record_outcome(&self, id: &str, outcome: Outcome) {
     let now_ms = self.now_ms();
     if let Some(record) = self.records().requests.get_mut(id) {
       record.ended_ms = Some(now_ms);
@@ -66,61 +73,61 @@
     }
   }
 
-  /// A caller has an answer of an endpoint that leaves.
-  pub(crate) fn told_leaving(&self, box_index: usize, incarnation: &str) {
-    let told = ToldLeaving {
+  /// Records that a caller received a leaving signal.
+  pub(crate) fn record_leaving_received(&self, box_index: usize, incarnation: &str) {
+    let received = LeavingReceived {
       at_ms: self.now_ms(),
       box_index,
       incarnation: incarnation.into(),
     };
-    self.records().told_leaving.push(told);
+    self.records().leaving_received.push(received);
   }
 
-  /// A caller has an answer of an endpoint that names a limit.
-  pub(crate) fn told_limit(&self, box_index: usize, incarnation: &str) {
-    let told = ToldLimit {
+  /// Records that a caller received an advertised limit.
+  pub(crate) fn record_limit_received(&self, box_index: usize, incarnation: &str) {
+    let received = LimitReceived {
       at_ms: self.now_ms(),
       box_index,
       incarnation: incarnation.into(),
     };
-    self.records().told_limits.push(told);
+    self.records().limits_received.push(received);
   }
 
-  /// An endpoint names a limit from now on, and the one that it named before no more.
-  pub(crate) fn names_limit(&self, incarnation: &str, per_s: u32) {
-    self.names_no_limit(incarnation);
-    let named = NamedLimit {
+  /// Records that an endpoint advertises a limit from now on, in place of an earlier one.
+  pub(crate) fn begin_limit(&self, incarnation: &str, per_s: u32) {
+    self.end_limit(incarnation);
+    let limit = AdvertisedLimit {
       from_ms: self.now_ms(),
       incarnation: incarnation.into(),
       per_s,
       until_ms: None,
     };
-    self.records().named_limits.push(named);
+    self.records().advertised_limits.push(limit);
   }
 
-  /// An endpoint names none any more.
-  pub(crate) fn names_no_limit(&self, incarnation: &str) {
+  /// Records that an endpoint no longer advertises a limit.
+  pub(crate) fn end_limit(&self, incarnation: &str) {
     let now_ms = self.now_ms();
     let mut records = self.records();
-    let named = records.named_limits.iter_mut();
-    for named in named.filter(|named| named.incarnation == incarnation) {
-      named.until_ms.get_or_insert(now_ms);
+    let limits = records.advertised_limits.iter_mut();
+    for limit in limits.filter(|limit| limit.incarnation == incarnation) {
+      limit.until_ms.get_or_insert(now_ms);
     }
   }
 
-  /// An endpoint turns a request away, and wants none for a while.
-  pub(crate) fn turned_away(&self, id: &str, incarnation: &str, pause_ms: u64) {
-    let turned_away = TurnedAway {
+  /// Records that an endpoint rejects a request and asks the box to back off.
+  pub(crate) fn record_rejection(&self, id: &str, incarnation: &str, retry_after_ms: u64) {
+    let rejection = Rejection {
       at_ms: self.now_ms(),
       id: id.into(),
       incarnation: incarnation.into(),
-      pause_ms,
+      retry_after_ms,
     };
-    self.records().turned_away.push(turned_away);
+    self.records().rejections.push(rejection);
   }
 
-  /// An endpoint starts.
-  pub(crate) fn started(&self, incarnation: &str) {
+  /// Records the start of an endpoint.
+  pub(crate) fn record_start(&self, incarnation: &str) {
     let start = Start {
       at_ms: self.now_ms(),
       incarnation: incarnation.into(),
@@ -128,8 +135,8 @@
     self.records().starts.push(start);
   }
 
-  /// An endpoint begins to run a request; the run lasts until the guard is dropped.
-  pub(crate) fn run(
+  /// Records the start of a run at an endpoint, which ends when the guard is dropped.
+  pub(crate) fn begin_run(
     &self,
     id: &str,
     place: usize,
@@ -142,7 +149,9 @@
       return RunGuard(None);
     }
     let Some(record) = records.requests.get_mut(id) else {
-      records.unasked.push(format!("{id} at {incarnation}"));
+      records
+        .unrequested_runs
+        .push(format!("{id} at {incarnation}"));
       return RunGuard(None);
     };
     record.runs.push(Run {
@@ -155,8 +164,8 @@
     RunGuard(Some((self.clone(), id.into(), record.runs.len() - 1)))
   }
 
-  /// Something begins to misbehave, until the guard is dropped.
-  pub(crate) fn disturb(&self, target: Target) -> DisturbanceGuard {
+  /// Records the start of a disturbance, which ends when the guard is dropped.
+  pub(crate) fn begin_disturbance(&self, target: Target) -> DisturbanceGuard {
     let from_ms = self.now_ms();
     let mut records = self.records();
     records.disturbances.push(Disturbance {
@@ -169,25 +178,25 @@
 }
 
 /// A run in progress.
-pub(crate) struct RunGuard(Option<(Ledger, String, usize)>);
+pub(crate) struct RunGuard(Option<(Recorder, String, usize)>);
 
 impl Drop for RunGuard {
   fn drop(&mut self) {
-    let Some((ledger, id, number)) = self.0.take() else {
+    let Some((recorder, id, number)) = self.0.take() else {
       return;
     };
-    let now_ms = ledger.now_ms();
-    if let Some(record) = ledger.records().requests.get_mut(&id) {
+    let now_ms = recorder.now_ms();
+    if let Some(record) = recorder.records().requests.get_mut(&id) {
       record.runs[number].ended_ms = Some(now_ms);
     }
   }
 }
 
-/// A disturbance that lasts.
-pub(crate) struct DisturbanceGuard(Ledger, usize);
+/// A disturbance in progress.
+pub(crate) struct DisturbanceGuard(Recorder, usize);
 
 impl DisturbanceGuard {
-  /// When it began.
+  /// Start of the disturbance.
   pub(crate) fn began_ms(&self) -> u64 {
     self.0.records().disturbances[self.1].from_ms
   }
--- a/soak/src/request_check.rs
+++ b/soak/src/request_check.rs
@@ -1,4 +1,4 @@
-//! The promises that are checked request by request.
+//! Checks of single requests.
 
 use super::{
   breach::Breach,
@@ -7,14 +7,14 @@
   records::{Outcome, PlannedStop, Records, RequestRecord, Run},
 };
 
-/// A caller that left frees its endpoint this soon (the users' rule on callers who leave).
-const GONE_MS: u64 = 500;
-/// An endpoint that leaves gets nothing new after this time (the users' bound on draining).
+/// Time after a caller's disconnect at which the endpoint must have stopped.
+const DISCONNECT_MS: u64 = 500;
+/// Time after which a draining endpoint receives no new requests.
 const DRAIN_MS: u64 = 2_000;
-/// A closed connection that carried no request to an endpoint may cross it (the users' bound on losses).
-const CROSSING_MS: u64 = 200;
+/// Time in which a request may cross the close of an idle connection, and be lost without having run.
+const CLOSE_RACE_MS: u64 = 200;
 
-/// One request, to be checked.
+/// Context of the checks of one request.
 pub(crate) struct RequestCheck<'a> {
   pub(crate) id: &'a str,
   pub(crate) records: &'a Records,
@@ -23,16 +23,16 @@
 }
 
 impl RequestCheck<'_> {
-  /// The promises that the request broke, but for those on planned stops.
+  /// The breaches of this request, except those by planned stops.
   pub(crate) fn breaches(&self) -> Vec<Breach> {
     [
       self.runs_once(),
       self.not_run_is_true(),
-      self.own_whole_answer(),
+      self.own_complete_response(),
       self.attempts(),
-      self.is_ended(),
-      self.is_freed(),
-      self.is_drained(),
+      self.meets_deadline(),
+      self.stops_after_disconnect(),
+      self.sent_while_draining(),
     ]
     .into_iter()
     .flatten()
@@ -41,149 +41,159 @@
 
   fn runs_once(&self) -> Option<Breach> {
     let Self { id, request, .. } = self;
-    if request.kind.may_repeat() || request.runs.len() <= 1 {
+    if request.kind.may_retry() || request.runs.len() <= 1 {
       return None;
     }
-    let seen = format!("{id} ran at {:?}", request.runs);
-    Some(Breach::new(Promise::RunsOnce, seen))
+    let observed = format!("{id} ran at {:?}", request.runs);
+    Some(Breach::new(Promise::RunsOnce, observed))
   }
 
   fn not_run_is_true(&self) -> Option<Breach> {
     let Self { id, request, .. } = self;
-    let Some(Outcome::Whole { status, .. }) = request.outcome else {
+    let Some(Outcome::Complete { status, .. }) = request.outcome else {
       return None;
     };
-    let promised = matches!(status, 408 | 421 | 429 | 503);
-    if !promised || request.kind.may_repeat() || request.runs.is_empty() {
+    let says_not_run = matches!(status, 408 | 421 | 429 | 503);
+    if !says_not_run || request.kind.may_retry() || request.runs.is_empty() {
       return None;
     }
-    let seen = format!("{id} told {status}, ran at {:?}", request.runs);
-    Some(Breach::new(Promise::NotRunIsTrue, seen))
+    let observed = format!("{id} rejected with {status}, but ran at {:?}", request.runs);
+    Some(Breach::new(Promise::NotRunIsTrue, observed))
   }
 
-  fn own_whole_answer(&self) -> Option<Breach> {
+  fn own_complete_response(&self) -> Option<Breach> {
     let id = self.id;
-    let seen = match self.request.outcome.as_ref()? {
-      Outcome::Whole {
+    let observed = match self.request.outcome.as_ref()? {
+      Outcome::Complete {
         status: 200..300,
         receipt,
         ..
       } if !self.has_run_with(receipt.as_deref()) => format!("{id} has the receipt {receipt:?}"),
-      Outcome::Whole {
+      Outcome::Complete {
         status: 200..300,
         body,
         ..
-      } if *body != self.expected_body() => format!("{id} whole true got {body:?}"),
-      Outcome::Broken {
+      } if *body != self.expected_body() => format!("{id} complete, but got {body:?}"),
+      Outcome::ConnectionLost {
         status: Some(200),
         body,
-      } if !self.expected_body().starts_with(body) => format!("{id} whole false got {body:?}"),
+      } if !self.expected_body().starts_with(body) => format!("{id} cut, but got {body:?}"),
       _ => return None,
     };
-    Some(Breach::new(Promise::OwnWholeAnswer, seen))
+    Some(Breach::new(Promise::OwnCompleteResponse, observed))
   }
 
   /// Whether the endpoint with this receipt ran the request.
   fn has_run_with(&self, receipt: Option<&str>) -> bool {
-    let is_its_own = |run: &Run| receipt == Some(&run.incarnation);
-    self.request.runs.iter().any(is_its_own)
+    let is_its_run = |run: &Run| receipt == Some(&run.incarnation);
+    self.request.runs.iter().any(is_its_run)
   }
 
   fn expected_body(&self) -> String {
     if self.request.kind.is_stream() {
       content::stream_after(self.id, 0)
     } else {
-      content::plain_answer(self.id)
+      content::plain_response(self.id)
     }
   }
 
   fn attempts(&self) -> Option<Breach> {
     let Self { id, request, .. } = self;
-    // A second run of what may not be repeated is told as such.
-    if !request.kind.may_repeat() || request.runs.len() <= request.kind.most_attempts() {
+    // A second run of a request that must not be retried is reported by `runs_once`.
+    if !request.kind.may_retry() || request.runs.len() <= request.kind.max_attempts() {
       return None;
     }
-    let seen = format!("{id} ran at {:?}", request.runs);
-    Some(Breach::new(Promise::Attempts, seen))
+    let observed = format!("{id} ran at {:?}", request.runs);
+    Some(Breach::new(Promise::AttemptLimit, observed))
   }
 
-  fn is_ended(&self) -> Option<Breach> {
+  fn meets_deadline(&self) -> Option<Breach> {
     let Self { id, request, .. } = self;
-    // One without an outcome was still open when its caller was ended.
+    // A request without an outcome was still open when its caller was stopped.
     let is_open = matches!(request.outcome, None | Some(Outcome::Unanswered));
     let ended_ms = request.ended_ms.unwrap_or(u64::MAX);
-    if !is_open || !self.records.is_calm(request, request.sent_ms, ended_ms) {
+    if !is_open
+      || !self
+        .records
+        .is_request_undisturbed(request, request.sent_ms, ended_ms)
+    {
       return None;
     }
-    let seen = format!(
+    let observed = format!(
       "{id} sent at {} ms, open at {:?} ms",
       request.sent_ms, request.ended_ms
     );
-    Some(Breach::new(Promise::Ended, seen))
+    Some(Breach::new(Promise::DeadlineKept, observed))
   }
 
-  fn is_freed(&self) -> Option<Breach> {
+  fn stops_after_disconnect(&self) -> Option<Breach> {
     let Self { id, request, .. } = self;
     let left_ms = request.ended_ms?;
-    if request.outcome != Some(Outcome::Left) {
+    if request.outcome != Some(Outcome::Disconnected) {
       return None;
     }
-    let due_ms = left_ms + GONE_MS + self.slack_ms;
+    let due_ms = left_ms + DISCONNECT_MS + self.slack_ms;
     let is_late = |run: &&Run| run.ended_ms.is_none_or(|ended_ms| ended_ms > due_ms);
     let run = request.runs.iter().find(is_late)?;
-    if !self.records.is_calm(request, request.sent_ms, due_ms) {
+    if !self
+      .records
+      .is_request_undisturbed(request, request.sent_ms, due_ms)
+    {
       return None;
     }
-    let seen = format!(
-      "{id} left at {left_ms} ms, {} at work until {:?}",
+    let observed = format!(
+      "{id} left at {left_ms} ms, {} running until {:?}",
       run.incarnation, run.ended_ms
     );
-    Some(Breach::new(Promise::Freed, seen))
+    Some(Breach::new(Promise::StopsAfterDisconnect, observed))
   }
 
-  fn is_drained(&self) -> Option<Breach> {
+  fn sent_while_draining(&self) -> Option<Breach> {
     let mut runs = self.request.runs.iter();
-    runs.find_map(|run| self.began_at_leaving(run))
+    runs.find_map(|run| self.began_while_draining(run))
   }
 
-  /// Finds that a run began long after its endpoint had said that it leaves.
-  fn began_at_leaving(&self, run: &Run) -> Option<Breach> {
+  /// A run that started at a draining endpoint after the bound.
+  fn began_while_draining(&self, run: &Run) -> Option<Breach> {
     let Self { id, request, .. } = self;
-    let leaving_ms = *self.records.leaving.get(&run.incarnation)?;
-    let due_ms = leaving_ms + DRAIN_MS + self.slack_ms;
+    let draining_ms = *self.records.draining.get(&run.incarnation)?;
+    let due_ms = draining_ms + DRAIN_MS + self.slack_ms;
     let began_ms = run.began_ms;
     if began_ms <= due_ms
       || !self
         .records
-        .is_connected(request.box_index, leaving_ms, began_ms)
-      || !self.records.is_calm(request, leaving_ms, began_ms)
+        .is_connected(request.box_index, draining_ms, began_ms)
+      || !self
+        .records
+        .is_request_undisturbed(request, draining_ms, began_ms)
     {
       return None;
     }
-    let seen = format!(
-      "{id} began at {began_ms} ms at {}, which has been leaving since {leaving_ms} ms",
+    let observed = format!(
+      "{id} began at {began_ms} ms at {}, which has been draining since {draining_ms} ms",
       run.incarnation
     );
-    Some(Breach::new(Promise::Drained, seen))
+    Some(Breach::new(Promise::Drained, observed))
   }
 
-  /// Finds that a planned stop cut the request.
-  pub(crate) fn is_cut_by(&self, stop: &PlannedStop) -> Option<Breach> {
+  /// Finds a cut of the request by a planned stop.
+  pub(crate) fn cut_by_stop(&self, stop: &PlannedStop) -> Option<Breach> {
     let Self { id, request, .. } = self;
     let ended_ms = request.ended_ms?;
-    let cut = matches!(request.outcome, Some(Outcome::Broken { .. }));
-    let was_read =
-      !request.runs.is_empty() || ended_ms > request.sent_ms + CROSSING_MS + self.slack_ms;
-    let concerned = request.box_index == stop.box_index
-      && request.sent_ms < stop.gone_ms
+    let cut = matches!(request.outcome, Some(Outcome::ConnectionLost { .. }));
+    let was_received =
+      !request.runs.is_empty() || ended_ms > request.sent_ms + CLOSE_RACE_MS + self.slack_ms;
+    let overlaps_stop = request.box_index == stop.box_index
+      && request.sent_ms < stop.exited_ms
       && ended_ms > stop.signalled_ms;
-    if !cut || !was_read || !concerned || !self.records.is_calm_but_for_stop(request) {
+    if !cut || !was_received || !overlaps_stop || !self.records.is_undisturbed_except_stops(request)
+    {
       return None;
     }
-    let seen = format!(
+    let observed = format!(
       "{id} sent at {} ms, cut at {ended_ms} ms: {stop:?}",
       request.sent_ms
     );
-    Some(Breach::new(Promise::StopCutsNothing, seen))
+    Some(Breach::new(Promise::GracefulStop, observed))
   }
 }
--- a/soak/src/request_kind.rs
+++ b/soak/src/request_kind.rs
@@ -1,30 +1,30 @@
-//! What callers ask.
+//! The kinds of requests that callers send.
 
-/// What a request is, as far as promises differ.
+/// Kind of request, as far as the promises differ.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RequestKind {
   /// May run more than once.
-  Repeatable,
+  Retryable,
   /// Runs at most once.
-  Unrepeatable,
+  NonRetryable,
   /// A stream that runs at most once.
   Stream,
-  /// A stream that another engine may go on with.
+  /// A stream that another engine may resume.
   ResumableStream,
-  /// The same, with a body that ends each engine that runs it. Its path is the same each time.
+  /// A resumable stream with a body that crashes each engine that runs it, always on the same path.
   CrashingStream,
 }
 
 impl RequestKind {
-  /// Whether a second run breaks no promise.
-  pub fn may_repeat(self) -> bool {
+  /// Whether a second run is allowed.
+  pub fn may_retry(self) -> bool {
     matches!(
       self,
-      Self::Repeatable | Self::ResumableStream | Self::CrashingStream
+      Self::Retryable | Self::ResumableStream | Self::CrashingStream
     )
   }
 
-  /// Whether the answer is a series of events.
+  /// Whether the response is an event stream.
   pub fn is_stream(self) -> bool {
     matches!(
       self,
@@ -32,21 +32,21 @@
     )
   }
 
-  /// The path of its route.
+  /// Path prefix of the route.
   pub(crate) fn path(self) -> &'static str {
     match self {
-      Self::Repeatable => "/safe/",
-      Self::Unrepeatable => "/unsafe/",
+      Self::Retryable => "/safe/",
+      Self::NonRetryable => "/unsafe/",
       Self::Stream => "/stream/",
       Self::ResumableStream | Self::CrashingStream => "/resumable/",
     }
   }
 
-  /// The most endpoints that its route allows one request to be sent to.
-  pub fn most_attempts(self) -> usize {
+  /// Maximum number of endpoints that the route allows one request to be sent to.
+  pub fn max_attempts(self) -> usize {
     match self {
-      Self::Unrepeatable | Self::Stream => 1,
-      Self::Repeatable => 2,
+      Self::NonRetryable | Self::Stream => 1,
+      Self::Retryable => 2,
       Self::ResumableStream | Self::CrashingStream => 3,
     }
   }
--- a/soak/src/serving.rs
+++ b/soak/src/running_endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint at work behind its listener.
+//! An endpoint that serves on a listener.
 
 use {
   super::endpoint::Endpoint,
@@ -12,27 +12,26 @@
 };
 
 /// An incarnation that serves until this is dropped.
-pub(crate) struct Serving {
+pub(crate) struct RunningEndpoint {
   pub(crate) endpoint: Arc<Endpoint>,
   task: JoinHandle<()>,
 }
 
-impl Serving {
-  /// Serves on a listener.
+impl RunningEndpoint {
   pub(crate) fn start(endpoint: Arc<Endpoint>, listener: TcpListener) -> Self {
     let task = tokio::spawn(serve(endpoint.clone(), listener));
     Self { endpoint, task }
   }
 }
 
-impl Drop for Serving {
+impl Drop for RunningEndpoint {
   fn drop(&mut self) {
     self.task.abort();
     self.endpoint.drop_exports();
   }
 }
 
-/// Serves until the task is ended; with it end all connections.
+/// Serves until the task is aborted, which closes all connections.
 async fn serve(endpoint: Arc<Endpoint>, listener: TcpListener) {
   let mut connections = JoinSet::new();
   loop {
@@ -45,8 +44,8 @@
 }
 
 async fn serve_connection(endpoint: Arc<Endpoint>, stream: TcpStream) {
-  let service = service_fn(move |request| endpoint.clone().answer(request));
-  // A connection that breaks ends the runs on it; the ledger has them.
+  let service = service_fn(move |request| endpoint.clone().handle(request));
+  // Runs on a lost connection end through their guards.
   let _ = http1::Builder::new()
     .serve_connection(TokioIo::new(stream), service)
     .await;
--- a/soak/src/subcommand.rs
+++ b/soak/src/subcommand.rs
@@ -1,4 +1,4 @@
-//! The command line: plays seeds one after another, and tells what broke.
+//! The command line: plays seeds one after another and prints breaches.
 
 use {
   super::{
@@ -13,35 +13,35 @@
   },
 };
 
-/// Plays faults against real gateway boxes and checks their promises.
+/// Injects faults into real gateway boxes and checks their promises.
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options)]
 struct Arguments {
-  /// The program whose boxes are run
+  /// Path of the gateway program
   #[bpaf(argument("PATH"), fallback(PathBuf::from("target/release/rillford")))]
   program: PathBuf,
-  /// The first seed
+  /// First seed
   #[bpaf(argument("SEED"), fallback(1))]
   seed: u64,
-  /// How many seeds are played, one after another
+  /// Number of consecutive seeds to play
   #[bpaf(argument("COUNT"), fallback(1))]
   count: u64,
-  /// Boxes
+  /// Number of boxes
   #[bpaf(argument("COUNT"), fallback(4))]
   boxes: usize,
-  /// Endpoints
+  /// Number of endpoints
   #[bpaf(argument("COUNT"), fallback(10))]
   endpoints: usize,
-  /// Callers
+  /// Number of callers
   #[bpaf(argument("COUNT"), fallback(24))]
   callers: u64,
-  /// How long faults come, in seconds
+  /// Period in which faults start, in seconds
   #[bpaf(argument("SECONDS"), fallback(30))]
   faults_s: u64,
-  /// Stretches the promises' bounds on time, in milliseconds
+  /// Additional time in the promises' bounds, in milliseconds
   #[bpaf(argument("MS"), fallback(700))]
   slack_ms: u64,
-  /// Where each seed's settings and logs are kept
+  /// Directory for each seed's settings and logs
   #[bpaf(argument("DIRECTORY"), fallback(PathBuf::from("target/soak")))]
   keep: PathBuf,
   /// Plays the seeds of a file instead: a number at the start of each line
@@ -54,8 +54,8 @@
   let arguments = arguments().run();
   match play_all(&arguments) {
     Ok(0) => ExitCode::SUCCESS,
-    Ok(broken) => {
-      println!("{broken} seeds broke a promise");
+    Ok(failed) => {
+      println!("{failed} seeds had breaches");
       ExitCode::FAILURE
     }
     Err(error) => {
@@ -70,15 +70,15 @@
     Some(file) => read_seeds(file)?,
     None => (arguments.seed..arguments.seed + arguments.count).collect(),
   };
-  let mut broken = 0;
+  let mut failed = 0;
   for seed in seeds {
     let report = play_seed(arguments, seed)?;
-    broken += usize::from(!report.breaches.is_empty());
+    failed += usize::from(!report.breaches.is_empty());
   }
-  Ok(broken)
+  Ok(failed)
 }
 
-/// The seeds of a file: the first word of each line that is not empty and no comment.
+/// Reads a seed from the first word of each line that is neither empty nor a comment.
 fn read_seeds(file: &Path) -> Result<Vec<u64>, String> {
   let text =
     std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
@@ -87,17 +87,17 @@
     .filter(|line| !line.is_empty() && !line.starts_with('#'));
   lines
     .map(|line| {
-      let word = line.split_whitespace().next().unwrap_or_default();
-      word
+      let seed = line.split_whitespace().next().unwrap_or_default();
+      seed
         .parse()
-        .map_err(|error| format!("{}: {word}: {error}", file.display()))
+        .map_err(|error| format!("{}: {seed}: {error}", file.display()))
     })
     .collect()
 }
 
 fn play_seed(arguments: &Arguments, seed: u64) -> Result<Report, String> {
   let directory = arguments.keep.join(seed.to_string());
-  // What an earlier run of this seed left would mix with this one's logs.
+  // Logs of an earlier run of this seed would mix with the new ones.
   if directory.exists() {
     std::fs::remove_dir_all(&directory).map_err(|error| error.to_string())?;
   }
@@ -119,28 +119,29 @@
     .block_on(play(&options))
     .map_err(|error| error.to_string())?;
   print_report(seed, &report);
-  let records = format!("{:#?}\n{:#?}\n", report.steps, report.records);
+  let records = format!("{:#?}\n{:#?}\n", report.faults, report.records);
   std::fs::write(directory.join("records.txt"), records).map_err(|error| error.to_string())?;
   Ok(report)
 }
 
 fn print_report(seed: u64, report: &Report) {
-  let whole = |wanted: std::ops::Range<u16>| {
-    report
-      .count(|outcome| matches!(outcome, Outcome::Whole { status, .. } if wanted.contains(status)))
+  let completed = |statuses: std::ops::Range<u16>| {
+    report.count(
+      |outcome| matches!(outcome, Outcome::Complete { status, .. } if statuses.contains(status)),
+    )
   };
   println!(
-    "seed {seed}: {} faults, {} requests: {} served, {} told not run, {} told other errors, {} broken, {} left, \
-     {} unanswered; {} orders, {} planned stops; {} breaches",
-    report.steps.len(),
+    "seed {seed}: {} faults, {} requests: {} served, {} rejected as not run, {} other errors, \
+     {} connections lost, {} disconnected, {} unanswered; {} role commands, {} planned stops; {} breaches",
+    report.faults.len(),
     report.records.requests.len(),
-    whole(200..300),
-    whole(503..504),
-    whole(400..503) + whole(504..600),
-    report.count(|outcome| matches!(outcome, Outcome::Broken { .. })),
-    report.count(|outcome| *outcome == Outcome::Left),
+    completed(200..300),
+    completed(503..504),
+    completed(400..503) + completed(504..600),
+    report.count(|outcome| matches!(outcome, Outcome::ConnectionLost { .. })),
+    report.count(|outcome| *outcome == Outcome::Disconnected),
     report.count(|outcome| *outcome == Outcome::Unanswered),
-    report.records.orders.len(),
+    report.records.role_commands.len(),
     report.records.stops.len(),
     report.breaches.len()
   );
--- /dev/null
+++ b/soak/src/undisturbed.rs
@@ -0,0 +1,84 @@
+//! Whether the components that a time bound depends on were undisturbed.
+
+use super::{
+  disturbance::{Disturbance, Target},
+  records::{PlannedStop, Records, RequestRecord},
+};
+
+/// Time without disturbances after which a box counts as connected.
+pub(crate) const CONTACT_MS: u64 = 3_000;
+/// Time in which a configuration must be applied after the store accepted it.
+pub(crate) const CONFIGURATION_MS: u64 = 2_000;
+
+impl Records {
+  /// Whether the box and the endpoints of a request were undisturbed from `CONTACT_MS` before a time until another.
+  pub(crate) fn is_request_undisturbed(
+    &self,
+    request: &RequestRecord,
+    from_ms: u64,
+    until_ms: u64,
+  ) -> bool {
+    self.is_undisturbed(from_ms, until_ms, |target| match target {
+      Target::Box(index) | Target::Leaving(index) => index == request.box_index,
+      Target::Endpoint(place) => request.runs.iter().any(|run| run.place == place),
+      Target::Store | Target::StoreLink(_) => false,
+    })
+  }
+
+  /// Whether a box was undisturbed from `CONTACT_MS` before a time until another.
+  pub(crate) fn is_box_undisturbed(&self, box_index: usize, from_ms: u64, until_ms: u64) -> bool {
+    self.is_undisturbed(from_ms, until_ms, |target| match target {
+      Target::Box(index) | Target::Leaving(index) => index == box_index,
+      Target::Endpoint(_) | Target::Store | Target::StoreLink(_) => false,
+    })
+  }
+
+  /// Whether an endpoint did not restart between two times.
+  pub(crate) fn has_not_restarted(&self, incarnation: &str, from_ms: u64, until_ms: u64) -> bool {
+    !self
+      .starts
+      .iter()
+      .any(|start| start.incarnation == incarnation && (from_ms..=until_ms).contains(&start.at_ms))
+  }
+
+  /// Whether a box and its connection to the store were undisturbed from `CONTACT_MS` before a time until another.
+  pub(crate) fn is_connected(&self, box_index: usize, from_ms: u64, until_ms: u64) -> bool {
+    self.is_undisturbed(from_ms, until_ms, |target| match target {
+      Target::Box(index) | Target::Leaving(index) | Target::StoreLink(index) => index == box_index,
+      Target::Store => true,
+      Target::Endpoint(_) => false,
+    })
+  }
+
+  /// Whether planned stops were the only disturbances of a request.
+  pub(crate) fn is_undisturbed_except_stops(&self, request: &RequestRecord) -> bool {
+    let until_ms = request.ended_ms.unwrap_or(u64::MAX);
+    self.is_undisturbed(request.sent_ms, until_ms, |target| match target {
+      Target::Box(index) => index == request.box_index,
+      // A crash of the endpoint may cut a stream regardless of the planned stop.
+      Target::Endpoint(place) => request.runs.iter().any(|run| run.place == place),
+      Target::Leaving(_) | Target::Store | Target::StoreLink(_) => false,
+    })
+  }
+
+  /// Whether stop signals were the only disturbances of a box while it stopped.
+  pub(crate) fn is_stop_undisturbed(&self, stop: &PlannedStop) -> bool {
+    self.is_undisturbed(stop.signalled_ms, stop.exited_ms, |target| {
+      target == Target::Box(stop.box_index)
+    })
+  }
+
+  /// Whether no disturbance of the selected components overlaps a period or the `CONTACT_MS` before it.
+  fn is_undisturbed(&self, from_ms: u64, until_ms: u64, concerns: impl Fn(Target) -> bool) -> bool {
+    !self
+      .disturbances
+      .iter()
+      .any(|disturbance| concerns(disturbance.target) && overlaps(disturbance, from_ms, until_ms))
+  }
+}
+
+/// Whether a disturbance overlaps the period from `CONTACT_MS` before `from_ms` to `until_ms`.
+fn overlaps(disturbance: &Disturbance, from_ms: u64, until_ms: u64) -> bool {
+  let ended_ms = disturbance.until_ms.unwrap_or(u64::MAX);
+  disturbance.from_ms <= until_ms && ended_ms.saturating_add(CONTACT_MS) >= from_ms
+}
