--- a/src/egress/worker.rs
+++ b/src/egress/worker.rs
@@ -140,7 +140,7 @@
       Action::Decode(command) => self.decode(command),
       Action::Call(command) => self.call(command),
       Action::Cancel(attempt, endpoint) => self.cancel(attempt, endpoint),
-      Action::AbortStream(attempt, endpoint) => self.give_up(attempt, endpoint),
+      Action::AbortStream(attempt, endpoint) => self.abort_stream(attempt, endpoint),
       Action::ExtendHolds(command) => self.extend_holds(command),
       Action::PollLoad(endpoint) => self.poll_load(endpoint),
       Action::ListAttempts(endpoint) => self.list_attempts(endpoint),
@@ -379,7 +379,7 @@
     });
   }
 
-  fn give_up(&mut self, attempt: AttemptId, endpoint: Name) {
+  fn abort_stream(&mut self, attempt: AttemptId, endpoint: Name) {
     let key = TaskKey {
       attempt: attempt.clone(),
       endpoint: endpoint.clone(),
--- a/src/ingress/state.rs
+++ b/src/ingress/state.rs
@@ -166,12 +166,12 @@
 
   /// Passes the outcome of a request to its handler, if the caller is still connected.
   pub(super) fn finish_pending(&self, request: RequestId, outcome: RequestOutcome) {
-    let waiting = self
+    let sender = self
       .pending
       .lock()
       .unwrap_or_else(PoisonError::into_inner)
       .remove(&request);
-    if let Some(sender) = waiting {
+    if let Some(sender) = sender {
       let _ = sender.send(outcome);
     }
   }
--- a/src/observe/observer.rs
+++ b/src/observe/observer.rs
@@ -60,14 +60,14 @@
   }
 
   /// Timestamps an event and sends it.
-  pub(crate) fn record(&self, note: TimelineEvent) {
+  pub(crate) fn record(&self, event: TimelineEvent) {
     let stamped = StampedEvent {
       box_name: self.box_name.clone(),
-      detail: note.detail,
-      kind: note.kind,
-      number: note.kind.number(),
+      detail: event.detail,
+      kind: event.kind,
+      number: event.kind.number(),
       stamp: self.clock.tick(),
-      subject: note.subject,
+      subject: event.subject,
     };
     self.send(Observation::Event(stamped));
   }
--- a/src/serve/decide_loop.rs
+++ b/src/serve/decide_loop.rs
@@ -135,7 +135,7 @@
 
   fn dispatch(&mut self, action: Action) {
     match action {
-      Action::Record(note) => self.observer.record(note),
+      Action::Record(event) => self.observer.record(event),
       Action::Send(to, message) => self.to_peers.send(PeersInput::Send(to, message)),
       Action::Claim(request, organisation, key) => {
         let input = StoreInput::Claim(request, organisation, key);
--- a/src/store/worker.rs
+++ b/src/store/worker.rs
@@ -174,8 +174,8 @@
         match store.apply(document) {
           Ok(is_newer) => changed |= is_newer,
           Err(error) => {
-            let note = TimelineEvent::new(EventKind::ConfigurationRefused, key, error.to_string());
-            self.observer.record(note);
+            let event = TimelineEvent::new(EventKind::ConfigurationRefused, key, error.to_string());
+            self.observer.record(event);
           }
         }
       }
