--- a/src/gateway/process/start.rs
+++ b/src/gateway/process/start.rs
@@ -9,11 +9,11 @@
     Error, Result,
     gateway::{
       edge::{Dialect, Store},
-      limits::keep_counts,
-      membership::{end_entry, follow_store, keep_entry, serve_boxes},
-      quarantine::keep_quarantine,
+      limits::sync_usage,
+      membership::{maintain_entry, revoke_entry, serve_boxes, sync_store},
+      quarantine::sync_quarantine,
       requests::accept_callers,
-      roles::keep_roles,
+      roles::manage_roles,
       settings::{GatewayListen, GatewaySettings},
       state::{Gateway, Phase},
     },
@@ -133,15 +133,15 @@
   if let Some(metrics) = ports.metrics {
     spawn_local(serve_page(gateway.clone(), metrics, OwnPage::Metrics));
   }
-  spawn_local(follow_store(gateway.clone(), store.clone()));
-  spawn_local(keep_entry(gateway.clone(), store.clone()));
+  spawn_local(sync_store(gateway.clone(), store.clone()));
+  spawn_local(maintain_entry(gateway.clone(), store.clone()));
   if gateway.settings.mechanisms.role_orders {
-    spawn_local(keep_roles(gateway.clone(), store.clone()));
+    spawn_local(manage_roles(gateway.clone(), store.clone()));
   }
   spawn_local(accept_callers(gateway.clone(), ports.callers));
   spawn_local(serve_boxes(gateway.clone(), ports.boxes));
-  spawn_local(keep_counts(gateway.clone()));
-  spawn_local(keep_quarantine(gateway.clone(), store.clone()));
+  spawn_local(sync_usage(gateway.clone()));
+  spawn_local(sync_quarantine(gateway.clone(), store.clone()));
   spawn_local(keep_house(gateway.clone()));
 }
 
@@ -151,14 +151,14 @@
   let stop_ms = (gateway.settings.bounds.stop_s * 1_000.0) as u64;
   let end_ms = now_ms + stop_ms.saturating_sub(u64::try_from(KILL_MARGIN.as_millis()).unwrap_or(0));
   gateway
-    .ends_ms
+    .exit_ms
     .set(Some(end_ms.saturating_sub(ANSWER_MARGIN_MS)));
   gateway.phase.send_replace(Phase::Leaving);
   log::info!(
     "E104 leaving: {} requests in progress",
     gateway.in_flight.get()
   );
-  end_entry(gateway, store).await;
+  revoke_entry(gateway, store).await;
   sleep(BALANCER_LAG).await;
   gateway.phase.send_replace(Phase::Closing);
   let last_call_ms = end_ms.saturating_sub(LAST_CALL_MS);
@@ -178,16 +178,16 @@
     sleep(HOUSEKEEPING).await;
     let now_ms = gateway.now_ms();
     gateway.pool.close_old(now_ms);
-    gateway.book.borrow_mut().remove_lapsed(now_ms);
+    gateway.endpoints.borrow_mut().remove_lapsed(now_ms);
     expire_notices(&gateway, now_ms);
-    gateway.permit_book.borrow_mut().expire(now_ms);
-    gateway.lone_permits.borrow_mut().expire(now_ms);
+    gateway.permit_table.borrow_mut().expire(now_ms);
+    gateway.isolated_permits.borrow_mut().expire(now_ms);
   }
 }
 
 /// Forgets what endpoints said of themselves once it no longer counts.
 fn expire_notices(gateway: &Gateway, now_ms: u64) {
-  let taken_back = gateway.book.borrow_mut().expire_notices(now_ms);
+  let taken_back = gateway.endpoints.borrow_mut().expire_notices(now_ms);
   for endpoint in taken_back {
     log::warn!(
       "E539 taken back: {endpoint} said that it leaves, and is still there as the store lists it"
--- a/src/gateway/requests/front.rs
+++ b/src/gateway/requests/front.rs
@@ -11,9 +11,9 @@
     connections::{accept, remove_connection_headers, set_limits},
     decisions::{AllowedHalls, RETRY_AFTER_LEAVING_MS, RETRY_AFTER_NO_CONFIGURATION_MS},
     edge::{RouteKind, RouteTable},
-    limits::{Beyond, Charge, admit},
+    limits::{Charge, OverLimit, admit},
     parts::RoutedRequest,
-    quarantine::{Held, release_unsent, vet},
+    quarantine::{Quarantined, release_unsent_probe, screen},
     settings::EngineMarks,
     state::{Gateway, InFlight, Phase},
   },
@@ -76,7 +76,7 @@
     log::debug!("a caller's connection ended at once: {error}");
     return;
   }
-  let limits = gateway.table().map(|table| table.limits());
+  let limits = gateway.route_table().map(|table| table.limits());
   let rest_ms = limits.map_or(REST_MS, |limits| {
     limits.idle_ms * REST_FACTOR + limits.head_ms
   });
@@ -125,12 +125,14 @@
   match response.status().as_u16() {
     200..300 => {
       counters.answered.inc();
-      counters.head_ms.note(gateway.now_ms() - arrived_ms);
+      counters
+        .response_head_ms
+        .record(gateway.now_ms() - arrived_ms);
     }
     502 => counters.unknown.inc(),
     503 => counters.not_run.inc(),
     504 => counters.timed_out.inc(),
-    400..500 => counters.refused.inc(),
+    400..500 => counters.rejected.inc(),
     _ => {}
   }
 }
@@ -153,12 +155,12 @@
   request: RoutedRequest,
   in_flight: InFlight,
 ) -> Response<AnswerBody> {
-  if let Err(Held { retry_after_ms }) = vet(&gateway, &request).await {
+  if let Err(Quarantined { retry_after_ms }) = screen(&gateway, &request).await {
     return OwnAnswer::NotRun { retry_after_ms }.response();
   }
   let request = Rc::new(request);
   let response = serve_admitted(&gateway, &request, in_flight).await;
-  release_unsent(&gateway, &request);
+  release_unsent_probe(&gateway, &request);
   response
 }
 
@@ -175,11 +177,11 @@
       if response.status() == StatusCode::SERVICE_UNAVAILABLE
         && let Some(charge) = charge
       {
-        charge.give_back();
+        charge.refund();
       }
       response
     }
-    Err(Beyond { retry_after_ms }) => OwnAnswer::BeyondLimit { retry_after_ms }.response(),
+    Err(OverLimit { retry_after_ms }) => OwnAnswer::BeyondLimit { retry_after_ms }.response(),
   }
 }
 
@@ -187,7 +189,7 @@
 async fn admit_request(
   gateway: &Rc<Gateway>,
   request: &RoutedRequest,
-) -> Result<Option<Charge>, Beyond> {
+) -> Result<Option<Charge>, OverLimit> {
   match &request.organisation {
     Some(organisation) => admit(gateway, organisation, &request.facts).await.map(Some),
     None => Ok(None),
@@ -200,7 +202,7 @@
   request: Rc<RoutedRequest>,
   in_flight: InFlight,
 ) -> Response<AnswerBody> {
-  gateway.note_request(&request.service);
+  gateway.record_request(&request.service);
   match request.route.kind {
     // It would outlast the process.
     RouteKind::Stream { .. } if *gateway.phase.borrow() >= Phase::Closing => {
@@ -224,7 +226,7 @@
     .get(HOST)
     .and_then(|host| host.to_str().ok())
     .ok_or(OwnAnswer::Malformed)?;
-  let table = gateway.table().ok_or(NO_CONFIGURATION)?;
+  let table = gateway.route_table().ok_or(NO_CONFIGURATION)?;
   let route = table
     .find(host, head.uri.path())
     .cloned()
@@ -234,7 +236,7 @@
   if !gateway.settings.mechanisms.seat_by_estimate {
     facts.answer_estimate = None;
   }
-  let ends_ms = gateway.ends_ms.get().unwrap_or(u64::MAX);
+  let ends_ms = gateway.exit_ms.get().unwrap_or(u64::MAX);
   let timeout_ms = route
     .timeout_ms
     .min(facts.deadline_ms.unwrap_or(u64::MAX))
--- a/src/gateway/requests/prompt.rs
+++ b/src/gateway/requests/prompt.rs
@@ -7,7 +7,7 @@
       decisions::{Choice, EndpointCriteria},
       edge::{EndpointEntry, Part},
       parts::{KeptExport, OutgoingPart, PartError, RoutedRequest, send_part},
-      quarantine::{LostPart, note_lost, note_whole},
+      quarantine::{LostStage, record_lost_stage, record_success},
       state::Gateway,
     },
     ids::Name,
@@ -72,7 +72,7 @@
     let sent_ms = gateway.now_ms();
     match read_at(gateway, request, &entry, choice.queued_ahead).await {
       Ok(handle) => {
-        note_whole(gateway, request, RoutedRequest::reading_fingerprint);
+        record_success(gateway, request, RoutedRequest::reading_fingerprint);
         let ttl_ms = export_ttl_ms(gateway, request);
         return PromptReading {
           arrived: true,
@@ -87,13 +87,13 @@
         );
         if let PartError::Lost(error) = &error {
           let error = format!("prompt not read: {error}");
-          let lost = LostPart {
+          let lost = LostStage {
             entry: entry.clone(),
             error,
             fingerprint: request.reading_fingerprint(),
             sent_ms,
           };
-          note_lost(gateway, request, lost).await;
+          record_lost_stage(gateway, request, lost).await;
         }
         if !error.is_unsent() {
           return PromptReading::unread(true);
@@ -141,7 +141,7 @@
     head.whole(gateway).await
   };
   let Ok(answer) = timeout(Duration::from_millis(limit_ms), reading).await else {
-    gateway.overdue(&entry.id);
+    gateway.mark_overdue(&entry.id);
     return Err(PartError::Lost(format!("no answer in {limit_ms} ms")));
   };
   let answer = answer?;
@@ -156,7 +156,7 @@
 
 /// How long an engine of the request's service keeps a prompt; 0 when it is no service of engines.
 fn export_ttl_ms(gateway: &Gateway, request: &RoutedRequest) -> u64 {
-  let table = gateway.table();
+  let table = gateway.route_table();
   let engine = table
     .as_ref()
     .and_then(|table| table.service(&request.service))
--- a/src/gateway/roles/mod.rs
+++ b/src/gateway/roles/mod.rs
@@ -1,7 +1,8 @@
-//! The steward of the engines' roles: the one box that orders engines to read prompts or to write answers.
+//! Role assignment: one box, the role leader, assigns engines to prefill or decode.
 //!
-//! Imports `parts` and what lies below it. What to order is decided in `decisions`; the orders go out from here.
+//! Imports `parts` and the folders below it. `decisions` computes which engines change their role; the calls to the engines are
+//! made here.
 
-mod role_steward;
+mod role_leader;
 
-pub(crate) use self::role_steward::keep_roles;
+pub(crate) use self::role_leader::manage_roles;
