--- a/src/gateway/decisions/allowed_halls.rs
+++ b/src/gateway/decisions/allowed_halls.rs
@@ -17,7 +17,6 @@
 /// ```
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub enum AllowedHalls {
-  /// Any hall.
   #[default]
   Any,
   /// Only these; a hall whose region is unknown is never among them.
--- a/src/gateway/decisions/box_list.rs
+++ b/src/gateway/decisions/box_list.rs
@@ -19,7 +19,6 @@
 /// A box's entry in the store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BoxEntry {
-  /// The data hall.
   pub hall: Name,
   /// The address for other boxes.
   pub address: SocketAddr,
--- a/src/gateway/decisions/choice.rs
+++ b/src/gateway/decisions/choice.rs
@@ -8,7 +8,6 @@
 /// The criteria by which an endpoint is selected.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointCriteria<'a> {
-  /// The service.
   pub service: &'a str,
   /// The role; `None` takes any.
   pub role: Option<Role>,
@@ -27,7 +26,6 @@
 /// The selected endpoint.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Choice {
-  /// The endpoint.
   pub entry: EndpointEntry,
   /// Work queued ahead: of this box and, as far as reported, of others.
   pub queued_ahead: u64,
--- a/src/gateway/decisions/endpoint_counts.rs
+++ b/src/gateway/decisions/endpoint_counts.rs
@@ -13,7 +13,6 @@
 pub struct EndpointCounts {
   /// Those in drained halls.
   pub drained: usize,
-  /// All.
   pub known: usize,
   /// Those that leave, as listed in the store or as signalled by themselves.
   pub leaving: usize,
--- a/src/gateway/decisions/endpoint_registry.rs
+++ b/src/gateway/decisions/endpoint_registry.rs
@@ -111,7 +111,6 @@
     })
   }
 
-  /// All entries.
   pub fn entries(&self) -> impl Iterator<Item = &EndpointEntry> {
     self.endpoints.values().map(|endpoint| &endpoint.entry)
   }
--- a/src/gateway/decisions/fingerprint.rs
+++ b/src/gateway/decisions/fingerprint.rs
@@ -16,13 +16,10 @@
 pub struct RequestIdentity<'a> {
   /// The organisation of the caller, if any.
   pub organisation: Option<&'a str>,
-  /// The method.
   pub method: &'a str,
-  /// The requested host.
   pub host: &'a str,
   /// Path and query.
   pub path: &'a str,
-  /// The whole body.
   pub body: &'a [u8],
 }
 
--- a/src/gateway/decisions/local_usage.rs
+++ b/src/gateway/decisions/local_usage.rs
@@ -26,13 +26,10 @@
 /// A request of an organisation with a limit.
 #[derive(Clone, Copy, Debug)]
 pub struct UsageRequest<'a> {
-  /// The organisation.
   pub organisation: &'a Name,
   /// Its limit over all boxes.
   pub limit: UseLimit,
-  /// The units of the request.
   pub units: u64,
-  /// The number of boxes.
   pub boxes: usize,
   /// The time of its arrival.
   pub now_ms: u64,
@@ -86,7 +83,6 @@
 /// A box's local share of a limit.
 #[derive(Clone, Copy, Debug)]
 struct LocalShare {
-  /// The whole limit.
   whole: UseLimit,
   share: UseLimit,
   bucket: TokenBucket,
--- a/src/gateway/decisions/notice_tracker.rs
+++ b/src/gateway/decisions/notice_tracker.rs
@@ -25,7 +25,7 @@
 /// Whether an endpoint accepts work, according to its own signals.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Availability {
-  /// It signalled nothing else.
+  /// No signal keeps it from accepting work.
   Available,
   /// Its backoff has passed, and it has not accepted work since.
   Probing {
--- a/src/gateway/decisions/permit_account.rs
+++ b/src/gateway/decisions/permit_account.rs
@@ -26,7 +26,6 @@
 /// A request for permits.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PermitRequest {
-  /// The requesting box.
   pub box_name: Name,
   /// Permits that it could use soon; at least one.
   pub permits: u32,
@@ -74,7 +73,6 @@
 }
 
 impl PermitAccount {
-  /// An empty account.
   pub fn new(limit: UseLimit, now_ms: u64) -> Self {
     Self {
       last_request_ms: now_ms,
@@ -122,12 +120,10 @@
     PermitVerdict::Granted(granted)
   }
 
-  /// Remaining permits.
   pub fn remaining(&mut self, now_ms: u64) -> f64 {
     self.bucket.level(self.limit, now_ms)
   }
 
-  /// Time of the last request.
   pub fn last_request_ms(&self) -> u64 {
     self.last_request_ms
   }
--- a/src/gateway/decisions/quarantine_key.rs
+++ b/src/gateway/decisions/quarantine_key.rs
@@ -27,9 +27,7 @@
 /// ```
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct QuarantineKey {
-  /// The request.
   pub fingerprint: Fingerprint,
-  /// Its mark.
   pub mark: QuarantineMark,
 }
 
--- a/src/gateway/decisions/quarantine_registry.rs
+++ b/src/gateway/decisions/quarantine_registry.rs
@@ -143,7 +143,6 @@
     before.is_none()
   }
 
-  /// Removes a mark.
   pub fn remove(&mut self, key: QuarantineKey) {
     let Some(case) = self.cases.get_mut(&key.fingerprint) else {
       return;
@@ -221,7 +220,6 @@
     }
   }
 
-  /// All marks.
   pub fn keys(&self) -> Vec<QuarantineKey> {
     let cases = self.cases.iter();
     cases
--- a/src/gateway/decisions/token_bucket.rs
+++ b/src/gateway/decisions/token_bucket.rs
@@ -27,7 +27,6 @@
 }
 
 impl TokenBucket {
-  /// A full bucket.
   pub fn full(limit: UseLimit, now_ms: u64) -> Self {
     Self {
       at_ms: now_ms,
@@ -35,7 +34,6 @@
     }
   }
 
-  /// An empty bucket.
   pub fn empty(now_ms: u64) -> Self {
     Self {
       at_ms: now_ms,
@@ -43,7 +41,6 @@
     }
   }
 
-  /// The current level.
   pub fn level(&mut self, limit: UseLimit, now_ms: u64) -> f64 {
     let passed_ms = now_ms.saturating_sub(self.at_ms);
     self.at_ms = self.at_ms.max(now_ms);
--- a/src/gateway/decisions/usage_table.rs
+++ b/src/gateway/decisions/usage_table.rs
@@ -39,7 +39,6 @@
 /// A coordinator's report to the others.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UsageTotals {
-  /// The coordinator.
   pub box_name: Name,
   /// Distinguishes its restarts.
   pub incarnation: u64,
@@ -51,7 +50,6 @@
   pub totals: Vec<(Name, i64)>,
 }
 
-/// One organisation's account.
 #[derive(Clone, Debug)]
 struct Account {
   limit: UseLimit,
