--- a/src/decide/action.rs
+++ b/src/decide/action.rs
@@ -1,119 +1,100 @@
-//! All that `decide` can ask for.
+//! What [`Machine`](super::Machine) asks the rest of the box to do.
 
 use {
-  super::{Ending, Note, PeerMessage, Role},
+  super::{PeerMessage, RequestOutcome, Role, TimelineEvent},
   crate::ids::{AttemptId, Name, RequestId},
 };
 
-/// An order to read a prompt.
+/// Prefill of a prompt.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct PrefillOrder {
-  /// The attempt.
+pub struct PrefillCommand {
   pub attempt: AttemptId,
-  /// The engine.
   pub engine: Name,
-  /// Priority, for engines that honour it.
+  /// Higher is scheduled first, by engines that honour priorities.
   pub priority: i64,
-  /// Time that the engine keeps the attempt without an extension.
+  /// Time after which the engine may free the attempt if its hold is not extended.
   pub hold_ms: u64,
-  /// Time until the caller's deadline.
+  /// Time left until the caller's deadline.
   pub deadline_ms: u64,
 }
 
-/// An order to pull a KV cache from a prefill engine.
+/// Transfer of a KV cache from a prefill engine to a decode engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct ImportOrder {
-  /// The attempt.
+pub struct ImportCommand {
   pub attempt: AttemptId,
-  /// The engine that keeps the export.
+  /// The prefill engine that exports the KV cache.
   pub source: Name,
-  /// The engine that is to decode.
+  /// The decode engine that imports it.
   pub engine: Name,
-  /// Time that the engine keeps the attempt without an extension.
+  /// Time after which the engine may free the attempt if its hold is not extended.
   pub hold_ms: u64,
-  /// Wait before the transfer begins, so that its link window is free.
+  /// Delay before the transfer begins, until its reserved link window.
   pub link_wait_ms: u64,
-  /// Time until the caller's deadline.
+  /// Time left until the caller's deadline.
   pub deadline_ms: u64,
 }
 
-/// An order to write the answer from an offset.
+/// Decode, from an offset of the answer on.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct DecodeOrder {
-  /// The attempt.
+pub struct DecodeCommand {
   pub attempt: AttemptId,
-  /// The engine.
   pub engine: Name,
-  /// Bytes of the answer that the caller has already.
+  /// Bytes of the answer that the caller already has.
   pub offset: u64,
 }
 
-/// An order to keep attempts for a while longer.
+/// Extension of an engine's holds on attempts.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct HoldOrder {
-  /// The engine.
+pub struct HoldCommand {
   pub engine: Name,
-  /// The attempts.
   pub attempts: Vec<AttemptId>,
-  /// How long, from now.
+  /// New time to live of the holds.
   pub hold_ms: u64,
 }
 
-/// One call to a plain service.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct ServiceOrder {
-  /// The attempt.
+pub struct CallCommand {
   pub attempt: AttemptId,
-  /// The endpoint.
   pub endpoint: Name,
-  /// Time until the caller's deadline.
+  /// Time left until the caller's deadline.
   pub deadline_ms: u64,
 }
 
-/// An order to change role.
+/// Change of an engine's role.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct RoleOrder {
-  /// The engine.
+pub struct RoleCommand {
   pub engine: Name,
-  /// The role wanted.
   pub role: Role,
-  /// Key-value revision of the steward's lease.
+  /// Store revision of the leader's lease; engines reject a fence lower than the last one.
   pub fence: u64,
-  /// The order must not be sent after this time on this box's clock.
+  /// End of the leader's lease on this box's clock; the command must not be sent later.
   pub valid_until_ms: u64,
 }
 
-/// All that `decide` can ask for.
+/// What [`Machine`](super::Machine) asks the rest of the box to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-  /// Write a claim.
+  /// Write a claim on an idempotency key of an organisation.
   Claim(RequestId, Name, Name),
-  /// Take back our own claim after proof that nothing ran.
+  /// Release this box's claim after proof that nothing ran.
   ReleaseClaim(RequestId, Name, Name),
-  /// Read a prompt.
-  Prefill(PrefillOrder),
-  /// Move a KV cache.
-  Import(ImportOrder),
-  /// Write an answer.
-  Decode(DecodeOrder),
-  /// Call a plain service.
-  Call(ServiceOrder),
-  /// Stop an attempt at an endpoint.
+  Prefill(PrefillCommand),
+  Import(ImportCommand),
+  Decode(DecodeCommand),
+  Call(CallCommand),
+  /// Cancel an attempt at an endpoint.
   Cancel(AttemptId, Name),
-  /// Stop reading this attempt's stream and report it as broken: the hold on it is lost.
-  GiveUp(AttemptId, Name),
-  /// Extend the holds of these attempts.
-  ExtendHolds(HoldOrder),
-  /// Ask an endpoint for its load.
+  /// Abort the attempt's stream and report it as failed, because its hold may have expired.
+  AbortStream(AttemptId, Name),
+  ExtendHolds(HoldCommand),
   PollLoad(Name),
-  /// Ask an engine what it holds.
+  /// List the attempts for which an engine holds memory.
   ListAttempts(Name),
-  /// Tell a peer.
+  /// Send a message to a peer.
   Send(Name, PeerMessage),
-  /// Tell the caller how its request ended.
-  End(RequestId, Ending),
-  /// Change an engine's role.
-  OrderRole(RoleOrder),
-  /// Put an event on the time line.
-  Note(Note),
+  /// Report the outcome of a request to its caller.
+  Complete(RequestId, RequestOutcome),
+  SetRole(RoleCommand),
+  /// Record an event on the timeline.
+  Record(TimelineEvent),
 }
--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -1,39 +1,37 @@
-//! All endpoints, in pools that are kept in order of load.
+//! All endpoints, in pools sorted by load.
 
 use {
-  super::{Endpoint, EndpointKind, EndpointSpec, LeavingEndpoint, LoadReport, Role, Sign},
+  super::{Endpoint, EndpointEvent, EndpointKind, EndpointSpec, LeavingEndpoint, LoadReport, Role},
   crate::ids::Name,
   std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Endpoints that can stand in for each other.
+/// A pool of interchangeable endpoints.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct PoolKey {
-  /// The hall.
   pub hall: Name,
-  /// The model, or the plain service.
+  /// The model or the plain service.
   pub subject: Name,
-  /// The role; none for plain services.
+  /// None for plain services.
   pub role: Option<Role>,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Slot {
+struct PoolEntry {
   key: u64,
   index: usize,
 }
 
-/// All endpoints that settings name.
+/// All endpoints of the settings.
 pub struct Fleet {
   endpoints: Vec<Endpoint>,
   by_name: BTreeMap<Name, usize>,
-  pools: BTreeMap<PoolKey, BTreeSet<Slot>>,
-  places: Vec<Vec<PoolKey>>,
-  keys: Vec<u64>,
+  pools: BTreeMap<PoolKey, BTreeSet<PoolEntry>>,
+  pool_keys: Vec<Vec<PoolKey>>,
+  load_keys: Vec<u64>,
 }
 
 impl Fleet {
-  /// Takes over the endpoints of the settings.
   pub fn new(specs: Vec<EndpointSpec>) -> Self {
     let endpoints = specs.into_iter().map(Endpoint::new).collect::<Vec<_>>();
     let by_name = endpoints
@@ -43,71 +41,67 @@
       .collect();
     Self {
       by_name,
-      keys: vec![0; endpoints.len()],
-      places: vec![Vec::new(); endpoints.len()],
+      load_keys: vec![0; endpoints.len()],
+      pool_keys: vec![Vec::new(); endpoints.len()],
       pools: BTreeMap::new(),
       endpoints,
     }
   }
 
-  /// The endpoint of that name.
   pub fn get(&self, name: &Name) -> Option<&Endpoint> {
     self.by_name.get(name).map(|index| &self.endpoints[*index])
   }
 
-  /// All endpoints.
   pub fn iter(&self) -> impl Iterator<Item = &Endpoint> {
     self.endpoints.iter()
   }
 
-  /// Changes an endpoint and puts it back in its place in the pools.
-  pub(crate) fn change<T>(
+  /// Updates an endpoint and its positions in the pools.
+  pub(crate) fn update<T>(
     &mut self,
     name: &Name,
-    change: impl FnOnce(&mut Endpoint) -> T,
+    update: impl FnOnce(&mut Endpoint) -> T,
   ) -> Option<T> {
     let index = *self.by_name.get(name)?;
-    let changed = change(&mut self.endpoints[index]);
-    self.replace(index);
-    Some(changed)
+    let result = update(&mut self.endpoints[index]);
+    self.reindex(index);
+    Some(result)
   }
 
-  /// Moves an endpoint through its life; true when its state changed.
-  pub(crate) fn sign(&mut self, name: &Name, sign: &Sign) -> bool {
+  /// Feeds an endpoint's state machine; true if the state changed.
+  pub(crate) fn apply_event(&mut self, name: &Name, event: &EndpointEvent) -> bool {
     self
-      .change(name, |endpoint| endpoint.sign(sign))
+      .update(name, |endpoint| endpoint.apply_event(event))
       .unwrap_or(false)
   }
 
-  /// Takes in a load report; true when the endpoint's state changed.
-  pub(crate) fn report(&mut self, now_ms: u64, report: &LoadReport) -> bool {
-    let sign = Sign::Reported {
+  /// Applies a load report; true if the endpoint's state changed.
+  pub(crate) fn apply_report(&mut self, now_ms: u64, report: &LoadReport) -> bool {
+    let event = EndpointEvent::Reported {
       incarnation: report.incarnation,
       leaving: report.leaving,
     };
     self
-      .change(&report.endpoint, |endpoint| {
-        endpoint.take(now_ms, report) && endpoint.sign(&sign)
+      .update(&report.endpoint, |endpoint| {
+        endpoint.apply_report(now_ms, report) && endpoint.apply_event(&event)
       })
       .unwrap_or(false)
   }
 
-  /// Endpoints of a pool, least loaded first.
   pub(crate) fn pool(&self, key: &PoolKey) -> impl Iterator<Item = &Endpoint> {
     self
       .pools
       .get(key)
       .into_iter()
       .flatten()
-      .map(|slot| &self.endpoints[slot.index])
+      .map(|entry| &self.endpoints[entry.index])
   }
 
-  /// The number of endpoints in a pool.
   pub(crate) fn pool_size(&self, key: &PoolKey) -> usize {
     self.pools.get(key).map_or(0, BTreeSet::len)
   }
 
-  /// The hall whose pool serves a subject: the own one, or else the first other that has any.
+  /// The hall whose pool serves a subject: this box's own, or else the first other with live endpoints.
   pub(crate) fn serving_hall(
     &self,
     own: &Name,
@@ -125,12 +119,11 @@
     self
       .pools
       .iter()
-      .find(|(pool, slots)| pool.subject == *subject && pool.role == role && !slots.is_empty())
+      .find(|(pool, entries)| pool.subject == *subject && pool.role == role && !entries.is_empty())
       .map(|(pool, _)| pool.hall.clone())
   }
 
-  /// Endpoints known to be leaving.
-  pub(crate) fn leaving(&self) -> Vec<LeavingEndpoint> {
+  pub(crate) fn leaving_endpoints(&self) -> Vec<LeavingEndpoint> {
     self
       .iter()
       .filter(|endpoint| endpoint.is_leaving())
@@ -141,13 +134,13 @@
       .collect()
   }
 
-  fn replace(&mut self, index: usize) {
-    let old = Slot {
+  fn reindex(&mut self, index: usize) {
+    let old = PoolEntry {
       index,
-      key: self.keys[index],
+      key: self.load_keys[index],
     };
-    for place in std::mem::take(&mut self.places[index]) {
-      if let Some(pool) = self.pools.get_mut(&place) {
+    for pool_key in std::mem::take(&mut self.pool_keys[index]) {
+      if let Some(pool) = self.pools.get_mut(&pool_key) {
         pool.remove(&old);
       }
     }
@@ -155,19 +148,23 @@
     if !endpoint.is_live() {
       return;
     }
-    let slot = Slot {
+    let entry = PoolEntry {
       index,
-      key: endpoint.pool_key(),
+      key: endpoint.load_key(),
     };
-    let places = Self::places_of(endpoint);
-    self.keys[index] = slot.key;
-    for place in &places {
-      self.pools.entry(place.clone()).or_default().insert(slot);
+    let pool_keys = Self::pool_keys_of(endpoint);
+    self.load_keys[index] = entry.key;
+    for pool_key in &pool_keys {
+      self
+        .pools
+        .entry(pool_key.clone())
+        .or_default()
+        .insert(entry);
     }
-    self.places[index] = places;
+    self.pool_keys[index] = pool_keys;
   }
 
-  fn places_of(endpoint: &Endpoint) -> Vec<PoolKey> {
+  fn pool_keys_of(endpoint: &Endpoint) -> Vec<PoolKey> {
     let subjects = match &endpoint.spec.kind {
       EndpointKind::Engine { models, .. } => models.clone(),
       EndpointKind::Service { service } => vec![service.clone()],
--- a/src/decide/timers.rs
+++ b/src/decide/timers.rs
@@ -1,38 +1,38 @@
-//! What a box does as time passes: heartbeats, polls, holds, sweeps, cancels, roles.
+//! Periodic tasks: heartbeats, polls, extension of holds, cancellation of orphans, repeated cancels, role switches.
 
 use {
   super::{
-    Action, Candidate, EndpointKind, Heartbeat, HoldOrder, Machine, NoteKind, PeerMessage, Role,
-    RoleOrder, Sign, TurnBounds, next_turn,
+    Action, Candidate, EndpointEvent, EndpointKind, EventKind, Heartbeat, HoldCommand, Machine,
+    PeerMessage, Role, RoleCommand, RoleSwitchLimits, next_role_switch,
   },
-  crate::{ids::Name, policy::PoolFacts},
+  crate::{ids::Name, policy::PoolStats},
   std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Loads that go along with every heartbeat; more only with each full one.
-const FEW_LOADS: usize = 8;
-/// Each so-manieth heartbeat carries all loads and goes to other halls too.
-const FULL_BEAT: u64 = 4;
-const HOLD_EXTENSIONS: u64 = 3;
+/// Up to this many load reports go with every heartbeat; more only with full ones.
+const MAX_LOADS_PER_HEARTBEAT: usize = 8;
+/// Every nth heartbeat is a full one, with all load reports and also to other halls.
+const FULL_HEARTBEAT_INTERVAL: u64 = 4;
+const EXTENSIONS_PER_HOLD: u64 = 3;
 const SCAN_PERIOD_MS: u64 = 100;
-const STEWARD_PERIOD_MS: u64 = 2_000;
+const ROLE_PERIOD_MS: u64 = 2_000;
 const SWEEP_PERIOD_MS: u64 = 2_000;
 
-/// When each periodic duty is due.
+/// The last run of each periodic task, this box's lease as role leader, and its holds.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
   heartbeat_ms: u64,
-  beats: u64,
-  /// The endpoints that this box is home of, as of the last poll.
-  homes: Vec<Name>,
+  heartbeats_sent: u64,
+  /// The endpoints that this box owned at the last poll.
+  owned_endpoints: Vec<Name>,
   poll_ms: u64,
   scan_ms: u64,
   sweep_ms: u64,
   holds_ms: u64,
-  steward_ms: u64,
+  roles_ms: u64,
   lease_until_ms: u64,
   fence: u64,
-  held_since_ms: BTreeMap<Name, u64>,
+  holds_extended_ms: BTreeMap<Name, u64>,
 }
 
 impl Timers {
@@ -49,14 +49,14 @@
     now_ms < self.lease_until_ms
   }
 
-  /// The next heartbeat goes out at once.
-  pub(crate) fn hurry(&mut self) {
+  /// Makes the next tick send a heartbeat.
+  pub(crate) fn send_heartbeat_soon(&mut self) {
     self.heartbeat_ms = 0;
   }
 }
 
-/// Whether a duty with this period is due; notes it as done.
-fn due(last_ms: &mut u64, now_ms: u64, period_ms: u64) -> bool {
+/// Whether a task with this period is due; if so, records it as run.
+fn is_due(last_ms: &mut u64, now_ms: u64, period_ms: u64) -> bool {
   if *last_ms > 0 && now_ms < *last_ms + period_ms {
     return false;
   }
@@ -66,81 +66,85 @@
 
 impl Machine {
   pub(super) fn tick(&mut self) {
-    let now_ms = self.scene.now_ms;
+    let now_ms = self.context.now_ms;
     self.expire_requests();
     self.send_cancels();
-    if due(&mut self.timers.scan_ms, now_ms, SCAN_PERIOD_MS) {
-      self.scan_silence();
+    if is_due(&mut self.timers.scan_ms, now_ms, SCAN_PERIOD_MS) {
+      self.expire_silent();
     }
-    if due(
+    if is_due(
       &mut self.timers.poll_ms,
       now_ms,
-      self.scene.tuning().poll_ms,
+      self.context.tuning().poll_ms,
     ) {
       self.poll_loads();
     }
-    if due(
+    if is_due(
       &mut self.timers.heartbeat_ms,
       now_ms,
-      self.scene.tuning().heartbeat_ms,
+      self.context.tuning().heartbeat_ms,
     ) {
       self.send_heartbeats();
     }
-    if due(&mut self.timers.sweep_ms, now_ms, SWEEP_PERIOD_MS) {
+    if is_due(&mut self.timers.sweep_ms, now_ms, SWEEP_PERIOD_MS) {
       self.list_attempts();
     }
-    let extension_ms = self.scene.tuning().hold_ms / HOLD_EXTENSIONS;
-    if due(&mut self.timers.holds_ms, now_ms, extension_ms) {
-      self.give_up_lost_holds();
+    let extension_ms = self.context.tuning().hold_ms / EXTENSIONS_PER_HOLD;
+    if is_due(&mut self.timers.holds_ms, now_ms, extension_ms) {
+      self.abort_lost_holds();
       self.extend_holds();
     }
-    if self.timers.holds_lease(now_ms)
-      && due(&mut self.timers.steward_ms, now_ms, STEWARD_PERIOD_MS)
+    if self.timers.holds_lease(now_ms) && is_due(&mut self.timers.roles_ms, now_ms, ROLE_PERIOD_MS)
     {
-      self.order_roles();
+      self.switch_roles();
     }
   }
 
   fn send_cancels(&mut self) {
-    for key in self.scene.orders.due(self.scene.now_ms) {
-      self.scene.act(Action::Cancel(key.attempt, key.endpoint));
+    for key in self.context.open_commands.due(self.context.now_ms) {
+      self.context.emit(Action::Cancel(key.attempt, key.endpoint));
     }
   }
 
-  fn scan_silence(&mut self) {
-    let now_ms = self.scene.now_ms;
-    let silence_ms = self.scene.tuning().endpoint_silence_ms;
+  fn expire_silent(&mut self) {
+    let now_ms = self.context.now_ms;
+    let silence_ms = self.context.tuning().endpoint_silence_ms;
     let silent = self
-      .scene
+      .context
       .fleet
       .iter()
       .filter(|endpoint| {
-        endpoint.is_live() && now_ms.saturating_sub(endpoint.heard_ms) > silence_ms
+        endpoint.is_live() && now_ms.saturating_sub(endpoint.last_contact_ms) > silence_ms
       })
       .map(|endpoint| endpoint.spec.name.clone())
       .collect::<Vec<_>>();
     for name in silent {
-      self.scene.fleet.sign(&name, &Sign::Silent);
-      self.note_endpoint(&name);
+      self
+        .context
+        .fleet
+        .apply_event(&name, &EndpointEvent::Silent);
+      self.record_endpoint_state(&name);
     }
     let lost = self
-      .scene
+      .context
       .members
-      .expire(now_ms, self.scene.tuning().peer_silence_ms);
+      .expire(now_ms, self.context.tuning().peer_silence_ms);
     for peer in lost {
-      self.scene.forget_homes();
-      for book in self.scene.books.values_mut() {
-        book.drop_box(&peer.entry.name, peer.incarnation);
+      self.context.clear_owners();
+      for table in self.context.slot_tables.values_mut() {
+        table.remove_box(&peer.entry.name, peer.incarnation);
       }
-      self.scene.note(NoteKind::PeerLost, peer.entry.name, "");
+      self
+        .context
+        .record(EventKind::PeerLost, peer.entry.name, "");
     }
   }
 
-  /// The endpoints that this box is home of.
-  fn homes_held(&mut self) -> Vec<Name> {
-    let hall = self.scene.identity.hall.clone();
+  /// The endpoints that this box owns.
+  fn find_owned_endpoints(&mut self) -> Vec<Name> {
+    let hall = self.context.identity.hall.clone();
     let names = self
-      .scene
+      .context
       .fleet
       .iter()
       .filter(|endpoint| endpoint.spec.hall == hall)
@@ -148,160 +152,168 @@
       .collect::<Vec<_>>();
     names
       .into_iter()
-      .filter(|name| self.scene.is_home(name))
+      .filter(|name| self.context.is_owner(name))
       .collect()
   }
 
   fn poll_loads(&mut self) {
-    let held = self.homes_held();
-    let kept = held.iter().cloned().collect::<BTreeSet<_>>();
-    self.scene.books.retain(|engine, _| kept.contains(engine));
-    for endpoint in &held {
-      self.scene.act(Action::PollLoad(endpoint.clone()));
+    let owned = self.find_owned_endpoints();
+    let names = owned.iter().cloned().collect::<BTreeSet<_>>();
+    self
+      .context
+      .slot_tables
+      .retain(|engine, _| names.contains(engine));
+    for endpoint in &owned {
+      self.context.emit(Action::PollLoad(endpoint.clone()));
     }
-    self.timers.homes = held;
+    self.timers.owned_endpoints = owned;
   }
 
-  /// Loads go along with each heartbeat while they are few, else with each fourth; other halls hear
-  /// only each fourth, and in large halls without loads: a box's share of the network does not grow
-  /// with the fleet.
+  /// Load reports go with each heartbeat while they are few, else with full ones only. Other halls get only full
+  /// heartbeats, from large halls without load reports, so that a box's traffic does not grow with the fleet.
   fn send_heartbeats(&mut self) {
-    let now_ms = self.scene.now_ms;
-    self.timers.beats += 1;
-    let is_full_beat = self.timers.beats.is_multiple_of(FULL_BEAT);
-    let held = if is_full_beat || self.timers.homes.len() <= FEW_LOADS {
-      self.timers.homes.clone()
-    } else {
-      Vec::new()
-    };
-    let loads = held
+    let now_ms = self.context.now_ms;
+    self.timers.heartbeats_sent += 1;
+    let is_full_heartbeat = self
+      .timers
+      .heartbeats_sent
+      .is_multiple_of(FULL_HEARTBEAT_INTERVAL);
+    let reported =
+      if is_full_heartbeat || self.timers.owned_endpoints.len() <= MAX_LOADS_PER_HEARTBEAT {
+        self.timers.owned_endpoints.clone()
+      } else {
+        Vec::new()
+      };
+    let loads = reported
       .iter()
-      .filter_map(|name| self.scene.fleet.get(name))
+      .filter_map(|name| self.context.fleet.get(name))
       .filter(|endpoint| endpoint.is_live() || endpoint.is_leaving())
-      .map(|endpoint| endpoint.relay(now_ms))
+      .map(|endpoint| endpoint.relayed_report(now_ms))
       .collect::<Vec<_>>();
     let heartbeat = Heartbeat {
-      configuration_digest: self.scene.configuration.digest(),
-      incarnation: self.scene.identity.incarnation,
-      latest_revision: self.scene.configuration.latest_revision(),
-      leaving: self.scene.stopping,
-      leaving_endpoints: self.scene.fleet.leaving(),
+      configuration_digest: self.context.configuration.digest(),
+      incarnation: self.context.identity.incarnation,
+      latest_revision: self.context.configuration.latest_revision(),
+      leaving: self.context.stopping,
+      leaving_endpoints: self.context.fleet.leaving_endpoints(),
       loads,
     };
-    for peer in self.scene.members.hall_neighbours() {
+    for peer in self.context.members.hall_neighbours() {
       let message = PeerMessage::Heartbeat(heartbeat.clone());
-      self.scene.act(Action::Send(peer, message));
+      self.context.emit(Action::Send(peer, message));
     }
-    if !is_full_beat {
+    if !is_full_heartbeat {
       return;
     }
     let mut heartbeat = heartbeat;
-    if !self.scene.members.is_full_mesh() {
+    if !self.context.members.is_full_mesh() {
       heartbeat.loads.clear();
     }
-    for peer in self.scene.members.far_neighbours() {
+    for peer in self.context.members.other_hall_neighbours() {
       let message = PeerMessage::Heartbeat(heartbeat.clone());
-      self.scene.act(Action::Send(peer, message));
+      self.context.emit(Action::Send(peer, message));
     }
   }
 
   fn list_attempts(&mut self) {
-    for name in self.timers.homes.clone() {
+    for name in self.timers.owned_endpoints.clone() {
       let is_engine = self
-        .scene
+        .context
         .fleet
         .get(&name)
         .is_some_and(|endpoint| matches!(endpoint.spec.kind, EndpointKind::Engine { .. }));
       if is_engine {
-        self.scene.act(Action::ListAttempts(name));
+        self.context.emit(Action::ListAttempts(name));
       }
     }
   }
 
   fn extend_holds(&mut self) {
-    let now_ms = self.scene.now_ms;
-    let held = self.scene.orders.held();
+    let now_ms = self.context.now_ms;
+    let held = self.context.open_commands.held();
     self
       .timers
-      .held_since_ms
+      .holds_extended_ms
       .retain(|engine, _| held.contains_key(engine));
     for (engine, attempts) in held {
       self
         .timers
-        .held_since_ms
+        .holds_extended_ms
         .entry(engine.clone())
         .or_insert(now_ms);
-      self.scene.act(Action::ExtendHolds(HoldOrder {
+      self.context.emit(Action::ExtendHolds(HoldCommand {
         attempts,
         engine,
-        hold_ms: self.scene.tuning().hold_ms,
+        hold_ms: self.context.tuning().hold_ms,
       }));
     }
   }
 
-  /// A box that could not extend its holds for half their time treats its attempts as lost first.
-  pub(super) fn give_up_lost_holds(&mut self) {
-    let now_ms = self.scene.now_ms;
-    let bound_ms = self.scene.tuning().hold_ms / 2;
+  /// Aborts the attempts at an engine where no hold was extended for half its time to live: the engine may free them.
+  pub(super) fn abort_lost_holds(&mut self) {
+    let now_ms = self.context.now_ms;
+    let timeout_ms = self.context.tuning().hold_ms / 2;
     let lost = self
       .timers
-      .held_since_ms
+      .holds_extended_ms
       .iter()
-      .filter(|(_, since_ms)| now_ms.saturating_sub(**since_ms) > bound_ms)
+      .filter(|(_, extended_ms)| now_ms.saturating_sub(**extended_ms) > timeout_ms)
       .map(|(engine, _)| engine.clone())
       .collect::<Vec<_>>();
-    let mut held = self.scene.orders.held();
+    let mut held = self.context.open_commands.held();
     for engine in lost {
-      self.timers.held_since_ms.insert(engine.clone(), now_ms);
+      self.timers.holds_extended_ms.insert(engine.clone(), now_ms);
       for attempt in held.remove(&engine).unwrap_or_default() {
-        self.scene.note(NoteKind::HoldLost, &attempt, &engine);
-        self.scene.act(Action::GiveUp(attempt, engine.clone()));
+        self.context.record(EventKind::HoldLost, &attempt, &engine);
+        self
+          .context
+          .emit(Action::AbortStream(attempt, engine.clone()));
       }
     }
   }
 
-  pub(super) fn holds_extended(&mut self, engine: &Name) {
-    let now_ms = self.scene.now_ms;
-    if let Some(since_ms) = self.timers.held_since_ms.get_mut(engine) {
-      *since_ms = now_ms;
+  pub(super) fn record_hold_extension(&mut self, engine: &Name) {
+    let now_ms = self.context.now_ms;
+    if let Some(extended_ms) = self.timers.holds_extended_ms.get_mut(engine) {
+      *extended_ms = now_ms;
     }
   }
 
-  /// As steward of the hall: orders at most one engine of each model to change its role.
-  fn order_roles(&mut self) {
-    let Some(policy) = self.scene.configuration.policy.clone() else {
+  /// As role leader of the hall: switches the role of at most one engine of each model.
+  fn switch_roles(&mut self) {
+    let Some(policy) = self.context.configuration.policy.clone() else {
       return;
     };
     let models = self.models();
     let pools = models
       .iter()
-      .map(|model| self.pool_facts(model))
+      .map(|model| self.pool_stats(model))
       .collect::<Vec<_>>();
     let splits = match policy.shift(self.clock(), &pools) {
       Ok(splits) => splits,
       Err(error) => {
-        self.scene.note(NoteKind::PolicyFailed, "shift", error);
+        self.context.record(EventKind::PolicyFailed, "shift", error);
         return;
       }
     };
-    let bounds = TurnBounds {
-      dead_band: self.scene.tuning().role_dead_band,
-      least_stay_ms: self.scene.tuning().role_least_stay_ms,
+    let limits = RoleSwitchLimits {
+      dead_band: self.context.tuning().role_dead_band,
+      min_dwell_ms: self.context.tuning().role_min_dwell_ms,
     };
     for split in splits {
       let candidates = self.candidates(&split.model);
-      let Some(turn) = next_turn(&candidates, &split, bounds) else {
+      let Some(switch) = next_role_switch(&candidates, &split, limits) else {
         continue;
       };
-      self.scene.note(
-        NoteKind::RoleOrdered,
-        &turn.engine,
-        format!("{:?}", turn.role),
+      self.context.record(
+        EventKind::RoleOrdered,
+        &switch.engine,
+        format!("{:?}", switch.role),
       );
-      self.scene.act(Action::OrderRole(RoleOrder {
-        engine: turn.engine,
+      self.context.emit(Action::SetRole(RoleCommand {
+        engine: switch.engine,
         fence: self.timers.fence,
-        role: turn.role,
+        role: switch.role,
         valid_until_ms: self.timers.lease_until_ms,
       }));
     }
@@ -309,9 +321,9 @@
 
   fn models(&self) -> Vec<Name> {
     let mut models = BTreeSet::new();
-    for endpoint in self.scene.fleet.iter() {
+    for endpoint in self.context.fleet.iter() {
       if let EndpointKind::Engine { models: served, .. } = &endpoint.spec.kind
-        && endpoint.spec.hall == self.scene.identity.hall
+        && endpoint.spec.hall == self.context.identity.hall
       {
         models.extend(served.iter().cloned());
       }
@@ -319,42 +331,42 @@
     models.into_iter().collect()
   }
 
-  fn pool_facts(&self, model: &Name) -> PoolFacts {
-    let now_ms = self.scene.now_ms;
-    let mut facts = PoolFacts {
+  fn pool_stats(&self, model: &Name) -> PoolStats {
+    let now_ms = self.context.now_ms;
+    let mut stats = PoolStats {
       decode_engines: 0,
       model: model.clone(),
       prefill_engines: 0,
       queue_tokens: 0,
-      seats_used: 0.0,
+      slots_used: 0.0,
     };
     let mut used = 0;
-    let mut seats = 0;
+    let mut slots = 0;
     for engine in self.engines_of(model) {
       if engine.role == Some(Role::Prefill) {
-        facts.prefill_engines += 1;
+        stats.prefill_engines += 1;
         let queue_ms = engine.prefill_free_at_ms().saturating_sub(now_ms);
-        facts.queue_tokens += queue_ms * engine.spec.prefill_tokens_per_s / 1_000;
+        stats.queue_tokens += queue_ms * engine.spec.prefill_tokens_per_s / 1_000;
       } else {
-        facts.decode_engines += 1;
-        used += engine.used_seats();
-        seats += engine.seats();
+        stats.decode_engines += 1;
+        used += engine.used_slots();
+        slots += engine.slots();
       }
     }
-    facts.seats_used = f64::from(used) / f64::from(seats.max(1));
-    facts
+    stats.slots_used = f64::from(used) / f64::from(slots.max(1));
+    stats
   }
 
   fn candidates(&self, model: &Name) -> Vec<Candidate> {
-    let now_ms = self.scene.now_ms;
+    let now_ms = self.context.now_ms;
     self
       .engines_of(model)
       .filter_map(|engine| {
         Some(Candidate {
           engine: engine.spec.name.clone(),
           role: engine.role?,
-          stayed_ms: now_ms.saturating_sub(engine.role_since_ms),
-          used_seats: engine.used_seats(),
+          dwell_ms: now_ms.saturating_sub(engine.role_since_ms),
+          used_slots: engine.used_slots(),
         })
       })
       .collect()
--- a/src/egress/service_call.rs
+++ b/src/egress/service_call.rs
@@ -127,7 +127,7 @@
 }
 
 fn broke(began: Began, offset: u64) -> StageOutcome {
-  StageOutcome::Broke {
+  StageOutcome::Failed {
     began,
     offset,
     resumable: offset == 0,
--- a/src/egress/worker.rs
+++ b/src/egress/worker.rs
@@ -13,8 +13,8 @@
   crate::{
     chunk::{Body, Payload},
     decide::{
-      Action, Began, DecodeOrder, Event, HoldOrder, ImportOrder, LoadReport, PrefillOrder,
-      RoleOrder, ServiceOrder, StageOutcome, StageReport,
+      Action, Began, CallCommand, DecodeCommand, Event, HoldCommand, ImportCommand, LoadReport,
+      PrefillCommand, RoleCommand, StageOutcome, StageReport,
     },
     endpoint_api::{DecodeRequest, HoldsRequest, ImportRequest, PrefillRequest},
     http_client::HttpClient,
@@ -140,13 +140,13 @@
       Action::Decode(command) => self.decode(command),
       Action::Call(command) => self.call(command),
       Action::Cancel(attempt, endpoint) => self.cancel(attempt, endpoint),
-      Action::GiveUp(attempt, endpoint) => self.give_up(attempt, endpoint),
+      Action::AbortStream(attempt, endpoint) => self.give_up(attempt, endpoint),
       Action::ExtendHolds(command) => self.extend_holds(command),
       Action::PollLoad(endpoint) => self.poll_load(endpoint),
       Action::ListAttempts(endpoint) => self.list_attempts(endpoint),
-      Action::OrderRole(command) => self.change_role(command),
-      Action::End(request, _) => self.remove_request(request),
-      Action::Claim(..) | Action::ReleaseClaim(..) | Action::Send(..) | Action::Note(_) => {}
+      Action::SetRole(command) => self.change_role(command),
+      Action::Complete(request, _) => self.remove_request(request),
+      Action::Claim(..) | Action::ReleaseClaim(..) | Action::Send(..) | Action::Record(_) => {}
     }
   }
 
@@ -195,8 +195,8 @@
     None
   }
 
-  fn prefill(&mut self, command: PrefillOrder) {
-    let PrefillOrder {
+  fn prefill(&mut self, command: PrefillCommand) {
+    let PrefillCommand {
       attempt,
       engine,
       priority,
@@ -243,8 +243,8 @@
     });
   }
 
-  fn import(&mut self, command: ImportOrder) {
-    let ImportOrder {
+  fn import(&mut self, command: ImportCommand) {
+    let ImportCommand {
       attempt,
       source,
       engine,
@@ -273,8 +273,8 @@
     });
   }
 
-  fn decode(&mut self, command: DecodeOrder) {
-    let DecodeOrder {
+  fn decode(&mut self, command: DecodeCommand) {
+    let DecodeCommand {
       attempt,
       engine,
       offset,
@@ -313,8 +313,8 @@
     });
   }
 
-  fn call(&mut self, command: ServiceOrder) {
-    let ServiceOrder {
+  fn call(&mut self, command: CallCommand) {
+    let CallCommand {
       attempt,
       deadline_ms,
       endpoint,
@@ -351,7 +351,7 @@
       };
       tokio::select! {
         outcome = call_service(&client, &active.payload, service_call, context.stall_timeout(), on_head) => outcome,
-        () = active.payload.chunks.closed() => StageOutcome::Broke {
+        () = active.payload.chunks.closed() => StageOutcome::Failed {
           began: Began::Perhaps,
           offset: 0,
           resumable: false,
@@ -395,8 +395,8 @@
     self.spawn(attempt, endpoint, async move { outcome });
   }
 
-  fn extend_holds(&mut self, command: HoldOrder) {
-    let HoldOrder {
+  fn extend_holds(&mut self, command: HoldCommand) {
+    let HoldCommand {
       engine: endpoint,
       attempts,
       hold_ms,
@@ -409,7 +409,7 @@
       let request = HoldsRequest { attempts, hold_ms };
       let event = match client.extend_holds(&request).await {
         Some(_) => Event::HoldsExtended(endpoint),
-        None => Event::HoldsMissed(endpoint),
+        None => Event::HoldExtensionFailed(endpoint),
       };
       context.to_decide.send(event).await;
     });
@@ -424,7 +424,7 @@
     tokio::spawn(async move {
       let sent_ms = context.now_ms();
       let Some(reply) = client.load().await else {
-        context.to_decide.send(Event::ReportMissed(endpoint)).await;
+        context.to_decide.send(Event::PollFailed(endpoint)).await;
         return;
       };
       let has_cache = reply.role.is_some();
@@ -435,8 +435,8 @@
         leaving: reply.leaving,
         queue_tokens: reply.queue_tokens,
         role: reply.role,
-        seats: reply.seats,
-        used_seats: reply.used_seats,
+        slots: reply.seats,
+        used_slots: reply.used_seats,
       };
       context.to_decide.send(Event::LoadReported(report)).await;
       if has_cache {
@@ -452,14 +452,14 @@
     let context = self.context.clone();
     tokio::spawn(async move {
       if let Some(reply) = client.attempts().await {
-        let event = Event::Listed(endpoint, reply.attempts);
+        let event = Event::AttemptsListed(endpoint, reply.attempts);
         context.to_decide.send(event).await;
       }
     });
   }
 
   /// Checks that the lease is still valid directly before the command is sent.
-  fn change_role(&mut self, command: RoleOrder) {
+  fn change_role(&mut self, command: RoleCommand) {
     let Some(client) = self.context.client(&command.engine) else {
       return;
     };
--- a/src/ingress/outcome.rs
+++ b/src/ingress/outcome.rs
@@ -1,7 +1,7 @@
 //! Error responses to callers: status, `Retry-After` and a machine-readable body.
 
 use {
-  crate::decide::{Doubt, Ending, Refusal},
+  crate::decide::{NotRunReason, RequestOutcome, UnknownReason},
   axum::{
     Json,
     response::{IntoResponse, Response},
@@ -39,47 +39,47 @@
   pub(crate) retry_after_ms: Option<u64>,
 }
 
-fn rejection_status(reason: Refusal) -> StatusCode {
+fn rejection_status(reason: NotRunReason) -> StatusCode {
   match reason {
-    Refusal::OrganisationLimit => StatusCode::TOO_MANY_REQUESTS,
-    Refusal::AlreadyClaimed => StatusCode::CONFLICT,
-    Refusal::QueueFull
-    | Refusal::Shed
-    | Refusal::TooLate
-    | Refusal::NoEndpoint
-    | Refusal::ClaimUnavailable
-    | Refusal::NeverBegan
-    | Refusal::RetryBudget
-    | Refusal::Stopping
-    | Refusal::Busy
-    | Refusal::NotReady => StatusCode::SERVICE_UNAVAILABLE,
+    NotRunReason::OrganisationLimit => StatusCode::TOO_MANY_REQUESTS,
+    NotRunReason::AlreadyClaimed => StatusCode::CONFLICT,
+    NotRunReason::QueueFull
+    | NotRunReason::Shed
+    | NotRunReason::TooLate
+    | NotRunReason::NoEndpoint
+    | NotRunReason::ClaimUnavailable
+    | NotRunReason::NeverBegan
+    | NotRunReason::RetryBudget
+    | NotRunReason::Stopping
+    | NotRunReason::Busy
+    | NotRunReason::NotReady => StatusCode::SERVICE_UNAVAILABLE,
   }
 }
 
-fn rejection_text(reason: Refusal) -> &'static str {
+fn rejection_text(reason: NotRunReason) -> &'static str {
   match reason {
-    Refusal::OrganisationLimit => "your organisation has too many requests in progress",
-    Refusal::QueueFull => "the queue is full",
-    Refusal::Shed => "shed in favour of higher-priority work",
-    Refusal::TooLate => "the first token would come after the deadline",
-    Refusal::NoEndpoint => "no live endpoint serves this",
-    Refusal::ClaimUnavailable => "the idempotency key could not be claimed",
-    Refusal::AlreadyClaimed => {
+    NotRunReason::OrganisationLimit => "your organisation has too many requests in progress",
+    NotRunReason::QueueFull => "the queue is full",
+    NotRunReason::Shed => "shed in favour of higher-priority work",
+    NotRunReason::TooLate => "the first token would come after the deadline",
+    NotRunReason::NoEndpoint => "no live endpoint serves this",
+    NotRunReason::ClaimUnavailable => "the idempotency key could not be claimed",
+    NotRunReason::AlreadyClaimed => {
       "a request with this idempotency key was accepted before; see its response"
     }
-    Refusal::NeverBegan => "every endpoint tried confirmed that the work did not begin",
-    Refusal::RetryBudget => "the work did not begin, and the retry budget is used up",
-    Refusal::Stopping => "this box is stopping",
-    Refusal::Busy => "this box is busy",
-    Refusal::NotReady => "this box has no configuration yet",
+    NotRunReason::NeverBegan => "every endpoint tried confirmed that the work did not begin",
+    NotRunReason::RetryBudget => "the work did not begin, and the retry budget is used up",
+    NotRunReason::Stopping => "this box is stopping",
+    NotRunReason::Busy => "this box is busy",
+    NotRunReason::NotReady => "this box has no configuration yet",
   }
 }
 
-fn unknown_text(reason: Doubt) -> &'static str {
+fn unknown_text(reason: UnknownReason) -> &'static str {
   match reason {
-    Doubt::EndpointFailed => "an endpoint failed after the work may have begun",
-    Doubt::TimedOut => "the work may have begun and did not finish in time",
-    Doubt::AnswerBroken => "the response was interrupted and could not be resumed",
+    UnknownReason::EndpointFailed => "an endpoint failed after the work may have begun",
+    UnknownReason::TimedOut => "the work may have begun and did not finish in time",
+    UnknownReason::AnswerBroken => "the response was interrupted and could not be resumed",
   }
 }
 
@@ -92,20 +92,20 @@
 }
 
 /// The error body for an outcome; `None` for outcomes that are not reported to the caller.
-pub(crate) fn outcome_body(outcome: Ending) -> Option<OutcomeBody> {
+pub(crate) fn outcome_body(outcome: RequestOutcome) -> Option<OutcomeBody> {
   let error = match outcome {
-    Ending::Answered | Ending::Abandoned => return None,
-    Ending::NotRun {
+    RequestOutcome::Answered | RequestOutcome::Abandoned => return None,
+    RequestOutcome::NotRun {
       reason,
       retry_after_ms,
     } => OutcomeError {
       code: error_code(reason),
       message: format!("not run: {}", rejection_text(reason)),
       outcome: Outcome::NotRun,
-      retry_after_ms: (reason != Refusal::AlreadyClaimed).then_some(retry_after_ms),
+      retry_after_ms: (reason != NotRunReason::AlreadyClaimed).then_some(retry_after_ms),
       r#type: "not_run",
     },
-    Ending::Unknown { reason } => OutcomeError {
+    RequestOutcome::Unknown { reason } => OutcomeError {
       code: error_code(reason),
       message: format!("unknown: {}", unknown_text(reason)),
       outcome: Outcome::Unknown,
@@ -117,13 +117,15 @@
 }
 
 /// The error response for a request that failed before the first response byte.
-pub(crate) fn outcome_response(outcome: Ending) -> Response {
+pub(crate) fn outcome_response(outcome: RequestOutcome) -> Response {
   let status = match outcome {
-    Ending::NotRun { reason, .. } => rejection_status(reason),
-    Ending::Unknown {
-      reason: Doubt::TimedOut,
+    RequestOutcome::NotRun { reason, .. } => rejection_status(reason),
+    RequestOutcome::Unknown {
+      reason: UnknownReason::TimedOut,
     } => StatusCode::GATEWAY_TIMEOUT,
-    Ending::Unknown { .. } | Ending::Answered | Ending::Abandoned => StatusCode::BAD_GATEWAY,
+    RequestOutcome::Unknown { .. } | RequestOutcome::Answered | RequestOutcome::Abandoned => {
+      StatusCode::BAD_GATEWAY
+    }
   };
   let Some(body) = outcome_body(outcome) else {
     return status.into_response();
--- a/src/ingress/response.rs
+++ b/src/ingress/response.rs
@@ -8,7 +8,7 @@
   },
   crate::{
     chunk::{Chunk, Usage},
-    decide::{Doubt, Ending},
+    decide::{RequestOutcome, UnknownReason},
     endpoint_api::FinishReason,
     ids::Name,
   },
@@ -26,8 +26,8 @@
 /// The event that ends a stream, as OpenAI clients expect it.
 const DONE: &str = "data: [DONE]\n\n";
 /// The outcome when `decide` reports none.
-const OUTCOME_MISSING: Ending = Ending::Unknown {
-  reason: Doubt::AnswerBroken,
+const OUTCOME_MISSING: RequestOutcome = RequestOutcome::Unknown {
+  reason: UnknownReason::AnswerBroken,
 };
 
 /// The fields that are the same in all events of one completion response.
@@ -125,7 +125,7 @@
   bytes.into()
 }
 
-fn error_event(outcome: Ending) -> Bytes {
+fn error_event(outcome: RequestOutcome) -> Bytes {
   let Some(body) = outcome_body(outcome) else {
     return Bytes::new();
   };
@@ -137,7 +137,7 @@
 /// The next item of a pending response.
 enum Next {
   Chunk(Chunk),
-  Finished(Ending),
+  Finished(RequestOutcome),
 }
 
 impl PendingResponse {
@@ -170,7 +170,7 @@
   }
 
   /// Returns a chunk first and keeps the outcome for a later call.
-  fn defer_outcome(&mut self, chunk: Chunk, outcome: Ending) -> Next {
+  fn defer_outcome(&mut self, chunk: Chunk, outcome: RequestOutcome) -> Next {
     let (sender, receiver) = tokio::sync::oneshot::channel();
     let _ = sender.send(outcome);
     self.outcome = receiver;
@@ -190,7 +190,7 @@
       Next::Chunk(Chunk::Text(piece)) => text.push_str(&piece),
       Next::Chunk(Chunk::Usage(total)) => usage = Some(total),
       Next::Chunk(Chunk::Head(..) | Chunk::Body(_)) => {}
-      Next::Finished(Ending::Answered) => return metadata.full_response(text, usage),
+      Next::Finished(RequestOutcome::Answered) => return metadata.full_response(text, usage),
       Next::Finished(outcome) => return outcome_response(outcome),
     }
   }
@@ -216,7 +216,7 @@
       Next::Chunk(Chunk::Text(text)) => break metadata.text_event(text),
       Next::Chunk(Chunk::Usage(total)) => usage = Some(total),
       Next::Chunk(Chunk::Head(..) | Chunk::Body(_)) => {}
-      Next::Finished(Ending::Answered) => {
+      Next::Finished(RequestOutcome::Answered) => {
         return events(HttpBody::from(metadata.final_event(usage)));
       }
       Next::Finished(outcome) => return outcome_response(outcome),
@@ -252,7 +252,7 @@
         Next::Finished(outcome) => {
           self.is_finished = true;
           return Some(match outcome {
-            Ending::Answered => self.metadata.final_event(self.usage),
+            RequestOutcome::Answered => self.metadata.final_event(self.usage),
             failed => error_event(failed),
           });
         }
@@ -314,7 +314,7 @@
         Next::Chunk(_) => {}
         Next::Finished(outcome) => {
           self.is_finished = true;
-          return (outcome != Ending::Answered).then_some(Err(TruncatedResponse));
+          return (outcome != RequestOutcome::Answered).then_some(Err(TruncatedResponse));
         }
       }
     }
--- a/src/ingress/state.rs
+++ b/src/ingress/state.rs
@@ -5,7 +5,7 @@
   crate::{
     chunk::{Body, CHUNKS_IN_FLIGHT, Chunk, Payload},
     configuration::KeyTable,
-    decide::{Arrival, Ending, Event, Refusal, Work},
+    decide::{Arrival, Event, NotRunReason, RequestOutcome, Work},
     egress::EgressInput,
     ids::{Name, RequestId},
     ring::Sender,
@@ -78,14 +78,14 @@
   pub(crate) to_egress: Sender<EgressInput>,
   pub(crate) next_request: AtomicU64,
   /// Requests without an outcome yet.
-  pub(crate) pending: Mutex<HashMap<RequestId, oneshot::Sender<Ending>>>,
+  pub(crate) pending: Mutex<HashMap<RequestId, oneshot::Sender<RequestOutcome>>>,
 }
 
 /// An admitted request whose response is pending, as its handler holds it.
 pub(super) struct PendingResponse {
   pub(super) guard: CallerGuard,
   pub(super) chunks: mpsc::Receiver<Chunk>,
-  pub(super) outcome: oneshot::Receiver<Ending>,
+  pub(super) outcome: oneshot::Receiver<RequestOutcome>,
 }
 
 /// The attributes of a request, without its body.
@@ -106,8 +106,8 @@
     body: Body,
   ) -> Result<PendingResponse, Box<Response>> {
     match self.phase.get() {
-      Phase::Unready => return Err(rejection(Refusal::NotReady, BUSY_RETRY_MS)),
-      Phase::Closed => return Err(rejection(Refusal::Stopping, STOPPING_RETRY_MS)),
+      Phase::Unready => return Err(rejection(NotRunReason::NotReady, BUSY_RETRY_MS)),
+      Phase::Closed => return Err(rejection(NotRunReason::Stopping, STOPPING_RETRY_MS)),
       Phase::Ready | Phase::Leaving => {}
     }
     let request = RequestId(self.next_request.fetch_add(1, Ordering::Relaxed));
@@ -116,7 +116,7 @@
     {
       let mut pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
       if pending.len() >= self.limits.requests {
-        return Err(rejection(Refusal::Busy, BUSY_RETRY_MS));
+        return Err(rejection(NotRunReason::Busy, BUSY_RETRY_MS));
       }
       pending.insert(request, outcome_sender);
     }
@@ -128,7 +128,7 @@
     };
     if self.to_egress.push(EgressInput::Payload(payload)).is_err() {
       self.remove_pending(request);
-      return Err(rejection(Refusal::Busy, BUSY_RETRY_MS));
+      return Err(rejection(NotRunReason::Busy, BUSY_RETRY_MS));
     }
     let arrival = Arrival {
       deadline_ms: attributes.deadline_ms,
@@ -147,7 +147,7 @@
       .is_err()
     {
       self.remove_pending(request);
-      return Err(rejection(Refusal::Busy, BUSY_RETRY_MS));
+      return Err(rejection(NotRunReason::Busy, BUSY_RETRY_MS));
     }
     Ok(PendingResponse {
       chunks,
@@ -165,7 +165,7 @@
   }
 
   /// Passes the outcome of a request to its handler, if the caller is still connected.
-  pub(super) fn finish_pending(&self, request: RequestId, outcome: Ending) {
+  pub(super) fn finish_pending(&self, request: RequestId, outcome: RequestOutcome) {
     let waiting = self
       .pending
       .lock()
@@ -177,8 +177,8 @@
   }
 }
 
-fn rejection(reason: Refusal, retry_after_ms: u64) -> Box<Response> {
-  Box::new(outcome_response(Ending::NotRun {
+fn rejection(reason: NotRunReason, retry_after_ms: u64) -> Box<Response> {
+  Box::new(outcome_response(RequestOutcome::NotRun {
     reason,
     retry_after_ms,
   }))
--- a/src/ingress/worker.rs
+++ b/src/ingress/worker.rs
@@ -3,7 +3,7 @@
 use {
   super::{router::router, state::IngressState},
   crate::{
-    decide::Ending,
+    decide::RequestOutcome,
     ids::RequestId,
     listener::{ListenerBounds, serve},
     ring::Receiver,
@@ -16,7 +16,7 @@
 pub(crate) struct IngressSetup {
   pub(crate) state: Arc<IngressState>,
   pub(crate) listener: std::net::TcpListener,
-  pub(crate) outcomes: Receiver<(RequestId, Ending)>,
+  pub(crate) outcomes: Receiver<(RequestId, RequestOutcome)>,
   pub(crate) notify: Arc<Notify>,
 }
 
--- a/src/store/configuration_watch.rs
+++ b/src/store/configuration_watch.rs
@@ -70,7 +70,7 @@
 /// Whether a box is one of the watchers of its hall, by rendezvous hashing over the hall's live boxes.
 pub(super) fn is_watcher(own: &Name, hall_boxes: &[Name]) -> bool {
   const WATCHERS: usize = 2;
-  crate::decide::ranked(&"configuration".into(), hall_boxes)
+  crate::decide::rendezvous_order(&"configuration".into(), hall_boxes)
     .iter()
     .take(WATCHERS)
     .any(|name| name == own)
