--- a/src/gateway/limits/mod.rs
+++ b/src/gateway/limits/mod.rs
@@ -1,16 +1,17 @@
-//! Organisations' limits over all boxes: what boxes tell each other of use, and the admission of a request.
+//! Organisations' rate limits over all boxes: usage reports between boxes, and the admission of a request. Some boxes of each hall are
+//! coordinators: they account the usage of all boxes and exchange their totals; every other box reports its usage to one of them.
 //!
-//! Imports the folders up to `state`. What is decided stands in `decisions`: `use_book` for boxes that count, `use_ledger`
-//! for the others.
+//! Imports the folders up to `state`. The accounting is in `decisions`: `usage_table` on coordinators, `local_usage` on all other
+//! boxes.
 
 mod admission;
-mod figures;
 mod messages;
-mod telling;
+mod metrics;
+mod reporting;
 
 pub(crate) use self::{
-  admission::{Beyond, Charge, admit},
-  figures::limit_figures,
-  messages::{TOTALS_PATH, USE_PATH, answer_totals, answer_use},
-  telling::keep_counts,
+  admission::{Charge, OverLimit, admit},
+  messages::{TOTALS_PATH, USAGE_PATH, handle_totals, handle_usage},
+  metrics::limit_metrics,
+  reporting::sync_usage,
 };
--- a/src/gateway/parts/notice.rs
+++ b/src/gateway/parts/notice.rs
@@ -5,7 +5,7 @@
   crate::gateway::{
     decisions::{LimitChange, NoticeChange, jittered_backoff_ms},
     edge::{EndpointEntry, EndpointNotice, NamedLimit},
-    permits::tell_limit,
+    permits::announce_limit,
     state::Gateway,
   },
   http::{StatusCode, response},
@@ -36,13 +36,16 @@
   }
   if purpose != Purpose::GiveBack && !TURNED_AWAY.contains(&answer.status) {
     let now_ms = gateway.now_ms();
-    gateway.book.borrow_mut().record_accepted(&entry.id, now_ms);
+    gateway
+      .endpoints
+      .borrow_mut()
+      .record_accepted(&entry.id, now_ms);
   }
   note_unknown_names(gateway, entry, answer);
   let mut notice = gateway.dialect.notice(answer.status, &answer.headers);
   hear_limit(gateway, sent, notice.limit, answer);
   if let Some(cold_ms) = notice.cold_ms.take() {
-    gateway.note_cold(entry, cold_ms);
+    gateway.record_cold(entry, cold_ms);
   }
   if notice == EndpointNotice::default() {
     return;
@@ -53,12 +56,12 @@
     .map(|wanted_ms| jittered_backoff_ms(wanted_ms, boxes, gateway.draw()));
   let now_ms = gateway.now_ms();
   if let Some(unreadable) = &notice.unreadable
-    && gateway.unreadable_lines.is_over(now_ms)
+    && gateway.unreadable_log_throttle.should_log(now_ms)
   {
     log::warn!("E538 not understood: {} says {unreadable}", entry.id);
   }
   let news = gateway
-    .book
+    .endpoints
     .borrow_mut()
     .record_notice(entry, &notice, now_ms);
   log_news(gateway, entry, answer, news, now_ms);
@@ -67,7 +70,8 @@
 /// Says once of each name that the platform's page doesn't have: it may be a word that boxes ought to heed.
 fn note_unknown_names(gateway: &Gateway, entry: &EndpointEntry, answer: &response::Parts) {
   for name in answer.headers.keys() {
-    if !gateway.dialect.knows_in_answers(name) && gateway.unknown_names.borrow_mut().note(name) {
+    if !gateway.dialect.knows_in_answers(name) && gateway.unknown_headers.borrow_mut().record(name)
+    {
       log::info!("E542 unknown name: {} has {name} in its answers", entry.id);
     }
   }
@@ -86,13 +90,13 @@
   }
   let now_ms = gateway.now_ms();
   let news = gateway
-    .book
+    .endpoints
     .borrow_mut()
     .record_limit(entry, said, sent_ms, now_ms);
   if news == LimitChange::Started {
     gateway.counters.limit_notices.inc();
     if gateway.settings.mechanisms.endpoint_limits {
-      tell_limit(gateway, &entry.id, entry.born_ms);
+      announce_limit(gateway, &entry.id, entry.born_ms);
     }
   }
   log_limit(gateway, entry, answer, news, now_ms);
@@ -108,13 +112,13 @@
 ) {
   let is_due = match news {
     LimitChange::Unchanged => false,
-    LimitChange::Changed(_) => gateway.limit_lines.is_over(now_ms),
+    LimitChange::Changed(_) => gateway.limit_log_throttle.should_log(now_ms),
     LimitChange::Started | LimitChange::Ended => true,
   };
   if !is_due {
     return;
   }
-  let heard = gateway.book.borrow().limits().advertised(entry);
+  let heard = gateway.endpoints.borrow().limits().advertised(entry);
   let per_s = heard.and_then(|heard| heard.per_s);
   let facts = gateway.dialect.answer_facts(&answer.headers);
   let request = facts.request_id.as_deref().unwrap_or("-");
@@ -147,7 +151,7 @@
   let facts = gateway.dialect.answer_facts(&answer.headers);
   let request = facts.request_id.as_deref().unwrap_or("-");
   let heard_ms = gateway
-    .store_heard_ms
+    .store_contact_ms
     .get()
     .map(|heard_ms| now_ms - heard_ms.min(now_ms));
   let id = &entry.id;
@@ -173,7 +177,7 @@
 
 /// What the store's list says of an endpoint.
 fn listed(gateway: &Gateway, id: &str) -> &'static str {
-  match gateway.book.borrow().entry(id) {
+  match gateway.endpoints.borrow().entry(id) {
     Some(entry) if entry.leaving => "leaving",
     Some(_) => "ready",
     None => "gone",
--- a/src/gateway/parts/part.rs
+++ b/src/gateway/parts/part.rs
@@ -11,7 +11,7 @@
       connections::{Connection, SendError, remove_connection_headers},
       decisions::{AttemptOutcome, Unavailable},
       edge::{AnswerFacts, EndpointEntry, Marks},
-      permits::{Permit, return_permit, take_permit},
+      permits::{Permit, acquire_permit, return_permit},
       state::Gateway,
     },
     ids::Name,
@@ -98,7 +98,7 @@
 impl Booking {
   /// Books work that is about to be sent.
   pub(crate) fn new(gateway: &Rc<Gateway>, endpoint: &Name, size: u64, units: u64) -> Self {
-    gateway.book.borrow_mut().record_send(endpoint, size);
+    gateway.endpoints.borrow_mut().record_send(endpoint, size);
     Self {
       end: AttemptOutcome::Cancelled,
       endpoint: endpoint.clone(),
@@ -136,7 +136,7 @@
   fn drop(&mut self) {
     self
       .gateway
-      .ended(&self.endpoint, self.size, self.units, self.end);
+      .finish_stage(&self.endpoint, self.size, self.units, self.end);
   }
 }
 
@@ -186,7 +186,7 @@
     } else {
       self.booking.answered();
     }
-    gateway.rest(self.connection, &self.raw_headers);
+    gateway.keep_alive(self.connection, &self.raw_headers);
     Ok(WholeAnswer {
       body,
       headers,
@@ -237,7 +237,7 @@
   let entry = part.entry;
   let permit = match part.permit {
     Permit::Taken => Permit::Taken,
-    Permit::NotNeeded => take_permit(gateway, entry, request.permit_caller()).await?,
+    Permit::NotNeeded => acquire_permit(gateway, entry, request.permit_caller()).await?,
   };
   let sent = send_permitted(gateway, request, part).await;
   let never_seen = matches!(&sent, Err(error) if error.is_unsent());
@@ -340,7 +340,7 @@
   purpose: Purpose,
 ) -> Result<(), PartError> {
   let now_ms = gateway.now_ms();
-  let mut book = gateway.book.borrow_mut();
+  let mut book = gateway.endpoints.borrow_mut();
   match (book.check(entry, now_ms), purpose) {
     (Ok(()), Purpose::Request | Purpose::Call) => {
       if let Some(asked_ms) = book.record_probe(&entry.id, now_ms) {
@@ -374,7 +374,7 @@
   }
   if let Some(load) = facts.load {
     gateway
-      .book
+      .endpoints
       .borrow_mut()
       .record_load(&entry.id, load, gateway.now_ms());
   }
--- a/src/gateway/requests/event_source.rs
+++ b/src/gateway/requests/event_source.rs
@@ -10,7 +10,7 @@
   crate::gateway::{
     decisions::AttemptOutcome,
     parts::{Head, PartError, RoutedRequest},
-    quarantine::{LostPart, note_lost, note_whole},
+    quarantine::{LostStage, record_lost_stage, record_success},
     state::InFlight,
   },
   bytes::Bytes,
@@ -98,7 +98,7 @@
     if !self.first_event_noted {
       self.first_event_noted = true;
       let took_ms = self.stream.gateway.now_ms() - self.stream.request.arrived_ms;
-      self.stream.gateway.counters.first_event_ms.note(took_ms);
+      self.stream.gateway.counters.first_event_ms.record(took_ms);
       log::info!(
         "E509 first event: {} after {took_ms} ms",
         self.stream.request.id()
@@ -128,7 +128,7 @@
     let Some(head) = &mut self.head else {
       return Err("no endpoint".into());
     };
-    self.stream.gateway.overdue(&head.connection.endpoint);
+    self.stream.gateway.mark_overdue(&head.connection.endpoint);
     let silent = format!("silent for {silent_ms} ms");
     if silent_ms >= left_ms {
       return Err(silent);
@@ -177,12 +177,12 @@
       self.stream.tried().len(),
       self.longest_pause_ms
     );
-    note_whole(&gateway, &self.stream.request, RoutedRequest::fingerprint);
+    record_success(&gateway, &self.stream.request, RoutedRequest::fingerprint);
     let took_ms = gateway.now_ms() - self.stream.request.arrived_ms;
-    gateway.seat_forecast.borrow_mut().record_stream(took_ms);
+    gateway.slot_forecast.borrow_mut().record_stream(took_ms);
     if let Some(mut head) = self.head.take() {
       head.booking.answered();
-      gateway.rest(head.connection, &head.raw_headers);
+      gateway.keep_alive(head.connection, &head.raw_headers);
     }
     let rest = self.cutter.take_rest();
     (!rest.is_empty()).then_some(Ok(rest))
@@ -198,13 +198,13 @@
     );
     if let Some(mut head) = self.head.take() {
       head.booking.settle(AttemptOutcome::Lost);
-      let lost = LostPart {
+      let lost = LostStage {
         entry: head.entry.clone(),
         error: error.clone(),
         fingerprint: request.fingerprint(),
         sent_ms: head.sent_ms,
       };
-      note_lost(&self.stream.gateway, &request, lost).await;
+      record_lost_stage(&self.stream.gateway, &request, lost).await;
       self.stream.wrote_it = Some(head.connection.endpoint.clone());
     }
     self.cutter = EventCutter::default();
@@ -226,7 +226,7 @@
   /// Ends the stream so that the caller sees that its end is missing.
   fn break_off(&mut self, error: String) -> StreamBroke {
     self.ended = true;
-    self.stream.gateway.counters.broken_streams.inc();
+    self.stream.gateway.counters.interrupted_streams.inc();
     log::info!(
       "E507 stream broken off: {}: {error}",
       self.stream.request.id()
@@ -238,7 +238,7 @@
 impl Drop for EventSource {
   fn drop(&mut self) {
     if !self.ended {
-      self.stream.gateway.counters.callers_gone.inc();
+      self.stream.gateway.counters.caller_disconnects.inc();
       log::info!(
         "E516 caller left: {} after event {:?}",
         self.stream.request.id(),
--- a/src/gateway/requests/plain.rs
+++ b/src/gateway/requests/plain.rs
@@ -7,7 +7,7 @@
       decisions::{EndpointCriteria, RETRY_AFTER_FULL_MS, RETRY_AFTER_NO_ENDPOINT_MS},
       edge::{EndpointEntry, Marks, Part},
       parts::{OutgoingPart, PartError, RoutedRequest, WholeAnswer, send_part},
-      quarantine::{LostPart, note_lost, note_whole},
+      quarantine::{LostStage, record_lost_stage, record_success},
       state::Gateway,
     },
     ids::Name,
@@ -115,7 +115,7 @@
         );
         self.note_slower_endpoints();
         if answer.status.is_success() {
-          note_whole(&self.gateway, &self.request, RoutedRequest::fingerprint);
+          record_success(&self.gateway, &self.request, RoutedRequest::fingerprint);
         }
         return Some(pass_on(answer));
       }
@@ -161,10 +161,10 @@
     let Some(entry) = self.choose() else {
       return false;
     };
-    if !self.gateway.take_repeat(&self.request.service) {
+    if !self.gateway.take_retry(&self.request.service) {
       return false;
     }
-    self.gateway.counters.repeats.inc();
+    self.gateway.counters.retries.inc();
     self.has_repeat_left = true;
     self.send_to(entry);
     true
@@ -177,14 +177,14 @@
       return;
     }
     if std::mem::take(&mut self.has_repeat_left) {
-      self.gateway.give_repeat_back(&self.request.service);
+      self.gateway.return_retry(&self.request.service);
     }
   }
 
   /// Endpoints that were asked first and have still not answered count as failing, for the choice to come.
   fn note_slower_endpoints(&self) {
     for endpoint in &self.awaited {
-      self.gateway.book.borrow_mut().mark_outrun(endpoint);
+      self.gateway.endpoints.borrow_mut().mark_outrun(endpoint);
     }
   }
 
@@ -257,7 +257,7 @@
   /// The answer at the deadline.
   fn time_out(self) -> Response<AnswerBody> {
     for endpoint in &self.awaited {
-      self.gateway.overdue(endpoint);
+      self.gateway.mark_overdue(endpoint);
     }
     log::info!("E503 timed out: {} at {:?}", self.request.id(), self.tried);
     match self.failure {
@@ -278,13 +278,13 @@
   let id = entry.id.clone();
   if let Err(PartError::Lost(error)) = &answer {
     let error = error.clone();
-    let lost = LostPart {
+    let lost = LostStage {
       entry,
       error,
       fingerprint: request.fingerprint(),
       sent_ms,
     };
-    note_lost(&gateway, &request, lost).await;
+    record_lost_stage(&gateway, &request, lost).await;
   }
   (id, answer)
 }
