--- a/emulator/src/load/replay.rs
+++ b/emulator/src/load/replay.rs
@@ -11,7 +11,7 @@
   rand_chacha::ChaCha8Rng,
   rillford::{
     decide::Role,
-    gateway::{AllowedHalls, EndpointBook, EndpointEntry, PartEnd, ToldLoad, Wanted},
+    gateway::{AllowedHalls, EndpointBook, EndpointEntry, PartEnd, ReportedLoad, Wanted},
     ids::Name,
   },
 };
@@ -131,13 +131,13 @@
   let port = FIRST_PORT + number as u16;
   EndpointEntry {
     address: ([127, 0, 0, 1], port).into(),
-    born_ms: None,
+    started_ms: None,
     cold_ms: 0,
     hall: hall_name(number),
     id: engine_name(number),
     leaving: false,
     role: Some(Role::Decode),
-    seats: SEATS,
+    slots: SEATS,
     service: "llm".into(),
   }
 }
@@ -202,7 +202,7 @@
     let wanted = Wanted {
       allowed_halls: &AllowedHalls::Any,
       hall: &hall,
-      may_repeat: true,
+      may_retry: true,
       role: Some(Role::Decode),
       service: "llm",
       size: PROMPT_TOKENS,
@@ -272,9 +272,9 @@
     self.figures.served += u32::from(request.counts);
     let at_box = request.at_box;
     if self.variant.heeds_told_load {
-      let load = ToldLoad {
+      let load = ReportedLoad {
         running: self.running[engine],
-        seats: SEATS,
+        slots: SEATS,
         waiting: 0,
       };
       self.books[at_box].told_load(&engine_name(engine), load, now_ms);
--- a/emulator/src/notices/replay.rs
+++ b/emulator/src/notices/replay.rs
@@ -14,7 +14,7 @@
   rand_chacha::ChaCha8Rng,
   rillford::{
     gateway::{
-      AllowedHalls, EndpointBook, EndpointEntry, EndpointNotice, NamedLimit, NoticeNews, PartEnd,
+      AllowedHalls, EndpointBook, EndpointEntry, EndpointNotice, LimitHeader, NoticeNews, PartEnd,
       RetryAllowance, RetryWindow, Wanted, kept_pause_ms, retry_after_pause_ms,
     },
     ids::Name,
@@ -117,13 +117,13 @@
 fn entry(number: usize) -> EndpointEntry {
   EndpointEntry {
     address: ([127, 0, 0, 1], u16::try_from(number).unwrap_or(0)).into(),
-    born_ms: Some(1),
+    started_ms: Some(1),
     cold_ms: 0,
     hall: "north".into(),
     id: format!("e-{number:03}").into(),
     leaving: false,
     role: None,
-    seats: 6,
+    slots: 6,
     service: SERVICE.into(),
   }
 }
@@ -216,7 +216,7 @@
     let wanted = Wanted {
       allowed_halls: &AllowedHalls::Any,
       hall: "north",
-      may_repeat: false,
+      may_retry: false,
       role: None,
       service: SERVICE,
       size: 1,
@@ -291,12 +291,12 @@
     let notice = EndpointNotice {
       cold_ms: None,
       leaving: speaks && self.pattern.leaves(endpoint, now_ms),
-      limit: NamedLimit::Unsaid,
-      pause_ms: (kind == ReplyKind::TurnedAway).then(|| self.pattern.pause_ms()),
+      limit: LimitHeader::Absent,
+      backoff_ms: (kind == ReplyKind::TurnedAway).then(|| self.pattern.pause_ms()),
       unreadable: None,
     };
     let told = self.endpoints[endpoint].told.entry(at).or_default();
-    if let Some(pause_ms) = notice.pause_ms {
+    if let Some(pause_ms) = notice.backoff_ms {
       let is_over = told.pause_ms.is_none_or(|(_, until_ms)| until_ms <= now_ms);
       if is_over {
         told.in_pause = 0;
@@ -345,7 +345,7 @@
 
   /// A box hears what an endpoint says of itself.
   fn hear(&mut self, at: usize, endpoint: usize, mut notice: EndpointNotice, now_ms: u64) {
-    if let (NoticeWay::OwnBoxSpread, Some(pause_ms)) = (self.way, &mut notice.pause_ms) {
+    if let (NoticeWay::OwnBoxSpread, Some(pause_ms)) = (self.way, &mut notice.backoff_ms) {
       *pause_ms = kept_pause_ms(*pause_ms, self.fleet.boxes, self.random.random());
     }
     let news = self.boxes[at]
--- a/emulator/src/places/replay.rs
+++ b/emulator/src/places/replay.rs
@@ -14,8 +14,8 @@
   rand_chacha::ChaCha8Rng,
   rillford::{
     gateway::{
-      ALONE_BOXES, BoxList, EndpointEntry, EndpointLife, HeardLimit, LimitNews, LimitSource,
-      LocalPermit, NamedLimit, PermitRequest, PermitVerdict, ToldSpan, UseBucket, UseLimit,
+      ALONE_BOXES, BoxList, EndpointEntry, EndpointLife, HeardLimit, LimitHeader, LimitNews,
+      LimitSource, LocalPermit, PermitRequest, PermitVerdict, ToldSpan, UseBucket, UseLimit,
       UseTotals, UseVerdict, counted_limit, endpoint_order, lone_limit,
     },
     ids::Name,
@@ -79,13 +79,13 @@
 ) -> PlaceFigures {
   let entry = EndpointEntry {
     address: ([127, 0, 0, 1], 1).into(),
-    born_ms: Some(1),
+    started_ms: Some(1),
     cold_ms: 0,
     hall: PlaceFleet::hall(0).as_str().into(),
     id: format!("e-{seed}").as_str().into(),
     leaving: false,
     role: None,
-    seats: 8,
+    slots: 8,
     service: "portal".into(),
   };
   let list = fleet.list_without(None);
@@ -404,12 +404,12 @@
       per_s: Some(word.per_s),
       source: LimitSource::Box,
     };
-    let (id, born_ms) = (self.entry.id.clone(), self.entry.born_ms);
-    self.boxes[at].limits.note_told(&id, born_ms, heard)
+    let (id, started_ms) = (self.entry.id.clone(), self.entry.started_ms);
+    self.boxes[at].limits.note_told(&id, started_ms, heard)
   }
 
   fn life(&self) -> EndpointLife {
-    EndpointLife::of(&self.entry.id, self.entry.born_ms)
+    EndpointLife::of(&self.entry.id, self.entry.started_ms)
   }
 
   fn give_out(&mut self, at: usize, wish: &PermitRequest) -> PermitVerdict {
@@ -498,7 +498,7 @@
   fn heard(&mut self, at: usize, sent_ms: u64, per_s: f64) {
     let now_ms = self.now_ms;
     self.boxes[at].answered_ms.get_or_insert(now_ms);
-    let said = NamedLimit::PerS(per_s);
+    let said = LimitHeader::PerSecond(per_s);
     let limits = &mut self.boxes[at].limits;
     let news = limits.note_answer(&self.entry, said, sent_ms, now_ms);
     if news != LimitNews::Begins || self.way != PlaceWay::AskedAndTold {
--- a/src/gateway/decisions/allowed_halls.rs
+++ b/src/gateway/decisions/allowed_halls.rs
@@ -1,16 +1,16 @@
 //! The data halls whose endpoints may be sent a request. Free of I/O.
 
 use {
-  crate::{gateway::edge::Homes, ids::Name},
+  crate::{gateway::edge::RegionSet, ids::Name},
   std::collections::{BTreeMap, BTreeSet},
 };
 
 /// The halls that a request's homes leave.
 ///
 /// ```
-/// use {rillford::gateway::{AllowedHalls, Homes}, std::collections::BTreeMap};
+/// use {rillford::gateway::{AllowedHalls, RegionSet}, std::collections::BTreeMap};
 /// let regions = BTreeMap::from([("bern-a".into(), "bern".into()), ("geneve-a".into(), "geneve".into())]);
-/// let bern = Homes::new(["bern".into()]).unwrap();
+/// let bern = RegionSet::new(["bern".into()]).unwrap();
 /// let halls = AllowedHalls::of(&regions, [Some(&bern), None]);
 /// assert!(halls.contains("bern-a") && !halls.contains("geneve-a") && !halls.contains("unknown"));
 /// assert!(AllowedHalls::of(&regions, [None, None]).contains("unknown"));
@@ -28,9 +28,9 @@
   /// The halls whose regions are homes of all who have any. `regions` has each hall's.
   pub fn of<'a>(
     regions: &BTreeMap<Name, Name>,
-    homes: impl IntoIterator<Item = Option<&'a Homes>>,
+    homes: impl IntoIterator<Item = Option<&'a RegionSet>>,
   ) -> Self {
-    let homes: Vec<&Homes> = homes.into_iter().flatten().collect();
+    let homes: Vec<&RegionSet> = homes.into_iter().flatten().collect();
     if homes.is_empty() {
       return Self::Any;
     }
--- a/src/gateway/decisions/choice.rs
+++ b/src/gateway/decisions/choice.rs
@@ -21,7 +21,7 @@
   /// The hall that is preferred.
   pub hall: &'a str,
   /// Whether the work may be repeated: only such work tries an endpoint that failed before.
-  pub may_repeat: bool,
+  pub may_retry: bool,
 }
 
 /// The endpoint that was chosen.
--- a/src/gateway/decisions/cold_endpoints.rs
+++ b/src/gateway/decisions/cold_endpoints.rs
@@ -38,25 +38,25 @@
 
 impl ColdEndpoints {
   /// Takes over that a life of an endpoint is cold. Of several spans the one that ends last counts.
-  pub fn note(&mut self, id: &Name, born_ms: Option<u64>, span: ColdSpan) {
+  pub fn note(&mut self, id: &Name, started_ms: Option<u64>, span: ColdSpan) {
     let until_ms = span.until_ms.min(span.noted_ms + MOST_COLD_MS);
-    let known = self.spans.get(id).filter(|(known, _)| *known == born_ms);
+    let known = self.spans.get(id).filter(|(known, _)| *known == started_ms);
     if known.is_some_and(|(_, known)| until_ms <= known.until_ms) {
       return;
     }
     let span = ColdSpan { until_ms, ..span };
-    self.spans.insert(id.clone(), (born_ms, span));
+    self.spans.insert(id.clone(), (started_ms, span));
   }
 
   /// The span of a life that is cold at a time.
-  pub fn span(&self, id: &str, born_ms: Option<u64>, now_ms: u64) -> Option<ColdSpan> {
+  pub fn span(&self, id: &str, started_ms: Option<u64>, now_ms: u64) -> Option<ColdSpan> {
     let (known, span) = self.spans.get(id)?;
-    (*known == born_ms && now_ms < span.until_ms).then_some(*span)
+    (*known == started_ms && now_ms < span.until_ms).then_some(*span)
   }
 
   /// The requests a second that a life carries of all boxes together, while it is cold.
-  pub fn per_s(&self, id: &str, born_ms: Option<u64>, now_ms: u64) -> Option<f64> {
-    self.span(id, born_ms, now_ms).map(|span| span.per_s)
+  pub fn per_s(&self, id: &str, started_ms: Option<u64>, now_ms: u64) -> Option<f64> {
+    self.span(id, started_ms, now_ms).map(|span| span.per_s)
   }
 
   /// Whether no endpoint is known to be cold.
--- a/src/gateway/decisions/endpoint_book.rs
+++ b/src/gateway/decisions/endpoint_book.rs
@@ -14,7 +14,7 @@
   },
   crate::{
     decide::Role,
-    gateway::edge::{EndpointEntry, EndpointNotice, NamedLimit, ToldLoad},
+    gateway::edge::{EndpointEntry, EndpointNotice, LimitHeader, ReportedLoad},
     ids::Name,
   },
   std::collections::{BTreeMap, HashMap},
@@ -137,7 +137,7 @@
   pub fn check(&self, chosen: &EndpointEntry, now_ms: u64) -> Result<(), Unavailable> {
     let entry = self
       .entry(&chosen.id)
-      .filter(|entry| entry.born_ms == chosen.born_ms)
+      .filter(|entry| entry.started_ms == chosen.started_ms)
       .ok_or(Unavailable::Gone)?;
     self.check_listed(entry, now_ms)
   }
@@ -303,7 +303,7 @@
   pub fn note_limit(
     &mut self,
     entry: &EndpointEntry,
-    said: NamedLimit,
+    said: LimitHeader,
     sent_ms: u64,
     now_ms: u64,
   ) -> LimitNews {
@@ -337,7 +337,7 @@
   fn has_later_life(&self, entry: &EndpointEntry) -> bool {
     self
       .entry(&entry.id)
-      .is_some_and(|now| now.born_ms != entry.born_ms)
+      .is_some_and(|now| now.started_ms != entry.started_ms)
   }
 
   /// Whether a life of an endpoint may be sent work, by its own word.
@@ -422,7 +422,7 @@
   }
 
   /// An endpoint told its load with an answer that this box still counts.
-  pub fn told_load(&mut self, id: &str, load: ToldLoad, now_ms: u64) {
+  pub fn told_load(&mut self, id: &str, load: ReportedLoad, now_ms: u64) {
     if let Some(known) = self.known.get_mut(id) {
       let others = load
         .running
--- a/src/gateway/decisions/endpoint_life.rs
+++ b/src/gateway/decisions/endpoint_life.rs
@@ -18,9 +18,9 @@
 
 impl EndpointLife {
   /// The life of an endpoint that started at a time; without one, all its lives are the same.
-  pub fn of(id: &str, born_ms: Option<u64>) -> Self {
+  pub fn of(id: &str, started_ms: Option<u64>) -> Self {
     let mut hasher = Sha256::new();
-    hasher.update(born_ms.unwrap_or(0).to_le_bytes());
+    hasher.update(started_ms.unwrap_or(0).to_le_bytes());
     hasher.update(id);
     let hash = hasher.finalize();
     let mut bytes = [0; size_of::<u64>()];
--- a/src/gateway/decisions/endpoint_limits.rs
+++ b/src/gateway/decisions/endpoint_limits.rs
@@ -8,7 +8,7 @@
     permit_ledger::PermitLedger,
   },
   crate::{
-    gateway::edge::{EndpointEntry, NamedLimit},
+    gateway::edge::{EndpointEntry, LimitHeader},
     ids::Name,
   },
 };
@@ -47,8 +47,8 @@
   }
 
   /// The same of a life that this box may not list.
-  pub fn lowest_per_s(&self, id: &str, born_ms: Option<u64>, now_ms: u64) -> Option<f64> {
-    self.lowest_limit(id, born_ms, now_ms)?.per_s
+  pub fn lowest_per_s(&self, id: &str, started_ms: Option<u64>, now_ms: u64) -> Option<f64> {
+    self.lowest_limit(id, started_ms, now_ms)?.per_s
   }
 
   /// The lower of the limits that are in force at a life of an endpoint: the one that it names, and what it carries while it
@@ -57,13 +57,13 @@
     if self.is_ignoring {
       return None;
     }
-    self.lowest_limit(&entry.id, entry.born_ms, now_ms)
+    self.lowest_limit(&entry.id, entry.started_ms, now_ms)
   }
 
-  fn lowest_limit(&self, id: &str, born_ms: Option<u64>, now_ms: u64) -> Option<HeardLimit> {
+  fn lowest_limit(&self, id: &str, started_ms: Option<u64>, now_ms: u64) -> Option<HeardLimit> {
     let is_limit = |limit: &HeardLimit| limit.per_s.is_some_and(|per_s| per_s < NO_LIMIT_PER_S);
-    let named = self.words.heard_of(id, born_ms).filter(is_limit);
-    let cold = self.cold_span(id, born_ms, now_ms);
+    let named = self.words.heard_of(id, started_ms).filter(is_limit);
+    let cold = self.cold_span(id, started_ms, now_ms);
     let cold = cold.map(HeardLimit::from);
     [named, cold].into_iter().flatten().min_by(|one, other| {
       one
@@ -73,14 +73,14 @@
   }
 
   /// The span in which a life of an endpoint is cold; nothing once it is warm.
-  pub fn cold_span(&self, id: &str, born_ms: Option<u64>, now_ms: u64) -> Option<ColdSpan> {
-    self.cold.span(id, born_ms, now_ms)
+  pub fn cold_span(&self, id: &str, started_ms: Option<u64>, now_ms: u64) -> Option<ColdSpan> {
+    self.cold.span(id, started_ms, now_ms)
   }
 
   /// Takes over that a life of an endpoint is cold.
-  pub fn note_cold(&mut self, id: &Name, born_ms: Option<u64>, span: ColdSpan) {
+  pub fn note_cold(&mut self, id: &Name, started_ms: Option<u64>, span: ColdSpan) {
     if span.noted_ms < span.until_ms {
-      self.cold.note(id, born_ms, span);
+      self.cold.note(id, started_ms, span);
     }
   }
 
@@ -90,8 +90,8 @@
   }
 
   /// The newest word of a life that this box may not list.
-  pub fn heard_of(&self, id: &str, born_ms: Option<u64>) -> Option<HeardLimit> {
-    self.words.heard_of(id, born_ms)
+  pub fn heard_of(&self, id: &str, started_ms: Option<u64>) -> Option<HeardLimit> {
+    self.words.heard_of(id, started_ms)
   }
 
   /// How long there is no permit for this box at an endpoint; 0 when there may be one.
@@ -106,7 +106,7 @@
   pub fn note_answer(
     &mut self,
     entry: &EndpointEntry,
-    said: NamedLimit,
+    said: LimitHeader,
     sent_ms: u64,
     now_ms: u64,
   ) -> LimitNews {
@@ -115,8 +115,8 @@
   }
 
   /// Takes over a word that another box heard, if it is newer.
-  pub fn note_told(&mut self, id: &Name, born_ms: Option<u64>, limit: HeardLimit) -> LimitNews {
-    let news = self.words.note_told(id, born_ms, limit);
+  pub fn note_told(&mut self, id: &Name, started_ms: Option<u64>, limit: HeardLimit) -> LimitNews {
+    let news = self.words.note_told(id, started_ms, limit);
     self.note_news(id, news)
   }
 
--- a/src/gateway/decisions/kept_prompts.rs
+++ b/src/gateway/decisions/kept_prompts.rs
@@ -1,7 +1,7 @@
 //! Which engines keep which parts of prompts in their memory, as they listed them. Free of I/O.
 
 use {
-  crate::{gateway::edge::PromptPart, ids::Name},
+  crate::{gateway::edge::PromptSegment, ids::Name},
   std::collections::HashMap,
 };
 
@@ -11,8 +11,8 @@
 /// What the engines of one service keep.
 ///
 /// ```
-/// use rillford::gateway::{KeptPrompts, PromptPart};
-/// let part = |id: &str, tokens| PromptPart { id: id.into(), tokens };
+/// use rillford::gateway::{KeptPrompts, PromptSegment};
+/// let part = |id: &str, tokens| PromptSegment { id: id.into(), tokens };
 /// let mut kept = KeptPrompts::default();
 /// kept.begin(1_000);
 /// kept.add(&"e-1".into(), vec![part("5c", 200), part("9a", 900)]);
@@ -43,13 +43,13 @@
   }
 
   /// One engine's part of the listing.
-  pub fn add(&mut self, engine: &Name, parts: Vec<PromptPart>) {
+  pub fn add(&mut self, engine: &Name, parts: Vec<PromptSegment>) {
     let parts = parts.into_iter().map(|part| (part.id, part.tokens));
     self.by_engine.insert(engine.clone(), parts.collect());
   }
 
   /// The engines that keep the beginning of a prompt, with the tokens kept there, the most first.
-  pub fn engines(&self, prompt: &[PromptPart]) -> Vec<(Name, u64)> {
+  pub fn engines(&self, prompt: &[PromptSegment]) -> Vec<(Name, u64)> {
     let mut found: Vec<(Name, u64)> = self
       .by_engine
       .iter()
@@ -62,7 +62,7 @@
 }
 
 /// Tokens from the prompt's beginning up to the first that is missing.
-fn kept_tokens(kept: &HashMap<Name, u64>, prompt: &[PromptPart]) -> u64 {
+fn kept_tokens(kept: &HashMap<Name, u64>, prompt: &[PromptSegment]) -> u64 {
   let mut tokens = 0;
   for part in prompt {
     let here = kept.get(&part.id).copied().unwrap_or(0).min(part.tokens);
--- a/src/gateway/decisions/known_endpoint.rs
+++ b/src/gateway/decisions/known_endpoint.rs
@@ -123,7 +123,7 @@
     if now_ms < self.avoid_until_ms {
       return 4 + lapsed;
     }
-    if self.is_on_trial() && (!wanted.may_repeat || self.requests > 0) {
+    if self.is_on_trial() && (!wanted.may_retry || self.requests > 0) {
       return ON_TRIAL_RANK + lapsed;
     }
     lapsed
--- a/src/gateway/decisions/limit_book.rs
+++ b/src/gateway/decisions/limit_book.rs
@@ -6,7 +6,7 @@
 
 use {
   crate::{
-    gateway::edge::{EndpointEntry, NamedLimit},
+    gateway::edge::{EndpointEntry, LimitHeader},
     ids::Name,
   },
   std::collections::HashMap,
@@ -62,7 +62,7 @@
 /// What one life of an endpoint has named.
 #[derive(Clone, Debug)]
 struct Noted {
-  born_ms: Option<u64>,
+  started_ms: Option<u64>,
   limit: HeardLimit,
   /// When a limit was last heard, whatever was heard since.
   named_ms: u64,
@@ -82,12 +82,12 @@
 
   /// The newest word of a life of an endpoint, if it has named a limit.
   pub fn heard(&self, entry: &EndpointEntry) -> Option<HeardLimit> {
-    self.heard_of(&entry.id, entry.born_ms)
+    self.heard_of(&entry.id, entry.started_ms)
   }
 
   /// The same of a life that may not be listed.
-  pub fn heard_of(&self, id: &str, born_ms: Option<u64>) -> Option<HeardLimit> {
-    self.noted(id, born_ms).map(|noted| noted.limit)
+  pub fn heard_of(&self, id: &str, started_ms: Option<u64>) -> Option<HeardLimit> {
+    self.noted(id, started_ms).map(|noted| noted.limit)
   }
 
   /// The limit that a life of an endpoint names.
@@ -99,40 +99,40 @@
   pub fn note_answer(
     &mut self,
     entry: &EndpointEntry,
-    said: NamedLimit,
+    said: LimitHeader,
     sent_ms: u64,
     now_ms: u64,
   ) -> LimitNews {
-    let before = self.noted(&entry.id, entry.born_ms).cloned();
+    let before = self.noted(&entry.id, entry.started_ms).cloned();
     let per_s = match (said, before) {
-      (NamedLimit::Unreadable, _) | (NamedLimit::Unsaid, None) => return LimitNews::Nothing,
-      (NamedLimit::Unsaid, Some(before)) if !before.may_end(sent_ms, now_ms) => {
+      (LimitHeader::Unreadable, _) | (LimitHeader::Absent, None) => return LimitNews::Nothing,
+      (LimitHeader::Absent, Some(before)) if !before.may_end(sent_ms, now_ms) => {
         return LimitNews::Nothing;
       }
-      (NamedLimit::Unsaid, Some(_)) => None,
+      (LimitHeader::Absent, Some(_)) => None,
       // Both answers were on their way at once, and nobody knows which the endpoint gave first.
-      (NamedLimit::PerS(said), Some(before)) if sent_ms < before.limit.heard_ms => {
+      (LimitHeader::PerSecond(said), Some(before)) if sent_ms < before.limit.heard_ms => {
         Some(before.limit.per_s.map_or(said, |known| known.min(said)))
       }
-      (NamedLimit::PerS(said), _) => Some(said),
+      (LimitHeader::PerSecond(said), _) => Some(said),
     };
     let limit = HeardLimit {
       heard_ms: now_ms,
       per_s,
       source: LimitSource::Answer,
     };
-    self.put(&entry.id, entry.born_ms, limit)
+    self.put(&entry.id, entry.started_ms, limit)
   }
 
   /// Takes over a word that another box heard, if it is newer.
-  pub fn note_told(&mut self, id: &Name, born_ms: Option<u64>, limit: HeardLimit) -> LimitNews {
+  pub fn note_told(&mut self, id: &Name, started_ms: Option<u64>, limit: HeardLimit) -> LimitNews {
     let is_newer = self
-      .noted(id, born_ms)
+      .noted(id, started_ms)
       .is_none_or(|noted| limit.heard_ms > noted.limit.heard_ms);
     if !is_newer {
       return LimitNews::Nothing;
     }
-    self.put(id, born_ms, limit)
+    self.put(id, started_ms, limit)
   }
 
   /// Forgets the words that nobody has heard again for long.
@@ -148,19 +148,22 @@
     limits.filter(|(_, limit)| limit.per_s.is_some())
   }
 
-  fn noted(&self, id: &str, born_ms: Option<u64>) -> Option<&Noted> {
-    self.noted.get(id).filter(|noted| noted.born_ms == born_ms)
+  fn noted(&self, id: &str, started_ms: Option<u64>) -> Option<&Noted> {
+    self
+      .noted
+      .get(id)
+      .filter(|noted| noted.started_ms == started_ms)
   }
 
-  fn put(&mut self, id: &Name, born_ms: Option<u64>, limit: HeardLimit) -> LimitNews {
-    let before = self.noted(id, born_ms);
+  fn put(&mut self, id: &Name, started_ms: Option<u64>, limit: HeardLimit) -> LimitNews {
+    let before = self.noted(id, started_ms);
     let named_ms = match (limit.per_s, before) {
       (None, Some(before)) => before.named_ms,
       _ => limit.heard_ms,
     };
     let news = LimitNews::between(before.and_then(|noted| noted.limit.per_s), limit.per_s);
     let noted = Noted {
-      born_ms,
+      started_ms,
       limit,
       named_ms,
     };
--- a/src/gateway/decisions/notice_book.rs
+++ b/src/gateway/decisions/notice_book.rs
@@ -75,7 +75,7 @@
 /// What one life of an endpoint has said.
 #[derive(Clone, Copy, Debug)]
 struct Noted {
-  born_ms: Option<u64>,
+  started_ms: Option<u64>,
   leaving_said_ms: Option<u64>,
   pause: Option<Pause>,
 }
@@ -99,7 +99,7 @@
     notice: &EndpointNotice,
     now_ms: u64,
   ) -> NoticeNews {
-    if !notice.leaving && notice.pause_ms.is_none_or(|pause_ms| pause_ms == 0) {
+    if !notice.leaving && notice.backoff_ms.is_none_or(|pause_ms| pause_ms == 0) {
       return NoticeNews::default();
     }
     let before = self.availability(entry, now_ms);
@@ -107,13 +107,13 @@
       .noted
       .entry(entry.id.clone())
       .or_insert(Noted::new(entry));
-    if noted.born_ms != entry.born_ms {
+    if noted.started_ms != entry.started_ms {
       *noted = Noted::new(entry);
     }
     if notice.leaving {
       noted.leaving_said_ms = Some(now_ms);
     }
-    if let Some(pause_ms) = notice.pause_ms {
+    if let Some(pause_ms) = notice.backoff_ms {
       noted.pause(pause_ms, now_ms);
     }
     NoticeNews::between(before, self.availability(entry, now_ms))
@@ -124,7 +124,7 @@
     let noted = self
       .noted
       .get(&entry.id)
-      .filter(|noted| noted.born_ms == entry.born_ms);
+      .filter(|noted| noted.started_ms == entry.started_ms);
     match noted {
       Some(Noted {
         leaving_said_ms: Some(said_ms),
@@ -166,7 +166,7 @@
     let mut taken_back = Vec::new();
     for (id, noted) in &mut self.noted {
       let lists_ready =
-        entry(id).is_some_and(|entry| !entry.leaving && entry.born_ms == noted.born_ms);
+        entry(id).is_some_and(|entry| !entry.leaving && entry.started_ms == noted.started_ms);
       let ready_since_ms = store_since_ms.filter(|_| lists_ready);
       if noted.is_mistaken(ready_since_ms, now_ms) {
         noted.leaving_said_ms = None;
@@ -210,7 +210,7 @@
 impl Noted {
   fn new(entry: &EndpointEntry) -> Self {
     Self {
-      born_ms: entry.born_ms,
+      started_ms: entry.started_ms,
       leaving_said_ms: None,
       pause: None,
     }
--- a/src/gateway/decisions/quarantine_book.rs
+++ b/src/gateway/decisions/quarantine_book.rs
@@ -110,9 +110,9 @@
 ///   body: b"prompt", host: "lectures.example", method: "POST", organisation: None, path: "/a/1",
 /// });
 /// let mut book = QuarantineBook::default();
-/// for born_ms in [1, 2, 3] {
+/// for started_ms in [1, 2, 3] {
 ///   assert_eq!(book.verdict(fingerprint, 0), QuarantineVerdict::Free);
-///   let mark = QuarantineMark::Ended(EndpointLife::of("e-1", Some(born_ms)));
+///   let mark = QuarantineMark::Ended(EndpointLife::of("e-1", Some(started_ms)));
 ///   book.note(QuarantineKey { fingerprint, mark }, 0);
 /// }
 /// assert_eq!(book.verdict(fingerprint, 0), QuarantineVerdict::Trial { number: 1 });
--- a/src/gateway/decisions/recent_engines.rs
+++ b/src/gateway/decisions/recent_engines.rs
@@ -18,8 +18,8 @@
 /// ```
 /// use rillford::{decide::Role, gateway::{EndpointEntry, staying_engines}};
 /// let engine = |id: &str, port: u16| EndpointEntry {
-///   address: ([127, 0, 0, 1], port).into(), born_ms: None, cold_ms: 0, hall: "north".into(), id: id.into(), leaving: false,
-///   role: Some(Role::Decode), seats: 16, service: "llm".into(),
+///   address: ([127, 0, 0, 1], port).into(), started_ms: None, cold_ms: 0, hall: "north".into(), id: id.into(), leaving: false,
+///   role: Some(Role::Decode), slots: 16, service: "llm".into(),
 /// };
 /// let engines = [engine("a", 1), engine("b", 2), engine("b-again", 2)];
 /// let staying: Vec<_> = staying_engines(&engines).map(|engine| &*engine.id).collect();
@@ -48,8 +48,8 @@
 /// ```
 /// use rillford::{decide::Role, gateway::{EndpointEntry, RecentEngines}};
 /// let engine = EndpointEntry {
-///   address: "127.0.0.1:1".parse().unwrap(), born_ms: None, cold_ms: 0, hall: "north".into(), id: "a".into(), leaving: false,
-///   role: Some(Role::Decode), seats: 16, service: "llm".into(),
+///   address: "127.0.0.1:1".parse().unwrap(), started_ms: None, cold_ms: 0, hall: "north".into(), id: "a".into(), leaving: false,
+///   role: Some(Role::Decode), slots: 16, service: "llm".into(),
 /// };
 /// let mut recent = RecentEngines::default();
 /// recent.note(std::slice::from_ref(&engine), 0);
--- a/src/gateway/decisions/role_plan.rs
+++ b/src/gateway/decisions/role_plan.rs
@@ -21,8 +21,8 @@
 /// ```
 /// use rillford::{decide::Role, gateway::{EndpointEntry, surplus}};
 /// let engine = |id: &str, hall: &str, role| EndpointEntry {
-///   address: "127.0.0.1:1".parse().unwrap(), born_ms: None, cold_ms: 0, hall: hall.into(), id: id.into(), leaving: false,
-///   role: Some(role), seats: 16, service: "llm".into(),
+///   address: "127.0.0.1:1".parse().unwrap(), started_ms: None, cold_ms: 0, hall: hall.into(), id: id.into(), leaving: false,
+///   role: Some(role), slots: 16, service: "llm".into(),
 /// };
 /// let engines = [
 ///   engine("a", "north", Role::Prefill), engine("b", "north", Role::Prefill),
--- a/src/gateway/edge/decode_error.rs
+++ b/src/gateway/edge/decode_error.rs
@@ -1,10 +1,10 @@
-//! What is wrong with something that was received.
+//! A value that was received could not be decoded.
 
-/// Something that was received can't be read.
+/// A value that was received could not be decoded.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("{what}: {message}")]
 pub struct DecodeError {
-  /// What was read.
+  /// The value that was decoded.
   pub what: &'static str,
   /// What is wrong with it.
   pub message: String,
--- a/src/gateway/edge/endpoint_entry.rs
+++ b/src/gateway/edge/endpoint_entry.rs
@@ -1,28 +1,28 @@
-//! One endpoint as the store's list shows it.
+//! An endpoint, as listed in the store.
 
 use {
   crate::{decide::Role, ids::Name},
   std::net::SocketAddr,
 };
 
-/// One incarnation of an endpoint. Its address may belong to another one soon after it has ended.
+/// One incarnation of an endpoint. Its address may be reused by another one soon after it has terminated.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EndpointEntry {
-  /// The incarnation.
+  /// The incarnation's id.
   pub id: Name,
-  /// When it started, as Unix milliseconds; nothing when it does not say. It may start again under its id.
-  pub born_ms: Option<u64>,
+  /// When it started, as Unix milliseconds, if listed. An endpoint may restart under the same id.
+  pub started_ms: Option<u64>,
   /// The service that it belongs to.
   pub service: Name,
   /// Where it listens.
   pub address: SocketAddr,
   /// Its data hall.
   pub hall: Name,
-  /// Requests that it works on at once.
-  pub seats: u32,
-  /// How much longer it was cold when the entry was written.
+  /// Requests that it runs at once.
+  pub slots: u32,
+  /// Remaining time of its cold start when the entry was written.
   pub cold_ms: u64,
-  /// Whether it is leaving.
+  /// Whether it is shutting down.
   pub leaving: bool,
   /// An engine's role; plain services have none.
   pub role: Option<Role>,
--- a/src/gateway/edge/endpoint_notice.rs
+++ b/src/gateway/edge/endpoint_notice.rs
@@ -1,44 +1,44 @@
-//! What an endpoint says of itself in an answer.
+//! What an endpoint states about itself in a response.
 
 use crate::BadRetryAfter;
 
-/// What an endpoint says of itself in one answer, whatever was asked.
+/// What an endpoint states about itself in one response, whatever the request was.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointNotice {
-  /// It leaves: it ends soon, and wants no new work.
+  /// It is shutting down and takes no new work.
   pub leaving: bool,
-  /// For how long it wants no work from this box, in milliseconds.
-  pub pause_ms: Option<u64>,
-  /// How much longer it is cold.
+  /// For how long this box is asked to send no work, in milliseconds.
+  pub backoff_ms: Option<u64>,
+  /// Remaining time of its cold start.
   pub cold_ms: Option<u64>,
-  /// How many requests a second it takes of all boxes together.
-  pub limit: NamedLimit,
-  /// What it says and nobody can read.
+  /// Its rate limit for all boxes together.
+  pub limit: LimitHeader,
+  /// A header that could not be decoded.
   pub unreadable: Option<UnreadableNotice>,
 }
 
-/// What an answer says of the requests that its endpoint takes of all boxes together.
+/// The rate limit for all boxes together that a response advertises.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum NamedLimit {
-  /// Nothing.
+pub enum LimitHeader {
+  /// The response has no such header.
   #[default]
-  Unsaid,
-  /// Something that nobody can read.
+  Absent,
+  /// The header could not be decoded.
   Unreadable,
-  /// So many requests a second, 0 or more.
-  PerS(f64),
+  /// Requests per second, 0 or more.
+  PerSecond(f64),
 }
 
-/// What an endpoint says of itself and nobody can read.
+/// A header of an endpoint's notice that could not be decoded.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum UnreadableNotice {
-  /// Whether it leaves.
-  #[error("whether it leaves: {0:?}")]
+  /// The shutdown header.
+  #[error("invalid shutdown header: {0:?}")]
   Leaving(String),
-  /// How many requests a second it takes.
-  #[error("how many requests a second it takes: {0:?}")]
+  /// The rate limit header.
+  #[error("invalid rate limit header: {0:?}")]
   Limit(String),
-  /// For how long it wants no work.
+  /// The Retry-After header.
   #[error("{0}")]
-  Pause(#[from] BadRetryAfter),
+  Backoff(#[from] BadRetryAfter),
 }
--- a/src/gateway/edge/mod.rs
+++ b/src/gateway/edge/mod.rs
@@ -1,35 +1,36 @@
-//! What a platform has to provide, and the words shared with it: the traits [`Dialect`] and [`Store`], endpoints' entries,
-//! routes.
+//! The interface to a platform: the traits [`PlatformCodec`] and [`Store`], and the types that they share with the gateway, such
+//! as endpoint entries and routes.
 //!
-//! Imports nothing of the gateway. The folder `platform/` at the root implements the two traits.
+//! Imports no other module of the gateway. The folder `platform/` at the root of the repository implements both traits.
 
-mod caller_facts;
+mod caller_attributes;
 mod decode_error;
-mod dialect;
 mod endpoint_entry;
 mod endpoint_notice;
-mod homes;
 mod organisation;
-mod prompt_part;
+mod platform_codec;
+mod prompt_segment;
+mod region_set;
 mod route_table;
 mod store;
 
 pub use self::{
-  caller_facts::CallerFacts,
+  caller_attributes::CallerAttributes,
   decode_error::DecodeError,
-  dialect::{
-    AnswerFacts, Dialect, EndpointCall, EngineReport, Export, Marks, Part, RoleChange, ToldLoad,
-  },
   endpoint_entry::EndpointEntry,
-  endpoint_notice::{EndpointNotice, NamedLimit, UnreadableNotice},
-  homes::Homes,
-  organisation::{Organisation, Organisations, UseLimit, UseUnit},
-  prompt_part::PromptPart,
+  endpoint_notice::{EndpointNotice, LimitHeader, UnreadableNotice},
+  organisation::{Organisation, Organisations, UsageUnit, UseLimit},
+  platform_codec::{
+    EndpointCall, EngineReport, Export, PlatformCodec, ProxyHeaders, ReportedLoad,
+    ResponseAttributes, RoleChange, Stage,
+  },
+  prompt_segment::PromptSegment,
+  region_set::RegionSet,
   route_table::{
     CallerLimits, ColdStart, EngineSpec, Route, RouteKind, RouteTable, ServiceSpec, WeightedService,
   },
   store::{
-    MOST_CHANGED_KEYS, PageAge, Stewardship, Store, StoreChanges, StoreError, StoreItem, StoreKey,
-    StoreLease, StorePage,
+    MAX_CHANGED_KEYS, ReadConsistency, RoleLeadership, Store, StoreChanges, StoreError, StoreItem,
+    StoreKey, StoreLease, StorePage,
   },
 };
--- a/src/gateway/edge/organisation.rs
+++ b/src/gateway/edge/organisation.rs
@@ -1,69 +1,69 @@
-//! Who asks: the organisations of the configuration, their keys and limits.
+//! The organisations of the configuration, their API keys and limits.
 
 use {
-  super::{caller_facts::CallerFacts, decode_error::DecodeError, homes::Homes},
+  super::{caller_attributes::CallerAttributes, decode_error::DecodeError, region_set::RegionSet},
   crate::{configuration::KeyTable, ids::Name},
   std::{collections::HashMap, rc::Rc},
 };
 
-/// What an organisation's use is counted in.
+/// The unit in which an organisation's usage is measured.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum UseUnit {
+pub enum UsageUnit {
   /// Each request counts 1.
   Requests,
-  /// A request counts the tokens that it names, of prompt and longest answer.
+  /// Each request counts the tokens that its headers state, of the prompt and of the longest response.
   Tokens {
-    /// What a request counts that names none.
-    plain: u64,
+    /// What a request counts that states none.
+    default: u64,
   },
 }
 
-/// What an organisation may use over all boxes: a bucket that is refilled at a rate.
+/// The limit of an organisation's usage over all boxes: a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UseLimit {
-  /// Units refilled a second.
+  /// Units refilled per second.
   pub rate_per_s: f64,
-  /// Units that the bucket holds.
+  /// Capacity of the bucket, in units.
   pub burst: f64,
 }
 
 /// One organisation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Organisation {
-  /// Its name, as endpoints are told it.
+  /// Its name, as endpoints receive it.
   pub name: Name,
-  /// Goes before the route's; 0 is first.
+  /// Overrides the route's priority; 0 is the most urgent.
   pub priority: Option<u8>,
-  /// The regions in which its requests may be served; nothing where all may.
-  pub homes: Option<Homes>,
-  /// What its limit is counted in.
-  pub unit: UseUnit,
-  /// What it may use; nothing when it is not limited.
+  /// The regions in which its requests may be served; `None` allows all of them.
+  pub allowed_regions: Option<RegionSet>,
+  /// The unit of its limit.
+  pub unit: UsageUnit,
+  /// Its limit; `None` when unlimited.
   pub limit: Option<UseLimit>,
 }
 
 impl Organisation {
-  /// What a request counts towards the limit.
+  /// Units that a request counts towards the limit.
   ///
   /// ```
-  /// use rillford::gateway::{CallerFacts, Organisation, UseUnit};
+  /// use rillford::gateway::{CallerAttributes, Organisation, UsageUnit};
   /// let organisation = Organisation {
-  ///   homes: None,
+  ///   allowed_regions: None,
   ///   limit: None,
   ///   name: "lectures".into(),
   ///   priority: None,
-  ///   unit: UseUnit::Tokens { plain: 200 },
+  ///   unit: UsageUnit::Tokens { default: 200 },
   /// };
-  /// let stream = CallerFacts { answer_tokens: 72, prompt_tokens: 3_200, ..CallerFacts::default() };
+  /// let stream = CallerAttributes { answer_tokens: 72, prompt_tokens: 3_200, ..CallerAttributes::default() };
   /// assert_eq!(organisation.units(&stream), 3_272);
-  /// assert_eq!(organisation.units(&CallerFacts::default()), 200);
+  /// assert_eq!(organisation.units(&CallerAttributes::default()), 200);
   /// ```
-  pub fn units(&self, facts: &CallerFacts) -> u64 {
-    let tokens = facts.prompt_tokens + facts.answer_tokens;
+  pub fn units(&self, attributes: &CallerAttributes) -> u64 {
+    let tokens = attributes.prompt_tokens + attributes.answer_tokens;
     match self.unit {
-      UseUnit::Requests => 1,
-      UseUnit::Tokens { plain } if tokens == 0 => plain,
-      UseUnit::Tokens { .. } => tokens,
+      UsageUnit::Requests => 1,
+      UsageUnit::Tokens { default } if tokens == 0 => default,
+      UsageUnit::Tokens { .. } => tokens,
     }
   }
 }
@@ -76,8 +76,8 @@
 }
 
 impl Organisations {
-  /// Adds an organisation with its keys. Fails when a key or its name stands in the document already: whose requests they
-  /// are could not be told.
+  /// Adds an organisation with its keys. Fails when its name or one of the keys is already taken: the owner of a request would
+  /// be ambiguous.
   pub fn add<'a>(
     &mut self,
     organisation: Organisation,
@@ -86,12 +86,12 @@
     let name = organisation.name.clone();
     for key in keys {
       if !self.keys.insert(key, name.clone()) {
-        return Err(refusal(format!("a key of {name} stands twice")));
+        return Err(invalid(format!("a key of {name} is listed twice")));
       }
     }
     match self.by_name.insert(name.clone(), Rc::new(organisation)) {
       None => Ok(()),
-      Some(_) => Err(refusal(format!("organisation {name} stands twice"))),
+      Some(_) => Err(invalid(format!("organisation {name} is listed twice"))),
     }
   }
 
@@ -100,13 +100,13 @@
     self.by_name.get(self.keys.organisation(key)?)
   }
 
-  /// All organisations, in no order.
+  /// All organisations, in no particular order.
   pub fn iter(&self) -> impl Iterator<Item = &Rc<Organisation>> {
     self.by_name.values()
   }
 }
 
-fn refusal(message: String) -> DecodeError {
+fn invalid(message: String) -> DecodeError {
   DecodeError {
     message,
     what: "the organisations",
--- a/src/gateway/edge/route_table.rs
+++ b/src/gateway/edge/route_table.rs
@@ -1,47 +1,47 @@
-//! The routes in force: which service a host and path belong to, and how its requests may be treated.
+//! The route table of one configuration version: which service a host and path map to, and how its requests are handled.
 
 use {
   super::{
-    homes::Homes,
     organisation::{Organisations, UseLimit},
+    region_set::RegionSet,
   },
   crate::ids::Name,
   std::{cmp::Reverse, collections::HashMap, rc::Rc},
 };
 
-/// What may be repeated on a route.
+/// Whether the requests of a route may be retried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RouteKind {
   /// A request may run more than once.
-  Repeatable,
+  Retryable,
   /// A request runs at most once.
-  Unrepeatable,
-  /// A request runs at most once and is answered by a series of events.
+  NonRetryable,
+  /// A request runs at most once, and its response is a stream of server-sent events.
   Stream {
-    /// Whether another endpoint may continue a stream that broke.
+    /// Whether another endpoint may resume an interrupted stream.
     resumable: bool,
   },
 }
 
 impl RouteKind {
-  /// Whether a request that may have begun may be sent once more.
+  /// Whether a request that an endpoint may have run may be sent again.
   ///
   /// ```
   /// use rillford::gateway::RouteKind;
-  /// assert!(RouteKind::Stream { resumable: true }.may_repeat());
-  /// assert!(!RouteKind::Unrepeatable.may_repeat());
+  /// assert!(RouteKind::Stream { resumable: true }.may_retry());
+  /// assert!(!RouteKind::NonRetryable.may_retry());
   /// ```
-  pub fn may_repeat(self) -> bool {
-    matches!(self, Self::Repeatable | Self::Stream { resumable: true })
+  pub fn may_retry(self) -> bool {
+    matches!(self, Self::Retryable | Self::Stream { resumable: true })
   }
 }
 
-/// One service behind a route, with its share of the route's requests.
+/// A target service of a route, with its weight.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WeightedService {
   /// The service.
   pub service: Name,
-  /// Its share, relative to the others.
+  /// Its share of the route's requests, relative to the other services.
   pub weight: u32,
 }
 
@@ -50,30 +50,30 @@
 pub struct Route {
   /// The route's name.
   pub name: Name,
-  /// The host it answers to, in lower case.
+  /// The host that it matches, in lower case.
   pub host: Name,
-  /// How its paths begin; ends with a slash.
+  /// The path prefix that it matches; ends with a slash.
   pub path_prefix: Name,
-  /// What may be repeated.
+  /// Whether its requests may be retried.
   pub kind: RouteKind,
-  /// The longest time that a request may be held.
+  /// Timeout of a request.
   pub timeout_ms: u64,
-  /// The time within which an answer, or a stream's first event, is wanted.
+  /// Latency target of a response, or of a stream's first event.
   pub target_ms: u64,
-  /// 0 goes first.
+  /// 0 is the most urgent.
   pub priority: u8,
   /// The most endpoints that one request may be sent to.
-  pub most_attempts: u32,
-  /// The regions in which its requests may be served; nothing where all may.
-  pub homes: Option<Homes>,
-  /// Whether it serves callers without a key.
-  pub is_open: bool,
+  pub max_attempts: u32,
+  /// The regions in which its requests may be served; `None` allows all of them.
+  pub allowed_regions: Option<RegionSet>,
+  /// Whether it serves callers without an API key.
+  pub allows_anonymous: bool,
   /// The services that its requests go to.
   pub services: Vec<WeightedService>,
 }
 
 impl Route {
-  /// The service for a draw between 0 and 1.
+  /// Picks a service by weight, for a random `draw` from 0 to 1.
   pub fn service(&self, draw: f64) -> Option<&Name> {
     let total: u32 = self.services.iter().map(|target| target.weight).sum();
     let mut left = draw * f64::from(total);
@@ -91,53 +91,53 @@
   }
 }
 
-/// The engines of a service of language models.
+/// The engines of a language-model service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct EngineSpec {
-  /// Requests that one engine works on at once.
-  pub seats: u32,
-  /// Tokens that fit into one engine's memory.
+  /// Requests that one engine runs at once.
+  pub slots: u32,
+  /// Capacity of one engine's KV cache, in tokens.
   pub kv_tokens: u64,
-  /// How long a prompt that was read is kept for another engine.
+  /// How long an engine retains an exported KV cache.
   pub export_ttl_ms: u64,
-  /// The longest reservation.
+  /// The longest time that a reservation may last.
   pub reservation_ms: u64,
 }
 
-/// What the endpoints of a service carry while they are cold.
+/// The cold start of a service's endpoints.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStart {
-  /// How long one is cold after its start.
-  pub lasts_ms: u64,
-  /// Requests a second that it carries of all boxes together.
+  /// How long it lasts after an endpoint's start.
+  pub duration_ms: u64,
+  /// Requests per second that a cold endpoint takes from all boxes together.
   pub per_s: f64,
 }
 
 /// One service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSpec {
-  /// Connections that one endpoint accepts from all callers together.
-  pub most_connections: u32,
-  /// Set where its endpoints are engines.
+  /// Connections that one endpoint accepts from all boxes together.
+  pub max_connections: u32,
+  /// Set when its endpoints are engines.
   pub engine: Option<EngineSpec>,
-  /// Set where its endpoints carry less while they are cold.
+  /// Set when its endpoints take less load during a cold start.
   pub cold_start: Option<ColdStart>,
 }
 
-/// What callers may send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CallerLimits {
-  /// The longest head.
+  /// The longest request head.
   pub head_bytes: usize,
-  /// The longest body.
+  /// The longest request body.
   pub body_bytes: usize,
-  /// The longest time for a head.
+  /// Timeout of reading a request head.
   pub head_ms: u64,
-  /// How long a connection may rest.
+  /// Timeout of an idle connection.
   pub idle_ms: u64,
 }
 
-/// One version of the configuration, whole.
+/// One version of the configuration.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
   version: u64,
@@ -148,7 +148,7 @@
 }
 
 impl RouteTable {
-  /// Builds the look-up of one version.
+  /// Indexes the routes by host, longest path prefix first.
   pub fn new(
     version: u64,
     routes: Vec<Route>,
@@ -174,7 +174,7 @@
     }
   }
 
-  /// Has each caller belong to an organisation.
+  /// Adds the organisations that callers have to belong to.
   pub fn with_organisations(self, organisations: Organisations) -> Self {
     Self {
       organisations: Some(organisations),
@@ -182,28 +182,28 @@
     }
   }
 
-  /// The organisations; nothing when callers belong to none.
+  /// The organisations; `None` when callers are not authenticated.
   pub fn organisations(&self) -> Option<&Organisations> {
     self.organisations.as_ref()
   }
 
-  /// The organisations that are limited.
+  /// The organisations with a limit.
   pub fn limited(&self) -> impl Iterator<Item = (&Name, UseLimit)> {
     let organisations = self.organisations.iter().flat_map(Organisations::iter);
     organisations.filter_map(|organisation| Some((&organisation.name, organisation.limit?)))
   }
 
-  /// The version; a higher one replaces a lower one.
+  /// The version; only a higher one replaces it.
   pub fn version(&self) -> u64 {
     self.version
   }
 
-  /// What callers may send.
+  /// Limits on callers' requests and connections.
   pub fn limits(&self) -> CallerLimits {
     self.limits
   }
 
-  /// The route of a host whose prefix begins the path and is longest.
+  /// The route of a host with the longest prefix that matches the path.
   pub fn find(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
     let host = host.split(':').next().unwrap_or_default();
     let routes = match self.by_host.get(host) {
@@ -215,24 +215,24 @@
       .find(|route| path.starts_with(&*route.path_prefix))
   }
 
-  /// A service's own settings.
+  /// A service's settings.
   pub fn service(&self, name: &str) -> Option<&ServiceSpec> {
     self.services.get(name)
   }
 
-  /// A region that is some route's or organisation's home and none of the regions that there are.
-  pub fn unknown_home(&self, is_region: impl Fn(&str) -> bool) -> Option<&Name> {
+  /// An allowed region of a route or organisation for which `is_region` is false.
+  pub fn unknown_region(&self, is_region: impl Fn(&str) -> bool) -> Option<&Name> {
     let of_routes = self.by_host.values().flatten();
-    let of_routes = of_routes.filter_map(|route| route.homes.as_ref());
+    let of_routes = of_routes.filter_map(|route| route.allowed_regions.as_ref());
     let organisations = self.organisations.iter().flat_map(Organisations::iter);
-    let of_organisations = organisations.filter_map(|organisation| organisation.homes.as_ref());
-    let homes = of_routes.chain(of_organisations);
-    homes
-      .flat_map(Homes::names)
+    let of_organisations =
+      organisations.filter_map(|organisation| organisation.allowed_regions.as_ref());
+    let region_sets = of_routes.chain(of_organisations);
+    region_sets
+      .flat_map(RegionSet::names)
       .find(|region| !is_region(region))
   }
 
-  /// How many routes there are.
   pub fn route_count(&self) -> usize {
     self.by_host.values().map(Vec::len).sum()
   }
--- a/src/gateway/edge/store.rs
+++ b/src/gateway/edge/store.rs
@@ -1,5 +1,4 @@
-//! What the router asks of the key-value store that holds the configuration and the lists of endpoints and
-//! boxes: its items, its calls and their errors.
+//! The key-value store that holds the configuration and the lists of endpoints and boxes: its items, calls and errors.
 
 use {
   crate::ids::Name,
@@ -8,76 +7,76 @@
   std::time::Duration,
 };
 
-/// What a key of the store is about.
+/// The subject of a store key.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum StoreKey {
   /// The configuration.
   Configuration,
-  /// An endpoint, by its incarnation.
+  /// An endpoint, by the id of its incarnation.
   Endpoint(Name),
-  /// A box of this router, by its name.
+  /// A gateway box, by name.
   Box(Name),
-  /// Which box is steward of the engines' roles.
-  Steward,
-  /// Something else.
+  /// The box that leads the assignment of engine roles.
+  RoleLeader,
+  /// A key that the gateway does not use.
   Other,
-  /// What boxes know of a request that ends endpoints, by the last part of its key.
+  /// A quarantine record of a request that crashes endpoints, by the last component of its key.
   Quarantine(Name),
-  /// Operators drain a data hall as long as this stands, whatever its value.
+  /// A drained data hall: it is drained while the key exists, whatever the value.
   HallDrain(Name),
 }
 
-/// One item, as it was written or removed.
+/// A write or removal of one item.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoreItem {
-  /// What it is about.
+  /// The item's key.
   pub key: StoreKey,
   /// The revision of this change.
   pub revision: u64,
-  /// The value; nothing when it was removed.
+  /// The value; `None` when removed.
   pub value: Option<Bytes>,
 }
 
-/// One page of a listing. Pages are not a snapshot.
+/// One page of a listing. The pages of a listing are not a consistent snapshot.
 #[derive(Clone, Debug)]
 pub struct StorePage {
   /// The items.
   pub items: Vec<StoreItem>,
-  /// The store's revision when the page was made.
+  /// The store's revision at which the page was read.
   pub revision: u64,
-  /// Where the next page begins.
+  /// Cursor of the next page; `None` on the last one.
   pub next_after: Option<String>,
 }
 
-/// How old a page of a listing may be.
+/// Consistency of a listing's page.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum PageAge {
-  /// As the store is now.
+pub enum ReadConsistency {
+  /// Up to date.
   Current,
-  /// As it was up to some seconds ago: cheap for the store, and of use only if the changes since then are asked for.
-  MayLag,
+  /// Up to some seconds old: cheap for the store, but the changes since then must be fetched too.
+  MayBeStale,
 }
 
-/// What a watch came to.
+/// The result of a watch.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum StoreChanges {
-  /// Changes in order; none when the wait ran out.
+  /// Changes in order; empty when the wait timed out.
   Some {
     /// The changes.
     items: Vec<StoreItem>,
-    /// Where to go on.
+    /// The revision to watch from next.
     revision: u64,
   },
-  /// The store no longer has the history asked for.
+  /// The store has compacted the requested history.
   HistoryLost,
 }
 
-/// Which box is steward.
+/// The box that leads the assignment of engine roles.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Stewardship {
-  /// The box.
+pub struct RoleLeadership {
+  /// The leader.
   pub holder: Name,
-  /// The revision at which it became steward: its fencing token.
+  /// The revision at which it became leader: its fencing token.
   pub fence: u64,
 }
 
@@ -85,27 +84,27 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StoreLease(pub u64);
 
-/// Why a call to the store came to nothing.
+/// Why a call to the store failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-  /// The lease is over.
-  #[error("the lease is over")]
-  LeaseOver,
-  /// The call failed, or its answer can't be read.
+  /// The lease has expired.
+  #[error("the lease has expired")]
+  LeaseExpired,
+  /// The call failed, or its response could not be decoded.
   #[error("{0}")]
   Call(String),
 }
 
-/// Keys that one call to the store may change.
-pub const MOST_CHANGED_KEYS: usize = 32;
+/// The most keys that one call may change.
+pub const MAX_CHANGED_KEYS: usize = 32;
 
-/// The calls of the store that this router uses.
+/// The store's calls that the gateway uses.
 pub trait Store: Clone + 'static {
-  /// Lists configuration, endpoints and boxes, a page at a time.
+  /// Lists all keys, one page at a time.
   fn page(
     &self,
     after: Option<&str>,
-    age: PageAge,
+    consistency: ReadConsistency,
   ) -> impl Future<Output = Result<StorePage, StoreError>>;
   /// Waits for changes after a revision.
   fn changes(
@@ -117,30 +116,29 @@
   fn grant(&self, ttl: Duration) -> impl Future<Output = Result<StoreLease, StoreError>>;
   /// Renews a lease.
   fn renew(&self, lease: StoreLease) -> impl Future<Output = Result<(), StoreError>>;
-  /// Ends a lease, and its keys with it.
-  fn end(&self, lease: StoreLease) -> impl Future<Output = Result<(), StoreError>>;
-  /// Makes a box the steward under its lease, unless there is one; answers with the fencing token.
-  fn become_steward(
+  /// Revokes a lease, which removes its keys.
+  fn revoke(&self, lease: StoreLease) -> impl Future<Output = Result<(), StoreError>>;
+  /// Makes a box the role leader under its lease, unless there is one; returns the fencing token.
+  fn try_become_role_leader(
     &self,
     name: &str,
     lease: StoreLease,
   ) -> impl Future<Output = Result<Option<u64>, StoreError>>;
-  /// Reads who is steward now.
-  fn steward(&self) -> impl Future<Output = Result<Option<Stewardship>, StoreError>>;
-  /// Writes that something is known of requests that end endpoints, all with one value; at most [`MOST_CHANGED_KEYS`] keys. They
-  /// outlast all leases.
+  /// Reads the current role leader.
+  fn role_leader(&self) -> impl Future<Output = Result<Option<RoleLeadership>, StoreError>>;
+  /// Writes quarantine records, all with the same value; at most [`MAX_CHANGED_KEYS`] keys. They are not bound to a lease.
   fn put_quarantine(
     &self,
     keys: &[Name],
     value: Bytes,
   ) -> impl Future<Output = Result<(), StoreError>>;
-  /// Writes one such key unless it is there; whether it was not.
+  /// Creates one quarantine record; `false` when the key exists already.
   fn claim_quarantine(
     &self,
     key: &Name,
     value: Bytes,
   ) -> impl Future<Output = Result<bool, StoreError>>;
-  /// Removes such keys; at most [`MOST_CHANGED_KEYS`].
+  /// Removes quarantine records; at most [`MAX_CHANGED_KEYS`] keys.
   fn remove_quarantine(&self, keys: &[Name]) -> impl Future<Output = Result<(), StoreError>>;
   /// Writes this box's entry under a lease.
   fn put_box(
--- a/src/gateway/limits/admission.rs
+++ b/src/gateway/limits/admission.rs
@@ -8,7 +8,7 @@
   crate::{
     gateway::{
       decisions::{LocalVerdict, UseRequest, UseVerdict},
-      edge::{CallerFacts, Organisation, UseLimit},
+      edge::{CallerAttributes, Organisation, UseLimit},
       state::Gateway,
     },
     ids::Name,
@@ -73,7 +73,7 @@
 pub(crate) async fn admit(
   gateway: &Rc<Gateway>,
   organisation: &Organisation,
-  facts: &CallerFacts,
+  facts: &CallerAttributes,
 ) -> Result<Charge, Beyond> {
   let units = organisation.units(facts);
   let name = &organisation.name;
@@ -168,7 +168,7 @@
 }
 
 /// Says on what a refusal was decided.
-fn log_beyond(gateway: &Gateway, facts: &CallerFacts, name: &Name, units: u64, left: f64) {
+fn log_beyond(gateway: &Gateway, facts: &CallerAttributes, name: &Name, units: u64, left: f64) {
   let version = gateway.table().map(|table| table.version());
   let limit = gateway.use_book.borrow().limit(name);
   let age_ms = if gateway.counts_use() {
--- a/src/gateway/membership/listing.rs
+++ b/src/gateway/membership/listing.rs
@@ -2,7 +2,7 @@
 
 use {
   crate::{
-    gateway::edge::{PageAge, StoreItem, StoreKey},
+    gateway::edge::{ReadConsistency, StoreItem, StoreKey},
     ids::Name,
   },
   std::collections::HashSet,
@@ -48,10 +48,10 @@
 
   /// How old the next page may be. A first listing begins with the present, which has the configuration; the
   /// rest may lag, since the watch begins at the oldest page and tells what it lacks.
-  pub(super) fn next_page_age(&self) -> PageAge {
+  pub(super) fn next_page_age(&self) -> ReadConsistency {
     match self.kind {
-      ListingKind::First if self.revision.is_some() => PageAge::MayLag,
-      ListingKind::First | ListingKind::Again => PageAge::Current,
+      ListingKind::First if self.revision.is_some() => ReadConsistency::MayBeStale,
+      ListingKind::First | ListingKind::Again => ReadConsistency::Current,
     }
   }
 
@@ -76,7 +76,7 @@
       StoreKey::Box(name) => drop(self.boxes.insert(name.clone())),
       StoreKey::Quarantine(text) => drop(self.quarantine.insert(text.clone())),
       StoreKey::HallDrain(hall) => drop(self.drained_halls.insert(hall.clone())),
-      StoreKey::Steward => self.has_steward = true,
+      StoreKey::RoleLeader => self.has_steward = true,
       StoreKey::Configuration | StoreKey::Other => {}
     }
   }
--- a/src/gateway/membership/own_entry.rs
+++ b/src/gateway/membership/own_entry.rs
@@ -68,7 +68,7 @@
       renewed_ms: sent_ms,
       ..held
     })),
-    Err(StoreError::LeaseOver) => {
+    Err(StoreError::LeaseExpired) => {
       log::info!("E410 lease over: this box enters itself again");
       gateway.lease.set(None);
     }
@@ -82,7 +82,7 @@
     return;
   };
   gateway.counters.store_calls.inc();
-  if let Err(error) = store.end(held.lease).await {
+  if let Err(error) = store.revoke(held.lease).await {
     log::info!("E411 lease not given back, it runs out by itself: {error}");
   }
 }
--- a/src/gateway/membership/store_view.rs
+++ b/src/gateway/membership/store_view.rs
@@ -76,7 +76,7 @@
     let halls = book.drained_halls().names().cloned();
     let halls = halls.filter(|hall| !listing.drained_halls.contains(hall));
     let quarantine = self.quarantine_missing_from(listing);
-    let steward = (!listing.has_steward).then_some(StoreKey::Steward);
+    let steward = (!listing.has_steward).then_some(StoreKey::RoleLeader);
     endpoints
       .map(StoreKey::Endpoint)
       .chain(boxes.map(StoreKey::Box))
@@ -101,7 +101,7 @@
       (StoreKey::Configuration, None) => {
         log::warn!("E406 configuration removed: the last one stays")
       }
-      (StoreKey::Steward, value) => self.gateway.has_steward.set(value.is_some()),
+      (StoreKey::RoleLeader, value) => self.gateway.has_steward.set(value.is_some()),
       (StoreKey::HallDrain(hall), value) => self.hall_drain(&hall, value.is_some(), item.revision),
       (StoreKey::Quarantine(text), value) => self.quarantine_mark(&text, value.as_deref()),
       (StoreKey::Other, _) => {}
@@ -160,7 +160,7 @@
   }
 
   fn endpoint_entered(&self, id: &str, value: &[u8], revision: u64) {
-    match self.gateway.dialect.endpoint_entry(id, value) {
+    match self.gateway.codec.endpoint_entry(id, value) {
       Ok(entry) => {
         if entry.leaving {
           self.gateway.pool.close(id);
@@ -180,9 +180,9 @@
   }
 
   fn configuration(&self, value: &[u8], revision: u64) {
-    match self.gateway.dialect.route_table(value) {
+    match self.gateway.codec.route_table(value) {
       Ok(table) => {
-        if let Some(region) = self.unknown_home(&table) {
+        if let Some(region) = self.unknown_region(&table) {
           log::error!(
             "E408 configuration at revision {revision} has the home {region}, which is the region of no hall: the last one stays"
           );
@@ -199,10 +199,10 @@
   }
 
   /// A home that is the region of no hall that this box knows: what is meant for it would be refused for good.
-  fn unknown_home(&self, table: &RouteTable) -> Option<Name> {
+  fn unknown_region(&self, table: &RouteTable) -> Option<Name> {
     let regions = &self.gateway.settings.regions;
     let is_region = |home: &str| regions.values().any(|region| &**region == home);
-    table.unknown_home(is_region).cloned()
+    table.unknown_region(is_region).cloned()
   }
 
   fn endpoint_gone(&self, id: &str) {
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,12 +1,12 @@
 //! A box that routes requests by host and path to endpoints that come and go.
 //!
 //! A request's way: [`front`](requests) reads it and finds its [`Route`], `requests` choose endpoints from the
-//! [`EndpointBook`] within the [`RetryWindow`], `parts` send it over `connections`, and the answer goes back unchanged.
-//! `membership` keeps routes and endpoints as the store has them. What a platform calls all this stands behind [`Dialect`]
+//! [`EndpointBook`] within the [`RetryWindow`], `stages` send it over `connections`, and the answer goes back unchanged.
+//! `membership` keeps routes and endpoints as the store has them. What a platform calls all this stands behind [`PlatformCodec`]
 //! and [`Store`].
 //!
 //! The folders in order, each importing only those before it: `edge`, `decisions`, `settings`, `connections`, `state`,
-//! `permits`, `parts`, `limits` and `quarantine`, then `requests`, `roles` and `membership` side by side, and `process`. A test holds that order.
+//! `permits`, `stages`, `limits` and `quarantine`, then `requests`, `roles` and `membership` side by side, and `process`. A test holds that order.
 //!
 //! One thread serves everything: a box has a fraction of a core, and each thread costs it memory.
 
@@ -15,13 +15,13 @@
 mod edge;
 mod limits;
 mod membership;
-mod parts;
 mod permits;
 mod process;
 mod quarantine;
 mod requests;
 mod roles;
 mod settings;
+mod stages;
 mod state;
 
 pub use self::{
@@ -38,16 +38,17 @@
     kept_pause_ms, lone_limit, retry_after_pause_ms, retry_pause_ms, staying_engines, surplus,
   },
   edge::{
-    AnswerFacts, CallerFacts, CallerLimits, ColdStart, DecodeError, Dialect, EndpointCall,
-    EndpointEntry, EndpointNotice, EngineReport, EngineSpec, Export, Homes, Marks, NamedLimit,
-    Organisation, Organisations, PageAge, Part, PromptPart, RoleChange, Route, RouteKind,
-    RouteTable, ServiceSpec, Stewardship, Store, StoreChanges, StoreError, StoreItem, StoreKey,
-    StoreLease, StorePage, ToldLoad, UnreadableNotice, UseLimit, UseUnit, WeightedService,
+    CallerAttributes, CallerLimits, ColdStart, DecodeError, EndpointCall, EndpointEntry,
+    EndpointNotice, EngineReport, EngineSpec, Export, LimitHeader, Organisation, Organisations,
+    PlatformCodec, PromptSegment, ProxyHeaders, ReadConsistency, RegionSet, ReportedLoad,
+    ResponseAttributes, RoleChange, RoleLeadership, Route, RouteKind, RouteTable, ServiceSpec,
+    Stage, Store, StoreChanges, StoreError, StoreItem, StoreKey, StoreLease, StorePage,
+    UnreadableNotice, UsageUnit, UseLimit, WeightedService,
   },
   process::run_gateway,
   requests::{EventCutter, WholeEvent},
   settings::{
-    EngineMarks, EngineSettings, GatewayBounds, GatewayIdentity, GatewayListen, GatewaySettings,
+    EnginePriority, EngineSettings, GatewayBounds, GatewayIdentity, GatewayListen, GatewaySettings,
     LimitSettings, Mechanisms, PolicySettings, QuarantineSettings, RoutePolicy, RouteRank,
     StoreSettings,
   },
--- a/src/gateway/permits/figures.rs
+++ b/src/gateway/permits/figures.rs
@@ -51,7 +51,7 @@
 
 /// The permits that are left at an endpoint, on the box that counts.
 fn permits_left(gateway: &Gateway, id: &str, now_ms: u64) -> Option<f64> {
-  let born_ms = gateway.book.borrow().entry(id)?.born_ms;
-  let life = EndpointLife::of(id, born_ms);
+  let started_ms = gateway.book.borrow().entry(id)?.started_ms;
+  let life = EndpointLife::of(id, started_ms);
   gateway.permit_book.borrow_mut().left(life, now_ms)
 }
--- a/src/gateway/permits/messages.rs
+++ b/src/gateway/permits/messages.rs
@@ -29,7 +29,7 @@
 pub(super) struct PermitQuestion {
   pub(super) box_name: Name,
   pub(super) endpoint: Name,
-  pub(super) born_ms: Option<u64>,
+  pub(super) started_ms: Option<u64>,
   pub(super) hall: Name,
   /// The endpoint's own word; nothing when it has named no limit.
   pub(super) told: Option<ToldLimit>,
@@ -86,17 +86,17 @@
 
 fn answer_question(gateway: &Gateway, question: &PermitQuestion) -> PermitAnswer {
   let now_ms = gateway.now_ms();
-  let (id, born_ms) = (&question.endpoint, question.born_ms);
+  let (id, started_ms) = (&question.endpoint, question.started_ms);
   if let Some(told) = question.told {
-    note_told(gateway, id, born_ms, told.heard(now_ms));
+    note_told(gateway, id, started_ms, told.heard(now_ms));
   }
   let mut book = gateway.book.borrow_mut();
   if let Some(cold) = question.cold {
     let limits = book.limits_mut();
-    limits.note_cold(id, born_ms, cold.span(now_ms));
+    limits.note_cold(id, started_ms, cold.span(now_ms));
   }
-  let named = book.limits().heard_of(id, born_ms);
-  let per_s = book.limits().lowest_per_s(id, born_ms, now_ms);
+  let named = book.limits().heard_of(id, started_ms);
+  let per_s = book.limits().lowest_per_s(id, started_ms, now_ms);
   drop(book);
   let permit_request = PermitRequest {
     box_name: question.box_name.clone(),
@@ -108,7 +108,7 @@
     told: named.map(|named| ToldLimit::new(named, now_ms)),
     verdict: give_out(
       gateway,
-      EndpointLife::of(id, born_ms),
+      EndpointLife::of(id, started_ms),
       per_s,
       &permit_request,
     ),
--- a/src/gateway/permits/taking.rs
+++ b/src/gateway/permits/taking.rs
@@ -135,7 +135,7 @@
   heard: HeardLimit,
   permit_request: &PermitRequest,
 ) -> (PermitVerdict, DecidedBy) {
-  let life = EndpointLife::of(&entry.id, entry.born_ms);
+  let life = EndpointLife::of(&entry.id, entry.started_ms);
   let order = endpoint_order(
     &gateway.boxes.borrow(),
     &entry.id,
@@ -180,12 +180,12 @@
     let limits = book.limits();
     (
       limits.heard(entry),
-      limits.cold_span(&entry.id, entry.born_ms, now_ms),
+      limits.cold_span(&entry.id, entry.started_ms, now_ms),
     )
   };
   let question = PermitQuestion {
     box_name: permit_request.box_name.clone(),
-    born_ms: entry.born_ms,
+    started_ms: entry.started_ms,
     cold: cold.map(|span| ColdSpanMessage::new(span, now_ms)),
     endpoint: entry.id.clone(),
     hall: entry.hall.clone(),
@@ -201,7 +201,7 @@
       if let Some(told) = answer.told {
         let mut book = gateway.book.borrow_mut();
         let limits = book.limits_mut();
-        limits.note_told(&entry.id, entry.born_ms, told.heard(now_ms));
+        limits.note_told(&entry.id, entry.started_ms, told.heard(now_ms));
       }
       Some(answer)
     }
--- a/src/gateway/permits/telling.rs
+++ b/src/gateway/permits/telling.rs
@@ -30,15 +30,19 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct LimitMessage {
   endpoint: Name,
-  born_ms: Option<u64>,
+  started_ms: Option<u64>,
   told: ToldLimit,
   /// Whether a reader tells it on to the boxes of its hall; these tell nobody.
   is_told_on: bool,
 }
 
 /// Tells others that this box heard an endpoint begin to name a limit; nobody waits for it.
-pub(crate) fn tell_limit(gateway: &Rc<Gateway>, endpoint: &Name, born_ms: Option<u64>) {
-  let heard = gateway.book.borrow().limits().heard_of(endpoint, born_ms);
+pub(crate) fn tell_limit(gateway: &Rc<Gateway>, endpoint: &Name, started_ms: Option<u64>) {
+  let heard = gateway
+    .book
+    .borrow()
+    .limits()
+    .heard_of(endpoint, started_ms);
   let Some(heard) = heard else {
     return;
   };
@@ -48,7 +52,7 @@
     (boxes.other_counting(own_name), boxes.told_on_by(own_name))
   };
   let message = LimitMessage {
-    born_ms,
+    started_ms,
     endpoint: endpoint.clone(),
     is_told_on: false,
     told: ToldLimit::new(heard, gateway.now_ms()),
@@ -97,10 +101,12 @@
 fn hear_told(gateway: &Rc<Gateway>, message: LimitMessage) {
   let now_ms = gateway.now_ms();
   let LimitMessage {
-    endpoint, born_ms, ..
+    endpoint,
+    started_ms,
+    ..
   } = &message;
   let told = message.told.heard(now_ms);
-  if note_told(gateway, endpoint, *born_ms, told) == LimitNews::Begins && !message.is_told_on {
+  if note_told(gateway, endpoint, *started_ms, told) == LimitNews::Begins && !message.is_told_on {
     let addresses = {
       let boxes = gateway.boxes.borrow();
       boxes.told_on_by(&gateway.settings.identity.name)
@@ -114,14 +120,14 @@
 pub(super) fn note_told(
   gateway: &Gateway,
   endpoint: &Name,
-  born_ms: Option<u64>,
+  started_ms: Option<u64>,
   told: HeardLimit,
 ) -> LimitNews {
   let mut book = gateway.book.borrow_mut();
-  let news = book.limits_mut().note_told(endpoint, born_ms, told);
+  let news = book.limits_mut().note_told(endpoint, started_ms, told);
   if news == LimitNews::Begins {
     log::info!(
-      "E540 names a limit: {endpoint} born {born_ms:?} takes {} requests a second of all boxes, as another box heard {} ms ago",
+      "E540 names a limit: {endpoint} born {started_ms:?} takes {} requests a second of all boxes, as another box heard {} ms ago",
       told.per_s.unwrap_or_default(),
       gateway.now_ms().saturating_sub(told.heard_ms)
     );
--- a/src/gateway/process/start.rs
+++ b/src/gateway/process/start.rs
@@ -8,7 +8,7 @@
   crate::{
     Error, Result,
     gateway::{
-      edge::{Dialect, Store},
+      edge::{PlatformCodec, Store},
       limits::keep_counts,
       membership::{end_entry, follow_store, keep_entry, serve_boxes},
       quarantine::keep_quarantine,
@@ -48,7 +48,7 @@
 /// Fails when an address can't be bound, or the policy program can't be read.
 pub fn run_gateway<S: Store>(
   settings: GatewaySettings,
-  dialect: Rc<dyn Dialect>,
+  codec: Rc<dyn PlatformCodec>,
   store: impl FnOnce(&GatewaySettings) -> S,
 ) -> Result {
   set_up_log()?;
@@ -61,12 +61,16 @@
     })?;
   LocalSet::new().block_on(&runtime, async move {
     let store = store(&settings);
-    serve(settings, dialect, store).await
+    serve(settings, codec, store).await
   })
 }
 
 /// Serves until the signal to stop, then leaves.
-async fn serve<S: Store>(settings: GatewaySettings, dialect: Rc<dyn Dialect>, store: S) -> Result {
+async fn serve<S: Store>(
+  settings: GatewaySettings,
+  codec: Rc<dyn PlatformCodec>,
+  store: S,
+) -> Result {
   let policy = settings.load_policy()?;
   let ports = Ports::open(&settings.listen)?;
   let mut stop = on_signal("stop signal", SignalKind::terminate())?;
@@ -74,7 +78,7 @@
   let name = settings.identity.name.clone();
   log::info!("E101 started: {name} {}", env!("CARGO_PKG_VERSION"));
   let gateway = Rc::new(Gateway::new(
-    dialect,
+    codec,
     settings,
     policy,
     unix_ms() ^ u64::from(std::process::id()),
--- a/src/gateway/quarantine/endpoint_end.rs
+++ b/src/gateway/quarantine/endpoint_end.rs
@@ -5,7 +5,7 @@
   crate::gateway::{
     decisions::{EndpointLife, Fingerprint, QuarantineKey, QuarantineMark, QuarantineWay},
     edge::EndpointEntry,
-    parts::RoutedRequest,
+    stages::RoutedRequest,
     state::Gateway,
   },
   std::{net::SocketAddr, rc::Rc, time::Duration},
@@ -76,7 +76,7 @@
     "E528 part lost: {} ({fingerprint}) at {} born {:?}, {ran_ms} ms after it was sent: {error}; endpoint {survival:?}",
     request.id(),
     entry.id,
-    entry.born_ms
+    entry.started_ms
   );
   if survival != Survival::Ended {
     return;
@@ -96,7 +96,7 @@
   fingerprint: Fingerprint,
   sent_ms: u64,
 ) -> EndpointLife {
-  let life = EndpointLife::of(&chosen.id, chosen.born_ms);
+  let life = EndpointLife::of(&chosen.id, chosen.started_ms);
   let ended_ms = gateway
     .quarantine
     .book
@@ -107,13 +107,13 @@
   }
   let until_ms = gateway.now_ms() + ENTRY_LIMIT_MS;
   loop {
-    let born_ms = gateway
+    let started_ms = gateway
       .book
       .borrow()
       .entry(&chosen.id)
-      .and_then(|now| now.born_ms);
-    if born_ms.is_some() && born_ms != chosen.born_ms {
-      return EndpointLife::of(&chosen.id, born_ms);
+      .and_then(|now| now.started_ms);
+    if started_ms.is_some() && started_ms != chosen.started_ms {
+      return EndpointLife::of(&chosen.id, started_ms);
     }
     if gateway.now_ms() >= until_ms {
       return life;
@@ -141,17 +141,17 @@
 
 /// Finds out whether an endpoint has ended.
 async fn survival(gateway: &Gateway, entry: &EndpointEntry) -> Survival {
-  let (is_leaving, born_ms) = {
+  let (is_leaving, started_ms) = {
     let book = gateway.book.borrow();
     match book.entry(&entry.id) {
-      Some(now) => (book.is_leaving(now, gateway.now_ms()), now.born_ms),
+      Some(now) => (book.is_leaving(now, gateway.now_ms()), now.started_ms),
       None => return Survival::Unknown,
     }
   };
   if is_leaving {
     return Survival::Unknown;
   }
-  if born_ms != entry.born_ms {
+  if started_ms != entry.started_ms {
     return Survival::Ended;
   }
   probe(entry.address).await
--- a/src/gateway/quarantine/mod.rs
+++ b/src/gateway/quarantine/mod.rs
@@ -1,7 +1,7 @@
 //! Requests that end the endpoints that run them: what was seen, what is shared with other boxes, and who may be sent.
 //!
-//! Imports the folders up to `parts`. What is decided stands in `decisions::quarantine_book`; the last look before each send is
-//! in `parts`.
+//! Imports the folders up to `stages`. What is decided stands in `decisions::quarantine_book`; the last look before each send is
+//! in `stages`.
 
 mod endpoint_end;
 mod messages;
--- a/src/gateway/quarantine/sharing.rs
+++ b/src/gateway/quarantine/sharing.rs
@@ -7,7 +7,7 @@
   crate::{
     gateway::{
       decisions::{QuarantineKey, retry_pause_ms},
-      edge::{MOST_CHANGED_KEYS, Store, StoreError},
+      edge::{MAX_CHANGED_KEYS, Store, StoreError},
       state::{Gateway, MarkOrigin, TrialClaim},
     },
     ids::Name,
@@ -96,7 +96,7 @@
   async fn write_marks(&self) -> bool {
     let keys = {
       let unwritten = self.gateway.quarantine.unwritten.borrow();
-      let keys = unwritten.keys().take(MOST_CHANGED_KEYS);
+      let keys = unwritten.keys().take(MAX_CHANGED_KEYS);
       keys.copied().collect::<Vec<_>>()
     };
     if keys.is_empty() {
@@ -126,7 +126,7 @@
   async fn remove_marks(&self) -> bool {
     let keys = {
       let unremoved = self.gateway.quarantine.unremoved.borrow();
-      let keys = unremoved.iter().take(MOST_CHANGED_KEYS);
+      let keys = unremoved.iter().take(MAX_CHANGED_KEYS);
       keys.copied().collect::<Vec<_>>()
     };
     if keys.is_empty() {
--- a/src/gateway/quarantine/vetting.rs
+++ b/src/gateway/quarantine/vetting.rs
@@ -3,7 +3,7 @@
 use {
   crate::gateway::{
     decisions::{Fingerprint, QuarantineKey, QuarantineMark, QuarantineVerdict, QuarantineWay},
-    parts::{RoutedRequest, Sending},
+    stages::{RoutedRequest, SendMode},
     state::{Gateway, MarkOrigin},
   },
   std::rc::Rc,
@@ -80,7 +80,7 @@
   let now_ms = gateway.now_ms();
   gateway.quarantine.book.borrow_mut().note(key, now_ms);
   if is_own {
-    request.sending.set(Sending::Trial(number));
+    request.send_mode.set(SendMode::Probe(number));
     log::info!(
       "E530 trial {number}: {} ({})",
       request.id(),
@@ -105,7 +105,7 @@
 
 /// A trial that no endpoint was sent is there for the next request.
 pub(crate) fn release_unsent(gateway: &Gateway, request: &RoutedRequest) {
-  if let Sending::Trial(number) = request.sending.get() {
+  if let SendMode::Probe(number) = request.send_mode.get() {
     let key = QuarantineKey {
       fingerprint: request.fingerprint(),
       mark: QuarantineMark::Trial(number),
--- a/src/gateway/requests/answer.rs
+++ b/src/gateway/requests/answer.rs
@@ -14,14 +14,14 @@
 /// The stream to the caller has to break: its end can't be delivered.
 #[derive(Debug, thiserror::Error)]
 #[error("the stream broke: {0}")]
-pub(crate) struct StreamBroke(pub(crate) String);
+pub(crate) struct StreamAborted(pub(crate) String);
 
 /// An answer's body.
-pub(crate) type AnswerBody = Pin<Box<dyn Body<Data = Bytes, Error = StreamBroke>>>;
+pub(crate) type ResponseBody = Pin<Box<dyn Body<Data = Bytes, Error = StreamAborted>>>;
 
 /// Why this box answers itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum OwnAnswer {
+pub(crate) enum LocalReply {
   /// The request can't be read.
   Malformed,
   /// The body is longer than allowed.
@@ -36,7 +36,7 @@
     retry_after_ms: u64,
   },
   /// The request is beyond its organisation's limit; when there may be room.
-  BeyondLimit {
+  OverLimit {
     /// Time until then; told like that of a request that has not run.
     retry_after_ms: u64,
   },
@@ -46,7 +46,7 @@
   TimedOut,
 }
 
-impl OwnAnswer {
+impl LocalReply {
   /// The status that a caller gets.
   pub(crate) fn status(self) -> StatusCode {
     match self {
@@ -55,7 +55,7 @@
       Self::Unauthorised => StatusCode::UNAUTHORIZED,
       Self::NoRoute => StatusCode::NOT_FOUND,
       Self::NotRun { .. } => StatusCode::SERVICE_UNAVAILABLE,
-      Self::BeyondLimit { .. } => StatusCode::TOO_MANY_REQUESTS,
+      Self::OverLimit { .. } => StatusCode::TOO_MANY_REQUESTS,
       Self::Unknown => StatusCode::BAD_GATEWAY,
       Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
     }
@@ -67,11 +67,11 @@
   }
 
   /// The whole answer: an empty body, and when to come back where the request has not run.
-  pub(crate) fn response(self) -> Response<AnswerBody> {
-    let mut response = Response::new(whole_body(Bytes::new()));
+  pub(crate) fn response(self) -> Response<ResponseBody> {
+    let mut response = Response::new(full_body(Bytes::new()));
     *response.status_mut() = self.status();
     let headers = response.headers_mut();
-    if let Self::NotRun { retry_after_ms } | Self::BeyondLimit { retry_after_ms } = self {
+    if let Self::NotRun { retry_after_ms } | Self::OverLimit { retry_after_ms } = self {
       let seconds = format!("{:.3}", retry_after_ms as f64 / 1_000.0);
       if let Ok(value) = HeaderValue::from_str(&seconds) {
         headers.insert(RETRY_AFTER, value);
@@ -88,16 +88,16 @@
 }
 
 /// A body that is there as a whole.
-pub(crate) fn whole_body(bytes: Bytes) -> AnswerBody {
+pub(crate) fn full_body(bytes: Bytes) -> ResponseBody {
   Box::pin(Full::new(bytes).map_err(|never| match never {}))
 }
 
 /// An endpoint's answer, passed on.
-pub(crate) fn passed_on(
+pub(crate) fn forward_response(
   status: StatusCode,
   headers: HeaderMap,
-  body: AnswerBody,
-) -> Response<AnswerBody> {
+  body: ResponseBody,
+) -> Response<ResponseBody> {
   let mut response = Response::new(body);
   *response.status_mut() = status;
   *response.headers_mut() = headers;
--- a/src/gateway/requests/caller_identity.rs
+++ b/src/gateway/requests/caller_identity.rs
@@ -1,7 +1,7 @@
 //! Whose request it is, by its key.
 
 use {
-  super::answer::OwnAnswer,
+  super::answer::LocalReply,
   crate::{
     bearer_key::BearerKey,
     gateway::{
@@ -21,7 +21,7 @@
   table: &RouteTable,
   route: &Route,
   headers: &mut HeaderMap,
-) -> Result<Option<Rc<Organisation>>, OwnAnswer> {
+) -> Result<Option<Rc<Organisation>>, LocalReply> {
   let Some(organisations) = table.organisations() else {
     return Ok(None);
   };
@@ -47,7 +47,7 @@
   key: BearerKey,
 ) -> Result<Option<Rc<Organisation>>, Refusal> {
   match key {
-    BearerKey::Absent if route.is_open => Ok(None),
+    BearerKey::Absent if route.allows_anonymous => Ok(None),
     BearerKey::Absent | BearerKey::Unreadable => Err(Refusal::NoKey),
     BearerKey::Several => Err(Refusal::SeveralKeys),
     BearerKey::Given(key) => match organisations.holder(key) {
@@ -58,7 +58,7 @@
 }
 
 /// The answer to a request of nobody. A box that has not heard of changes for a while does not know that a key is wrong.
-fn refuse(gateway: &Gateway, table: &RouteTable, route: &Route, refusal: Refusal) -> OwnAnswer {
+fn refuse(gateway: &Gateway, table: &RouteTable, route: &Route, refusal: Refusal) -> LocalReply {
   let current = gateway.is_current();
   log::info!(
     "E607 caller refused: {refusal:?} on route {} in configuration {}, current {current}",
@@ -66,10 +66,10 @@
     table.version()
   );
   match refusal {
-    Refusal::SeveralKeys => OwnAnswer::Malformed,
-    Refusal::UnknownKey if !current => OwnAnswer::NotRun {
+    Refusal::SeveralKeys => LocalReply::Malformed,
+    Refusal::UnknownKey if !current => LocalReply::NotRun {
       retry_after_ms: RETRY_AFTER_NO_CONFIGURATION_MS,
     },
-    Refusal::NoKey | Refusal::UnknownKey => OwnAnswer::Unauthorised,
+    Refusal::NoKey | Refusal::UnknownKey => LocalReply::Unauthorised,
   }
 }
--- a/src/gateway/requests/event_cutter.rs
+++ b/src/gateway/requests/event_cutter.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 
 /// The most bytes that one event may have.
-const MOST_EVENT_BYTES: usize = 1024 * 1024;
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 /// The blank line that ends an event.
 const EVENT_END: &[u8] = b"\n\n";
 
@@ -56,7 +56,7 @@
 
   /// Whether the part of an event is longer than any event may be.
   pub fn is_overlong(&self) -> bool {
-    self.rest.len() > MOST_EVENT_BYTES
+    self.rest.len() > MAX_EVENT_BYTES
   }
 
   /// Takes the part that is left.
--- a/src/gateway/requests/event_source.rs
+++ b/src/gateway/requests/event_source.rs
@@ -2,15 +2,15 @@
 
 use {
   super::{
-    answer::{AnswerBody, StreamBroke},
+    answer::{ResponseBody, StreamAborted},
     event_cutter::EventCutter,
     stream_request::StreamRequest,
     stream_send::SILENCE_MS,
   },
   crate::gateway::{
     decisions::PartEnd,
-    parts::{Head, PartError, RoutedRequest},
     quarantine::{LostPart, note_lost, note_whole},
+    stages::{ResponseHead, RoutedRequest, StageError},
     state::InFlight,
   },
   bytes::Bytes,
@@ -24,7 +24,7 @@
 /// Where the caller's events come from, over all engines that write the answer.
 pub(crate) struct EventSource {
   stream: StreamRequest,
-  head: Option<Head>,
+  head: Option<ResponseHead>,
   cutter: EventCutter,
   ended: bool,
   first_event_noted: bool,
@@ -37,7 +37,7 @@
 }
 
 impl EventSource {
-  pub(crate) fn new(stream: StreamRequest, head: Head, in_flight: InFlight) -> Self {
+  pub(crate) fn new(stream: StreamRequest, head: ResponseHead, in_flight: InFlight) -> Self {
     Self {
       cutter: EventCutter::default(),
       ended: false,
@@ -51,7 +51,7 @@
   }
 
   /// The body that the caller gets.
-  pub(crate) fn into_body(self) -> AnswerBody {
+  pub(crate) fn into_body(self) -> ResponseBody {
     let events = stream::unfold(self, |mut source| async move {
       let item = source.next().await?;
       Some((item.map(Frame::data), source))
@@ -60,7 +60,7 @@
   }
 
   /// The next bytes for the caller; nothing after the whole stream.
-  async fn next(&mut self) -> Option<Result<Bytes, StreamBroke>> {
+  async fn next(&mut self) -> Option<Result<Bytes, StreamAborted>> {
     loop {
       if self.ended {
         return None;
@@ -111,26 +111,29 @@
     let Some(head) = &mut self.head else {
       return Err("no endpoint".into());
     };
-    let left_ms = self.stream.request.left_ms(self.stream.gateway.now_ms());
-    let limit_ms = if self.stream.may_repeat() {
-      left_ms.min(SILENCE_MS)
+    let remaining_ms = self
+      .stream
+      .request
+      .remaining_ms(self.stream.gateway.now_ms());
+    let limit_ms = if self.stream.may_retry() {
+      remaining_ms.min(SILENCE_MS)
     } else {
-      left_ms
+      remaining_ms
     };
     let Ok(frame) = timeout(Duration::from_millis(limit_ms), head.body.frame()).await else {
-      return self.silent(limit_ms, left_ms).await;
+      return self.silent(limit_ms, remaining_ms).await;
     };
     self.take(frame)
   }
 
   /// The endpoint has been silent. It is given up once another one has a seat, or when the time is over.
-  async fn silent(&mut self, silent_ms: u64, left_ms: u64) -> Result<bool, String> {
+  async fn silent(&mut self, silent_ms: u64, remaining_ms: u64) -> Result<bool, String> {
     let Some(head) = &mut self.head else {
       return Err("no endpoint".into());
     };
     self.stream.gateway.overdue(&head.connection.endpoint);
     let silent = format!("silent for {silent_ms} ms");
-    if silent_ms >= left_ms {
+    if silent_ms >= remaining_ms {
       return Err(silent);
     }
     if !self.stream.prepare_takeover().await {
@@ -162,11 +165,11 @@
   }
 
   fn is_framed(&self) -> bool {
-    self.head.as_ref().is_some_and(Head::is_framed)
+    self.head.as_ref().is_some_and(ResponseHead::is_framed)
   }
 
   /// The stream is whole: the last bytes, if any are left.
-  fn finish(&mut self) -> Option<Result<Bytes, StreamBroke>> {
+  fn finish(&mut self) -> Option<Result<Bytes, StreamAborted>> {
     self.ended = true;
     let gateway = self.stream.gateway.clone();
     log::info!(
@@ -181,7 +184,7 @@
     let took_ms = gateway.now_ms() - self.stream.request.arrived_ms;
     gateway.seat_forecast.borrow_mut().note_stream(took_ms);
     if let Some(mut head) = self.head.take() {
-      head.booking.answered();
+      head.load_guard.answered();
       gateway.rest(head.connection, &head.raw_headers);
     }
     let rest = self.cutter.take_rest();
@@ -197,7 +200,7 @@
       self.stream.last_event_id
     );
     if let Some(mut head) = self.head.take() {
-      head.booking.settle(PartEnd::Lost);
+      head.load_guard.settle(PartEnd::Lost);
       let lost = LostPart {
         entry: head.entry.clone(),
         error: error.clone(),
@@ -208,11 +211,11 @@
       self.stream.wrote_it = Some(head.connection.endpoint.clone());
     }
     self.cutter = EventCutter::default();
-    let left_ms = request.left_ms(self.stream.gateway.now_ms());
-    if left_ms == 0 || !self.stream.may_try_again(&PartError::Lost(String::new())) {
+    let remaining_ms = request.remaining_ms(self.stream.gateway.now_ms());
+    if remaining_ms == 0 || !self.stream.may_try_again(&StageError::Lost(String::new())) {
       return Err(error);
     }
-    match timeout(Duration::from_millis(left_ms), self.stream.begin()).await {
+    match timeout(Duration::from_millis(remaining_ms), self.stream.begin()).await {
       Ok(Ok(head)) => {
         self.stream.gateway.counters.resumed.inc();
         self.head = Some(head);
@@ -224,14 +227,14 @@
   }
 
   /// Ends the stream so that the caller sees that its end is missing.
-  fn break_off(&mut self, error: String) -> StreamBroke {
+  fn break_off(&mut self, error: String) -> StreamAborted {
     self.ended = true;
     self.stream.gateway.counters.broken_streams.inc();
     log::info!(
       "E507 stream broken off: {}: {error}",
       self.stream.request.id()
     );
-    StreamBroke(error)
+    StreamAborted(error)
   }
 }
 
--- a/src/gateway/requests/front.rs
+++ b/src/gateway/requests/front.rs
@@ -2,7 +2,7 @@
 
 use {
   super::{
-    answer::{AnswerBody, OwnAnswer},
+    answer::{LocalReply, ResponseBody},
     caller_identity::identify,
     plain::answer_plain,
     stream::answer_stream,
@@ -12,9 +12,9 @@
     decisions::{AllowedHalls, RETRY_AFTER_LEAVING_MS, RETRY_AFTER_NO_CONFIGURATION_MS},
     edge::{RouteKind, RouteTable},
     limits::{Beyond, Charge, admit},
-    parts::RoutedRequest,
     quarantine::{Held, release_unsent, vet},
-    settings::EngineMarks,
+    settings::EnginePriority,
+    stages::RoutedRequest,
     state::{Gateway, InFlight, Phase},
   },
   bytes::Bytes,
@@ -49,7 +49,7 @@
 const LEAST_BUFFER_BYTES: usize = 8 * 1024;
 
 /// What a request is told while the configuration that it needs has not come.
-const NO_CONFIGURATION: OwnAnswer = OwnAnswer::NotRun {
+const NO_CONFIGURATION: LocalReply = LocalReply::NotRun {
   retry_after_ms: RETRY_AFTER_NO_CONFIGURATION_MS,
 };
 
@@ -105,7 +105,7 @@
 async fn handle(
   gateway: Rc<Gateway>,
   request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
   let in_flight = InFlight::new(&gateway);
   gateway.counters.requests.inc();
   let arrived_ms = gateway.now_ms();
@@ -120,7 +120,7 @@
 }
 
 /// Counts an answer by its status.
-fn count(gateway: &Gateway, response: &Response<AnswerBody>, arrived_ms: u64) {
+fn count(gateway: &Gateway, response: &Response<ResponseBody>, arrived_ms: u64) {
   let counters = &gateway.counters;
   match response.status().as_u16() {
     200..300 => {
@@ -140,7 +140,7 @@
   gateway: Rc<Gateway>,
   request: Request<Incoming>,
   in_flight: InFlight,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
   match route(&gateway, request).await {
     Ok(request) => serve_routed(gateway, request, in_flight).await,
     Err(own) => own.response(),
@@ -152,9 +152,9 @@
   gateway: Rc<Gateway>,
   request: RoutedRequest,
   in_flight: InFlight,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
   if let Err(Held { retry_after_ms }) = vet(&gateway, &request).await {
-    return OwnAnswer::NotRun { retry_after_ms }.response();
+    return LocalReply::NotRun { retry_after_ms }.response();
   }
   let request = Rc::new(request);
   let response = serve_admitted(&gateway, &request, in_flight).await;
@@ -167,7 +167,7 @@
   gateway: &Rc<Gateway>,
   request: &Rc<RoutedRequest>,
   in_flight: InFlight,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
   match admit_request(gateway, request).await {
     Ok(charge) => {
       let response = answer(gateway.clone(), request.clone(), in_flight).await;
@@ -179,7 +179,7 @@
       }
       response
     }
-    Err(Beyond { retry_after_ms }) => OwnAnswer::BeyondLimit { retry_after_ms }.response(),
+    Err(Beyond { retry_after_ms }) => LocalReply::OverLimit { retry_after_ms }.response(),
   }
 }
 
@@ -189,7 +189,9 @@
   request: &RoutedRequest,
 ) -> Result<Option<Charge>, Beyond> {
   match &request.organisation {
-    Some(organisation) => admit(gateway, organisation, &request.facts).await.map(Some),
+    Some(organisation) => admit(gateway, organisation, &request.attributes)
+      .await
+      .map(Some),
     None => Ok(None),
   }
 }
@@ -199,45 +201,45 @@
   gateway: Rc<Gateway>,
   request: Rc<RoutedRequest>,
   in_flight: InFlight,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
   gateway.note_request(&request.service);
   match request.route.kind {
     // It would outlast the process.
     RouteKind::Stream { .. } if *gateway.phase.borrow() >= Phase::Closing => {
       log::info!("E605 refused: {} the box is about to stop", request.id());
-      OwnAnswer::NotRun {
+      LocalReply::NotRun {
         retry_after_ms: RETRY_AFTER_LEAVING_MS,
       }
       .response()
     }
     RouteKind::Stream { .. } => answer_stream(gateway, request, in_flight).await,
-    RouteKind::Repeatable | RouteKind::Unrepeatable => answer_plain(gateway, request).await,
+    RouteKind::Retryable | RouteKind::NonRetryable => answer_plain(gateway, request).await,
   }
 }
 
 /// Reads a request whole and finds its route.
-async fn route(gateway: &Gateway, request: Request<Incoming>) -> Result<RoutedRequest, OwnAnswer> {
+async fn route(gateway: &Gateway, request: Request<Incoming>) -> Result<RoutedRequest, LocalReply> {
   let arrived_ms = gateway.now_ms();
   let (mut head, body) = request.into_parts();
   let host = head
     .headers
     .get(HOST)
     .and_then(|host| host.to_str().ok())
-    .ok_or(OwnAnswer::Malformed)?;
+    .ok_or(LocalReply::Malformed)?;
   let table = gateway.table().ok_or(NO_CONFIGURATION)?;
   let route = table
     .find(host, head.uri.path())
     .cloned()
     .ok_or_else(|| no_route(gateway, &table, host, head.uri.path()))?;
   let organisation = identify(gateway, &table, &route, &mut head.headers)?;
-  let mut facts = gateway.dialect.caller_facts(&head.headers);
+  let mut attributes = gateway.codec.caller_attributes(&head.headers);
   if !gateway.settings.mechanisms.seat_by_estimate {
-    facts.answer_estimate = None;
+    attributes.answer_estimate = None;
   }
   let ends_ms = gateway.ends_ms.get().unwrap_or(u64::MAX);
   let timeout_ms = route
     .timeout_ms
-    .min(facts.deadline_ms.unwrap_or(u64::MAX))
+    .min(attributes.deadline_ms.unwrap_or(u64::MAX))
     .min(ends_ms.saturating_sub(arrived_ms));
   let body = read_body(body, table.limits().body_bytes, timeout_ms).await?;
   let service = route
@@ -246,58 +248,58 @@
     .ok_or(NO_CONFIGURATION)?;
   let mut rank = gateway
     .policy
-    .rank(&route, &service, &facts, organisation.as_deref());
-  if gateway.settings.engines.marks == EngineMarks::Organisation {
-    rank.mark = rank.priority;
+    .rank(&route, &service, &attributes, organisation.as_deref());
+  if gateway.settings.engines.engine_priority == EnginePriority::Organisation {
+    rank.engine_priority = rank.priority;
   }
   let homes = [
-    route.homes.as_ref(),
+    route.allowed_regions.as_ref(),
     organisation
       .as_ref()
-      .and_then(|organisation| organisation.homes.as_ref()),
+      .and_then(|organisation| organisation.allowed_regions.as_ref()),
   ];
   let allowed_halls = AllowedHalls::of(&gateway.settings.regions, homes);
   let mut headers = head.headers;
   remove_connection_headers(&mut headers);
-  gateway.dialect.remove_reserved(&mut headers);
+  gateway.codec.remove_reserved(&mut headers);
   Ok(RoutedRequest {
     allowed_halls,
     arrived_ms,
     body,
-    facts,
+    attributes,
     fingerprint: OnceCell::new(),
     headers,
     method: head.method,
     organisation,
     rank,
     route,
-    sending: Cell::default(),
+    send_mode: Cell::default(),
     service,
-    until_ms: arrived_ms + timeout_ms,
+    deadline_ms: arrived_ms + timeout_ms,
     uri: head.uri,
   })
 }
 
 /// The answer to a request without a route: a newer configuration that has not come may have one.
-fn no_route(gateway: &Gateway, table: &RouteTable, host: &str, path: &str) -> OwnAnswer {
+fn no_route(gateway: &Gateway, table: &RouteTable, host: &str, path: &str) -> LocalReply {
   let current = gateway.is_current();
   log::info!(
     "E602 no route: {host}{path} in configuration {}, current {current}",
     table.version()
   );
   if current {
-    OwnAnswer::NoRoute
+    LocalReply::NoRoute
   } else {
     NO_CONFIGURATION
   }
 }
 
 /// Reads a body within bounds on its length and time.
-async fn read_body(body: Incoming, most_bytes: usize, limit_ms: u64) -> Result<Bytes, OwnAnswer> {
+async fn read_body(body: Incoming, most_bytes: usize, limit_ms: u64) -> Result<Bytes, LocalReply> {
   let read = Limited::new(body, most_bytes).collect();
   match timeout(Duration::from_millis(limit_ms), read).await {
     Ok(Ok(body)) => Ok(body.to_bytes()),
-    Ok(Err(error)) if error.is::<LengthLimitError>() => Err(OwnAnswer::TooLong),
-    Ok(Err(_)) | Err(_) => Err(OwnAnswer::Malformed),
+    Ok(Err(error)) if error.is::<LengthLimitError>() => Err(LocalReply::TooLong),
+    Ok(Err(_)) | Err(_) => Err(LocalReply::Malformed),
   }
 }
--- a/src/gateway/requests/mod.rs
+++ b/src/gateway/requests/mod.rs
@@ -2,7 +2,7 @@
 //! takes a `seat`, has its `prompt` read, and is sent (`stream_request`, `stream_send`); `event_source` passes the events on
 //! and has another engine go on after a break.
 //!
-//! Imports `parts` and what lies below it. A request comes in at [`accept_callers`] and leaves as an `answer`.
+//! Imports `stages` and what lies below it. A request comes in at [`accept_callers`] and leaves as an `answer`.
 
 mod answer;
 mod caller_identity;
--- a/src/gateway/requests/plain.rs
+++ b/src/gateway/requests/plain.rs
@@ -1,13 +1,13 @@
 //! A request that is answered whole: one endpoint after another, as far as its route and the budget allow.
 
 use {
-  super::answer::{AnswerBody, OwnAnswer, passed_on, whole_body},
+  super::answer::{LocalReply, ResponseBody, forward_response, full_body},
   crate::{
     gateway::{
       decisions::{RETRY_AFTER_FULL_MS, RETRY_AFTER_NO_ENDPOINT_MS, Wanted},
-      edge::{EndpointEntry, Marks, Part},
-      parts::{OutgoingPart, PartError, RoutedRequest, WholeAnswer, send_part},
+      edge::{EndpointEntry, ProxyHeaders, Stage},
       quarantine::{LostPart, note_lost, note_whole},
+      stages::{BufferedResponse, OutgoingStage, RoutedRequest, StageError, send_stage},
       state::Gateway,
     },
     ids::Name,
@@ -22,9 +22,9 @@
 const HEDGE_SHARE: f64 = 0.6;
 
 /// Endpoints that may turn out not to be reachable before a request is refused.
-const MOST_UNSENT: u32 = 4;
+const MAX_UNSENT: u32 = 4;
 
-type Try = LocalBoxFuture<'static, (Name, Result<WholeAnswer, PartError>)>;
+type Try = LocalBoxFuture<'static, (Name, Result<BufferedResponse, StageError>)>;
 
 /// How a request that is answered whole stands.
 struct PlainRequest {
@@ -41,7 +41,7 @@
   /// The endpoints that have not answered yet.
   awaited: Vec<Name>,
   /// An endpoint's own failure, passed on when nothing better comes.
-  failure: Option<WholeAnswer>,
+  failure: Option<BufferedResponse>,
   /// Whether a lost endpoint may have run it.
   perhaps_run: bool,
 }
@@ -50,7 +50,7 @@
 pub(crate) async fn answer_plain(
   gateway: Rc<Gateway>,
   request: Rc<RoutedRequest>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
   let mut plain = PlainRequest {
     awaited: Vec::new(),
     failure: None,
@@ -71,12 +71,13 @@
 
 impl PlainRequest {
   /// Waits for an answer, the deadline, or the time to send the request to a second endpoint too.
-  async fn run(mut self) -> Response<AnswerBody> {
+  async fn run(mut self) -> Response<ResponseBody> {
     let now_ms = self.gateway.now_ms();
-    let mut deadline = sleep(Duration::from_millis(self.request.left_ms(now_ms))).boxed_local();
+    let mut deadline =
+      sleep(Duration::from_millis(self.request.remaining_ms(now_ms))).boxed_local();
     let hedge_ms = (self.request.route.target_ms as f64 * HEDGE_SHARE) as u64;
     let mut hedge = sleep(Duration::from_millis(hedge_ms)).boxed_local();
-    let mut may_hedge = self.request.route.kind.may_repeat();
+    let mut may_hedge = self.request.route.kind.may_retry();
     loop {
       tokio::select! {
         biased;
@@ -102,8 +103,8 @@
   fn judge(
     &mut self,
     endpoint: &Name,
-    result: Result<WholeAnswer, PartError>,
-  ) -> Option<Response<AnswerBody>> {
+    result: Result<BufferedResponse, StageError>,
+  ) -> Option<Response<ResponseBody>> {
     match result {
       Ok(answer) if !answer.status.is_server_error() => {
         log::info!(
@@ -153,8 +154,8 @@
     let may_have_run = self.perhaps_run || !self.running.is_empty();
     let attempts = self.tried.len() as u32 - self.unsent;
     let route = &self.request.route;
-    let allowed = !self.request.is_barred(&self.gateway)
-      && (!may_have_run || (route.kind.may_repeat() && attempts < route.most_attempts));
+    let allowed = !self.request.is_blocked(&self.gateway)
+      && (!may_have_run || (route.kind.may_retry() && attempts < route.max_attempts));
     if !allowed {
       return false;
     }
@@ -172,7 +173,7 @@
 
   /// Sends what an endpoint never saw to another one. Where there is none, a repeat that was taken for it goes back.
   fn go_elsewhere(&mut self) {
-    let may_start = self.unsent - self.without_permit < MOST_UNSENT;
+    let may_start = self.unsent - self.without_permit < MAX_UNSENT;
     if may_start && self.start() {
       return;
     }
@@ -190,7 +191,7 @@
 
   /// Sends the request to the best endpoint not tried yet; `false` when there is none.
   fn start(&mut self) -> bool {
-    if self.request.is_barred(&self.gateway) {
+    if self.request.is_blocked(&self.gateway) {
       return false;
     }
     let Some(entry) = self.choose() else {
@@ -205,7 +206,7 @@
     let choice = self.gateway.choose(Wanted {
       allowed_halls: &self.request.allowed_halls,
       hall: self.gateway.preferred_hall(),
-      may_repeat: self.request.route.kind.may_repeat(),
+      may_retry: self.request.route.kind.may_retry(),
       role: None,
       service: &self.request.service,
       size: 1,
@@ -218,13 +219,15 @@
     let gateway = &self.gateway;
     self.tried.push(entry.id.clone());
     self.awaited.push(entry.id.clone());
-    let marks = self.request.marks(&entry, Part::Whole, gateway.now_ms());
-    let asking = ask_endpoint(gateway.clone(), self.request.clone(), entry, marks);
+    let proxy_headers = self
+      .request
+      .proxy_headers(&entry, Stage::Full, gateway.now_ms());
+    let asking = ask_endpoint(gateway.clone(), self.request.clone(), entry, proxy_headers);
     self.running.push(asking.boxed_local());
   }
 
   /// The answer when no further endpoint may be asked.
-  fn give_up(self) -> Response<AnswerBody> {
+  fn give_up(self) -> Response<ResponseBody> {
     if let Some(answer) = self.failure {
       log::info!(
         "E508 answered: {} with status {}, {} ms after arrival, tried {}",
@@ -236,13 +239,13 @@
       return pass_on(answer);
     }
     if self.perhaps_run {
-      return OwnAnswer::Unknown.response();
+      return LocalReply::Unknown.response();
     }
     self.refuse(RETRY_AFTER_FULL_MS)
   }
 
   /// Tells the caller at once that it has not run, and when to come back.
-  fn refuse(&self, otherwise_ms: u64) -> Response<AnswerBody> {
+  fn refuse(&self, otherwise_ms: u64) -> Response<ResponseBody> {
     let service = &self.request.service;
     let retry_after_ms = self.gateway.retry_after_ms(service, otherwise_ms);
     log::info!(
@@ -251,18 +254,18 @@
       self.tried.len(),
       self.gateway.count_endpoints(service)
     );
-    OwnAnswer::NotRun { retry_after_ms }.response()
+    LocalReply::NotRun { retry_after_ms }.response()
   }
 
   /// The answer at the deadline.
-  fn time_out(self) -> Response<AnswerBody> {
+  fn time_out(self) -> Response<ResponseBody> {
     for endpoint in &self.awaited {
       self.gateway.overdue(endpoint);
     }
     log::info!("E503 timed out: {} at {:?}", self.request.id(), self.tried);
     match self.failure {
       Some(answer) => pass_on(answer),
-      None => OwnAnswer::TimedOut.response(),
+      None => LocalReply::TimedOut.response(),
     }
   }
 }
@@ -271,12 +274,12 @@
   gateway: Rc<Gateway>,
   request: Rc<RoutedRequest>,
   entry: EndpointEntry,
-  marks: Marks,
-) -> (Name, Result<WholeAnswer, PartError>) {
+  proxy_headers: ProxyHeaders,
+) -> (Name, Result<BufferedResponse, StageError>) {
   let sent_ms = gateway.now_ms();
-  let answer = whole_answer(&gateway, &request, &entry, &marks).await;
+  let answer = whole_answer(&gateway, &request, &entry, &proxy_headers).await;
   let id = entry.id.clone();
-  if let Err(PartError::Lost(error)) = &answer {
+  if let Err(StageError::Lost(error)) = &answer {
     let error = error.clone();
     let lost = LostPart {
       entry,
@@ -293,17 +296,22 @@
   gateway: &Rc<Gateway>,
   request: &RoutedRequest,
   entry: &EndpointEntry,
-  marks: &Marks,
-) -> Result<WholeAnswer, PartError> {
-  let head = send_part(gateway, request, OutgoingPart::new(entry, marks, 1, 1)).await?;
-  let has_receipt = head.facts.has_receipt;
-  let answer = head.whole(gateway).await?;
+  proxy_headers: &ProxyHeaders,
+) -> Result<BufferedResponse, StageError> {
+  let head = send_stage(
+    gateway,
+    request,
+    OutgoingStage::new(entry, proxy_headers, 1, 1),
+  )
+  .await?;
+  let has_receipt = head.attributes.has_receipt;
+  let answer = head.buffer(gateway).await?;
   if answer.status.is_success() && !has_receipt {
-    return Err(PartError::Lost("success without a receipt".into()));
+    return Err(StageError::Lost("success without a receipt".into()));
   }
   Ok(answer)
 }
 
-fn pass_on(answer: WholeAnswer) -> Response<AnswerBody> {
-  passed_on(answer.status, answer.headers, whole_body(answer.body))
+fn pass_on(answer: BufferedResponse) -> Response<ResponseBody> {
+  forward_response(answer.status, answer.headers, full_body(answer.body))
 }
--- a/src/gateway/requests/prompt.rs
+++ b/src/gateway/requests/prompt.rs
@@ -5,9 +5,9 @@
     decide::Role,
     gateway::{
       decisions::{Choice, Wanted},
-      edge::{EndpointEntry, Part},
-      parts::{KeptExport, OutgoingPart, PartError, RoutedRequest, send_part},
+      edge::{EndpointEntry, Stage},
       quarantine::{LostPart, note_lost, note_whole},
+      stages::{ExportGuard, OutgoingStage, RoutedRequest, StageError, send_stage},
       state::Gateway,
     },
     ids::Name,
@@ -24,12 +24,12 @@
 /// write the answers. docs/design/platform.md has the shares that were tried.
 const READING_SHARE: f64 = 0.7;
 /// Engines that may turn out not to be reachable.
-const MOST_UNREACHABLE: usize = 3;
+const MAX_UNREACHABLE: usize = 3;
 
 /// What became of a prompt.
 pub(crate) struct PromptReading {
   /// The prompt as an engine keeps it; nothing when the engine that writes the answer has to read it.
-  pub(crate) export: Option<KeptExport>,
+  pub(crate) export: Option<ExportGuard>,
   /// Whether an engine was reached.
   pub(crate) arrived: bool,
 }
@@ -50,18 +50,18 @@
   hall: &str,
 ) -> PromptReading {
   // Engines that write answers read it themselves, and may survive it.
-  if request.is_reading_barred(gateway) {
+  if request.is_prefill_blocked(gateway) {
     return PromptReading::unread(false);
   }
   let mut tried = Vec::new();
-  for _ in 0..MOST_UNREACHABLE {
+  for _ in 0..MAX_UNREACHABLE {
     let choice = gateway.choose(Wanted {
       allowed_halls: &request.allowed_halls,
       hall,
-      may_repeat: true,
+      may_retry: true,
       role: Some(Role::Prefill),
       service: &request.service,
-      size: request.facts.prompt_tokens.max(1),
+      size: request.attributes.prompt_tokens.max(1),
       tried: &tried,
     });
     let Some(choice) = choice else { break };
@@ -72,11 +72,11 @@
     let sent_ms = gateway.now_ms();
     match read_at(gateway, request, &entry, choice.ahead).await {
       Ok(handle) => {
-        note_whole(gateway, request, RoutedRequest::reading_fingerprint);
+        note_whole(gateway, request, RoutedRequest::prefill_fingerprint);
         let ttl_ms = export_ttl_ms(gateway, request);
         return PromptReading {
           arrived: true,
-          export: Some(KeptExport::new(gateway, &entry, handle, ttl_ms)),
+          export: Some(ExportGuard::new(gateway, &entry, handle, ttl_ms)),
         };
       }
       Err(error) => {
@@ -85,12 +85,12 @@
           request.id(),
           entry.id
         );
-        if let PartError::Lost(error) = &error {
+        if let StageError::Lost(error) = &error {
           let error = format!("prompt not read: {error}");
           let lost = LostPart {
             entry: entry.clone(),
             error,
-            fingerprint: request.reading_fingerprint(),
+            fingerprint: request.prefill_fingerprint(),
             sent_ms,
           };
           note_lost(gateway, request, lost).await;
@@ -130,28 +130,28 @@
   request: &Rc<RoutedRequest>,
   entry: &EndpointEntry,
   tokens_ahead: u64,
-) -> Result<Name, PartError> {
-  let tokens = request.facts.prompt_tokens.max(1);
-  let marks = request.marks(entry, Part::ReadPrompt, gateway.now_ms());
+) -> Result<Name, StageError> {
+  let tokens = request.attributes.prompt_tokens.max(1);
+  let proxy_headers = request.proxy_headers(entry, Stage::Prefill, gateway.now_ms());
   let work = tokens_ahead + tokens;
   let limit_ms = READ_FLOOR_MS + READ_US_PER_TOKEN * work / 1_000;
   let reading = async {
-    let part = OutgoingPart::new(entry, &marks, tokens, work);
-    let head = send_part(gateway, request, part).await?;
-    head.whole(gateway).await
+    let part = OutgoingStage::new(entry, &proxy_headers, tokens, work);
+    let head = send_stage(gateway, request, part).await?;
+    head.buffer(gateway).await
   };
   let Ok(answer) = timeout(Duration::from_millis(limit_ms), reading).await else {
     gateway.overdue(&entry.id);
-    return Err(PartError::Lost(format!("no answer in {limit_ms} ms")));
+    return Err(StageError::Lost(format!("no answer in {limit_ms} ms")));
   };
   let answer = answer?;
   if !answer.status.is_success() {
-    return Err(PartError::Lost(format!("status {}", answer.status)));
+    return Err(StageError::Lost(format!("status {}", answer.status)));
   }
   gateway
-    .dialect
+    .codec
     .export_handle(&answer.body)
-    .map_err(|error| PartError::Lost(error.to_string()))
+    .map_err(|error| StageError::Lost(error.to_string()))
 }
 
 /// How long an engine of the request's service keeps a prompt; 0 when it is no service of engines.
--- a/src/gateway/requests/resume_seat.rs
+++ b/src/gateway/requests/resume_seat.rs
@@ -5,8 +5,8 @@
   crate::{
     decide::Role,
     gateway::{
-      edge::{EndpointEntry, PromptPart},
-      parts::{Purpose, Reservation, RoutedRequest, call_engine},
+      edge::{EndpointEntry, PromptSegment},
+      stages::{Purpose, Reservation, RoutedRequest, call_engine},
       state::Gateway,
     },
     ids::Name,
@@ -42,7 +42,7 @@
       continue;
     };
     if let Some(reservation) =
-      ask_seat(gateway, request, &entry, request.expected_answer_tokens()).await
+      ask_seat(gateway, request, &entry, request.expected_response_tokens()).await
     {
       log::info!("E521 prompt kept: {} goes on at {}", request.id(), entry.id);
       return Some((entry, reservation));
@@ -64,8 +64,8 @@
       kept.add(&engine.id, parts);
     }
   }
-  let least = (request.facts.prompt_tokens as f64 * LEAST_KEPT_SHARE) as u64;
-  let engines = kept.engines(&request.facts.prompt_parts);
+  let least = (request.attributes.prompt_tokens as f64 * LEAST_KEPT_SHARE) as u64;
+  let engines = kept.engines(&request.attributes.prompt_segments);
   log::info!("E523 kept: {} {:?}", request.id(), engines);
   engines
     .into_iter()
@@ -85,12 +85,12 @@
 }
 
 /// What one engine keeps; nothing when it does not say.
-async fn list_kept(gateway: &Rc<Gateway>, engine: &EndpointEntry) -> Vec<PromptPart> {
-  let call = gateway.dialect.list_kept();
+async fn list_kept(gateway: &Rc<Gateway>, engine: &EndpointEntry) -> Vec<PromptSegment> {
+  let call = gateway.codec.cached_prompts_call();
   let listed = match call_engine(gateway, engine, call, Purpose::Call).await {
     Ok(body) => gateway
-      .dialect
-      .kept_parts(&body)
+      .codec
+      .cached_segments(&body)
       .map_err(|error| error.to_string()),
     Err(error) => Err(error.to_string()),
   };
--- a/src/gateway/requests/seat.rs
+++ b/src/gateway/requests/seat.rs
@@ -6,8 +6,8 @@
     gateway::{
       decisions::{PartEnd, SeatPlace, SeatUrgency, Wanted},
       edge::EndpointEntry,
-      parts::{Booking, CallFailure, Purpose, Reservation, RoutedRequest, call_engine},
       permits::{Permit, return_permit, take_permit},
+      stages::{EngineCallError, LoadGuard, Purpose, Reservation, RoutedRequest, call_engine},
       state::Gateway,
     },
     ids::Name,
@@ -90,7 +90,7 @@
 
 /// How long a request looks for a seat.
 fn seat_wait(gateway: &Gateway, request: &RoutedRequest, tried: &[Name]) -> SeatWait {
-  if !tried.is_empty() || request.facts.last_event_id.is_some() {
+  if !tried.is_empty() || request.attributes.last_event_id.is_some() {
     return SeatWait {
       until_ms: gateway.now_ms() + GO_ON_WAIT_MS,
       urgency: SeatUrgency::GoesOn,
@@ -104,7 +104,7 @@
   let in_time_ms = target_ms - start_ms * START_MARGIN;
   let wait_ms = in_time_ms.max(target_ms * LEAST_WAIT_SHARE) as u64;
   SeatWait {
-    until_ms: (request.arrived_ms + wait_ms).min(request.until_ms),
+    until_ms: (request.arrived_ms + wait_ms).min(request.deadline_ms),
     urgency: SeatUrgency::Begins,
   }
 }
@@ -166,13 +166,13 @@
     let choice = gateway.choose(Wanted {
       allowed_halls: &request.allowed_halls,
       hall: gateway.preferred_hall(),
-      may_repeat: request.route.kind.may_repeat(),
+      may_retry: request.route.kind.may_retry(),
       role: Some(Role::Decode),
       service: &request.service,
-      size: request.tokens().max(1),
+      size: request.expected_tokens().max(1),
       tried,
     })?;
-    match ask_seat(gateway, request, &choice.entry, request.tokens()).await {
+    match ask_seat(gateway, request, &choice.entry, request.expected_tokens()).await {
       Some(reservation) => {
         queued.note_seat();
         return Some((choice.entry, reservation));
@@ -195,10 +195,10 @@
     Ok(permit) => permit,
     Err(_) => return None,
   };
-  let call = gateway.dialect.reserve(tokens, RESERVATION_MS);
-  let mut booking = Booking::new(gateway, &entry.id, request.tokens(), 1);
+  let call = gateway.codec.reservation_call(tokens, RESERVATION_MS);
+  let mut load_guard = LoadGuard::new(gateway, &entry.id, request.expected_tokens(), 1);
   match call_engine(gateway, entry, call, Purpose::Call).await {
-    Ok(body) => match gateway.dialect.reservation(&body) {
+    Ok(body) => match gateway.codec.reservation(&body) {
       Ok(id) => return Some(Reservation::new(gateway, entry, id, permit)),
       Err(error) => {
         log::warn!(
@@ -206,19 +206,19 @@
           request.id(),
           entry.id
         );
-        booking.settle(PartEnd::Lost);
+        load_guard.settle(PartEnd::Lost);
       }
     },
     Err(failure) => {
       // A refusal is usual: the engine is full.
-      if !matches!(failure, CallFailure::Refused(_)) {
+      if !matches!(failure, EngineCallError::Rejected(_)) {
         log::info!(
           "E511 reservation failed: {} at {}: {failure}",
           request.id(),
           entry.id
         );
       }
-      booking.settle(failure.part_end());
+      load_guard.settle(failure.outcome());
     }
   }
   // What gets a permit is a caller's request, and none was sent.
--- a/src/gateway/requests/stream.rs
+++ b/src/gateway/requests/stream.rs
@@ -2,13 +2,13 @@
 
 use {
   super::{
-    answer::{AnswerBody, OwnAnswer, passed_on, whole_body},
+    answer::{LocalReply, ResponseBody, forward_response, full_body},
     event_source::EventSource,
     stream_request::{NoStream, StreamRequest},
   },
   crate::gateway::{
     decisions::RETRY_AFTER_FULL_MS,
-    parts::RoutedRequest,
+    stages::RoutedRequest,
     state::{Gateway, InFlight},
   },
   http::Response,
@@ -21,14 +21,14 @@
   gateway: Rc<Gateway>,
   request: Rc<RoutedRequest>,
   in_flight: InFlight,
-) -> Response<AnswerBody> {
-  let left = Duration::from_millis(request.left_ms(gateway.now_ms()));
+) -> Response<ResponseBody> {
+  let left = Duration::from_millis(request.remaining_ms(gateway.now_ms()));
   let mut stream = StreamRequest::new(gateway.clone(), request.clone());
   match timeout(left, stream.begin()).await {
     Ok(Ok(head)) => {
       let headers = head.headers();
       let status = head.status;
-      passed_on(
+      forward_response(
         status,
         headers,
         EventSource::new(stream, head, in_flight).into_body(),
@@ -42,7 +42,7 @@
         "E503 timed out: {} before any endpoint ran it",
         request.id()
       );
-      OwnAnswer::NotRun {
+      LocalReply::NotRun {
         retry_after_ms: gateway
           .seat_forecast
           .borrow()
@@ -52,7 +52,7 @@
     }
     Err(_) => {
       log::info!("E503 timed out: {} at {:?}", request.id(), stream.tried());
-      OwnAnswer::TimedOut.response()
+      LocalReply::TimedOut.response()
     }
   }
 }
@@ -63,13 +63,13 @@
   request: &RoutedRequest,
   no_stream: NoStream,
   may_have_run: bool,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
   let own = match no_stream {
-    NoStream::Answered(head) => match head.whole(gateway).await {
-      Ok(answer) => return passed_on(answer.status, answer.headers, whole_body(answer.body)),
-      Err(_) => OwnAnswer::Unknown,
+    NoStream::Answered(head) => match head.buffer(gateway).await {
+      Ok(answer) => return forward_response(answer.status, answer.headers, full_body(answer.body)),
+      Err(_) => LocalReply::Unknown,
     },
-    _ if may_have_run => OwnAnswer::Unknown,
+    _ if may_have_run => LocalReply::Unknown,
     NoStream::Failed => not_run(gateway, request, RETRY_AFTER_FULL_MS),
     NoStream::NoSeat => {
       let forecast_ms = gateway
@@ -90,8 +90,8 @@
 }
 
 /// The request has not run; its caller may come back when the first pause ends where all endpoints pause.
-fn not_run(gateway: &Gateway, request: &RoutedRequest, otherwise_ms: u64) -> OwnAnswer {
-  OwnAnswer::NotRun {
+fn not_run(gateway: &Gateway, request: &RoutedRequest, otherwise_ms: u64) -> LocalReply {
+  LocalReply::NotRun {
     retry_after_ms: gateway.retry_after_ms(&request.service, otherwise_ms),
   }
 }
--- a/src/gateway/requests/stream_request.rs
+++ b/src/gateway/requests/stream_request.rs
@@ -6,7 +6,7 @@
     gateway::{
       decisions::{PartEnd, Wanted},
       edge::EndpointEntry,
-      parts::{Head, KeptExport, PartError, Reservation, RoutedRequest},
+      stages::{ExportGuard, Reservation, ResponseHead, RoutedRequest, StageError},
       state::Gateway,
     },
     ids::Name,
@@ -15,9 +15,9 @@
 };
 
 /// Endpoints that may turn out not to be reachable before a request is refused.
-const MOST_UNSENT: usize = 4;
+const MAX_UNSENT: usize = 4;
 /// Engines that may refuse a request before it is refused.
-const MOST_REFUSALS: u32 = 3;
+const MAX_REJECTIONS: u32 = 3;
 
 /// Why no endpoint streams.
 pub(crate) enum NoStream {
@@ -26,11 +26,11 @@
   /// It failed at the last endpoint that may be tried.
   Failed,
   /// An endpoint answered with something other than a stream.
-  Answered(Box<Head>),
+  Answered(Box<ResponseHead>),
 }
 
 /// What one try came to. The outer error says that there is no endpoint to try.
-type Attempt = Result<Result<Head, PartError>, NoStream>;
+type Attempt = Result<Result<ResponseHead, StageError>, NoStream>;
 
 /// One streamed request.
 pub(crate) struct StreamRequest {
@@ -49,7 +49,7 @@
   /// A seat that was found while another engine was silent.
   pub(super) seat: Option<(EndpointEntry, Reservation)>,
   /// The prompt as it was read, kept after a refusal.
-  pub(super) export: Option<KeptExport>,
+  pub(super) export: Option<ExportGuard>,
   /// The engine that refused that prompt.
   pub(super) refused_by: Option<Name>,
   /// Whether the engine that writes the answer is to read the prompt.
@@ -70,7 +70,7 @@
       export: None,
       gateway,
       looked_for_kept: false,
-      last_event_id: request.facts.last_event_id,
+      last_event_id: request.attributes.last_event_id,
       prompt_was_read: false,
       reads_itself: false,
       refusals: 0,
@@ -93,20 +93,22 @@
   }
 
   /// Whether another endpoint may be sent what may have run.
-  pub(crate) fn may_repeat(&self) -> bool {
-    self.request.route.kind.may_repeat()
+  pub(crate) fn may_retry(&self) -> bool {
+    self.request.route.kind.may_retry()
   }
 
   /// Sends the request until an endpoint streams, or no further one may be tried.
-  pub(crate) async fn begin(&mut self) -> Result<Head, NoStream> {
+  pub(crate) async fn begin(&mut self) -> Result<ResponseHead, NoStream> {
     loop {
       let error = match self.attempt().await? {
-        Ok(head) if head.status.is_success() && head.facts.has_receipt => return Ok(head),
-        Ok(head) if head.status.is_success() => PartError::Lost("success without a receipt".into()),
+        Ok(head) if head.status.is_success() && head.attributes.has_receipt => return Ok(head),
+        Ok(head) if head.status.is_success() => {
+          StageError::Lost("success without a receipt".into())
+        }
         Ok(mut head) if head.status.is_server_error() && self.has_attempts_left() => {
           self.gateway.counters.endpoint_failures.inc();
-          head.booking.settle(PartEnd::Failed);
-          PartError::Lost(format!("status {}", head.status))
+          head.load_guard.settle(PartEnd::Failed);
+          StageError::Lost(format!("status {}", head.status))
         }
         Ok(head) => return Err(NoStream::Answered(Box::new(head))),
         Err(error) => error,
@@ -118,21 +120,21 @@
   }
 
   pub(super) fn has_attempts_left(&self) -> bool {
-    self.may_repeat() && self.attempts < self.request.route.most_attempts
+    self.may_retry() && self.attempts < self.request.route.max_attempts
   }
 
   /// Whether the request may be sent once more after an error.
-  pub(crate) fn may_try_again(&self, error: &PartError) -> bool {
-    if self.request.is_barred(&self.gateway) {
+  pub(crate) fn may_try_again(&self, error: &StageError) -> bool {
+    if self.request.is_blocked(&self.gateway) {
       return false;
     }
     match error {
-      PartError::Barred => false,
-      PartError::Unreachable | PartError::Unsent(_) | PartError::Unavailable(_) => {
-        self.tried.len() < MOST_UNSENT
+      StageError::Blocked => false,
+      StageError::Unreachable | StageError::Unsent(_) | StageError::Unavailable(_) => {
+        self.tried.len() < MAX_UNSENT
       }
-      PartError::NotRun(_) => self.refusals < MOST_REFUSALS,
-      PartError::Lost(_) => self.has_attempts_left(),
+      StageError::NotRun(_) => self.refusals < MAX_REJECTIONS,
+      StageError::Lost(_) => self.has_attempts_left(),
     }
   }
 
@@ -162,10 +164,10 @@
     let choice = self.gateway.choose(Wanted {
       allowed_halls: &self.request.allowed_halls,
       hall: self.gateway.preferred_hall(),
-      may_repeat: self.may_repeat(),
+      may_retry: self.may_retry(),
       role: None,
       service: &self.request.service,
-      size: self.request.tokens().max(1),
+      size: self.request.expected_tokens().max(1),
       tried: &self.tried,
     });
     let entry = choice.ok_or(NoStream::NoSeat)?.entry;
@@ -223,9 +225,9 @@
   }
 
   /// The prompt for an engine in a hall; nothing when the engine that writes the answer is to read it.
-  async fn prompt(&mut self, hall: &str) -> Option<KeptExport> {
+  async fn prompt(&mut self, hall: &str) -> Option<ExportGuard> {
     // A trial reaches one endpoint, not two.
-    if self.reads_itself || self.request.is_trial() {
+    if self.reads_itself || self.request.is_probe() {
       return None;
     }
     match self.export.take() {
@@ -248,7 +250,7 @@
     &mut self,
     entry: &EndpointEntry,
     reservation: Option<Reservation>,
-    export: Option<KeptExport>,
+    export: Option<ExportGuard>,
   ) -> Attempt {
     if !self.may_arrive() {
       return Err(NoStream::Failed);
--- a/src/gateway/requests/stream_send.rs
+++ b/src/gateway/requests/stream_send.rs
@@ -4,10 +4,10 @@
 use {
   super::{seat::reserve_seat, stream_request::StreamRequest},
   crate::gateway::{
-    edge::{EndpointEntry, Marks, Part},
-    parts::{Head, KeptExport, OutgoingPart, PartError, Reservation, send_part},
+    edge::{EndpointEntry, ProxyHeaders, Stage},
     permits::Permit,
     quarantine::{LostPart, note_lost},
+    stages::{ExportGuard, OutgoingStage, Reservation, ResponseHead, StageError, send_stage},
   },
   futures_util::FutureExt,
   std::{pin::pin, time::Duration},
@@ -22,22 +22,24 @@
     &mut self,
     entry: &EndpointEntry,
     mut reservation: Option<Reservation>,
-    export: Option<KeptExport>,
-  ) -> Result<Head, PartError> {
+    export: Option<ExportGuard>,
+  ) -> Result<ResponseHead, StageError> {
     self.tried.push(entry.id.clone());
     // Counted before it is sent: the time may run out while no answer is known.
     self.attempts += 1;
-    let marks = self.marks(entry, reservation.as_ref(), export.as_ref());
+    let proxy_headers = self.proxy_headers(entry, reservation.as_ref(), export.as_ref());
     let sent_ms = self.gateway.now_ms();
     let permit = reservation
       .as_mut()
       .map_or(Permit::NotNeeded, Reservation::take_permit);
-    let result = self.send_within_silence(entry, &marks, permit).await;
+    let result = self
+      .send_within_silence(entry, &proxy_headers, permit)
+      .await;
     match &result {
       Ok(_) => self.note_answer(reservation, export),
       Err(error) => self.note_error(entry, error, export),
     }
-    if let Err(PartError::Lost(error)) = &result {
+    if let Err(StageError::Lost(error)) = &result {
       let lost = LostPart {
         entry: entry.clone(),
         error: error.clone(),
@@ -49,17 +51,19 @@
     result
   }
 
-  fn marks(
+  fn proxy_headers(
     &self,
     entry: &EndpointEntry,
     reservation: Option<&Reservation>,
-    export: Option<&KeptExport>,
-  ) -> Marks {
-    let part = export.map_or(Part::Whole, |kept| Part::AnswerFrom(kept.export.clone()));
-    Marks {
+    export: Option<&ExportGuard>,
+  ) -> ProxyHeaders {
+    let part = export.map_or(Stage::Full, |kept| Stage::DecodeFrom(kept.export.clone()));
+    ProxyHeaders {
       last_event_id: self.last_event_id,
       reservation: reservation.map(|reservation| reservation.id.clone()),
-      ..self.request.marks(entry, part, self.gateway.now_ms())
+      ..self
+        .request
+        .proxy_headers(entry, part, self.gateway.now_ms())
     }
   }
 
@@ -68,16 +72,16 @@
   async fn send_within_silence(
     &mut self,
     entry: &EndpointEntry,
-    marks: &Marks,
+    proxy_headers: &ProxyHeaders,
     permit: Permit,
-  ) -> Result<Head, PartError> {
+  ) -> Result<ResponseHead, StageError> {
     let (gateway, request) = (self.gateway.clone(), self.request.clone());
-    let size = request.tokens().max(1);
-    let part = OutgoingPart {
+    let size = request.expected_tokens().max(1);
+    let part = OutgoingStage {
       permit,
-      ..OutgoingPart::new(entry, marks, size, 1)
+      ..OutgoingStage::new(entry, proxy_headers, size, 1)
     };
-    let mut sending = pin!(send_part(&gateway, &request, part));
+    let mut sending = pin!(send_stage(&gateway, &request, part));
     loop {
       let silence = Duration::from_millis(SILENCE_MS);
       if let Ok(result) = timeout(silence, sending.as_mut()).await {
@@ -92,7 +96,7 @@
         self.cancel_takeover();
         return result;
       }
-      return Err(PartError::Lost("no answer in time".into()));
+      return Err(StageError::Lost("no answer in time".into()));
     }
   }
 
@@ -101,7 +105,7 @@
     if !self.gateway.settings.mechanisms.silence_takeover {
       return false;
     }
-    if self.request.is_barred(&self.gateway) {
+    if self.request.is_blocked(&self.gateway) {
       return false;
     }
     if !self.has_attempts_left() || !self.gateway.has_repeat_left(&self.request.service) {
@@ -120,7 +124,7 @@
   }
 
   /// An endpoint answered: it has used up the seat and the prompt.
-  fn note_answer(&mut self, reservation: Option<Reservation>, export: Option<KeptExport>) {
+  fn note_answer(&mut self, reservation: Option<Reservation>, export: Option<ExportGuard>) {
     if let Some(mut export) = export {
       export.set_used();
     }
@@ -130,7 +134,7 @@
     self.blame_for_refusal();
   }
 
-  fn note_error(&mut self, entry: &EndpointEntry, error: &PartError, export: Option<KeptExport>) {
+  fn note_error(&mut self, entry: &EndpointEntry, error: &StageError, export: Option<ExportGuard>) {
     if error.has_not_run() {
       self.attempts -= 1;
     }
@@ -140,13 +144,13 @@
       entry.id
     );
     match error {
-      PartError::NotRun(_) => self.note_refusal(entry, export),
+      StageError::NotRun(_) => self.note_refusal(entry, export),
       // No engine has fetched it.
-      PartError::Unreachable
-      | PartError::Unsent(_)
-      | PartError::Unavailable(_)
-      | PartError::Barred => self.export = export,
-      PartError::Lost(_) => {}
+      StageError::Unreachable
+      | StageError::Unsent(_)
+      | StageError::Unavailable(_)
+      | StageError::Blocked => self.export = export,
+      StageError::Lost(_) => {}
     }
   }
 
@@ -158,7 +162,7 @@
   }
 
   /// An engine with a seat refused: it, or the prompt that another engine keeps, may be at fault.
-  fn note_refusal(&mut self, entry: &EndpointEntry, export: Option<KeptExport>) {
+  fn note_refusal(&mut self, entry: &EndpointEntry, export: Option<ExportGuard>) {
     self.refusals += 1;
     match (export, self.refused_by.take()) {
       (None, _) => self.gateway.blame(&entry.id),
--- a/src/gateway/roles/role_steward.rs
+++ b/src/gateway/roles/role_steward.rs
@@ -6,7 +6,7 @@
     gateway::{
       decisions::{RecentEngines, Surplus, staying_engines, surplus, with_role},
       edge::{EndpointEntry, EngineReport, RoleChange, Store},
-      parts::{Purpose, call_engine},
+      stages::{Purpose, call_engine},
       state::{Gateway, Phase},
     },
     ids::Name,
@@ -126,7 +126,7 @@
     }
     self.gateway.counters.store_calls.inc();
     let name = self.gateway.settings.identity.name.clone();
-    match self.store.become_steward(&name, held.lease).await {
+    match self.store.try_become_role_leader(&name, held.lease).await {
       Ok(Some(fence)) => {
         log::info!("E420 steward of the engines' roles: fence {fence}");
         self.fence = Some(fence);
@@ -243,7 +243,7 @@
     let (_, queue_tokens) = load(Role::Prefill);
     let (seats_taken, _) = load(Role::Decode);
     let seats: u64 = with_role(engines, Role::Decode)
-      .map(|engine| u64::from(engine.seats))
+      .map(|engine| u64::from(engine.slots))
       .sum();
     PoolFacts {
       decode_engines: with_role(engines, Role::Decode).count() as u64,
@@ -260,7 +260,7 @@
       let Some(report) = self.report(&engine).await else {
         continue;
       };
-      if report.order_under_way || report.role == Some(surplus.role) {
+      if report.command_in_progress || report.role == Some(surplus.role) {
         self.note_order(&engine, surplus.role);
         continue;
       }
@@ -271,7 +271,7 @@
         endpoint_id: engine.id.clone(),
         fence,
         holder: self.gateway.settings.identity.name.clone(),
-        orders_taken: report.orders_taken,
+        commands_accepted: report.commands_accepted,
         role: surplus.role,
       };
       self.send(&engine, &change).await;
@@ -283,14 +283,14 @@
     let answer = call_engine(
       &self.gateway,
       engine,
-      self.gateway.dialect.ask_report(),
+      self.gateway.codec.report_call(),
       Purpose::Call,
     )
     .await;
     let report = answer.map_err(|error| error.to_string()).and_then(|body| {
       self
         .gateway
-        .dialect
+        .codec
         .report(&body)
         .map_err(|error| error.to_string())
     });
@@ -303,7 +303,7 @@
   async fn confirmed_fence(&mut self) -> Option<u64> {
     let asked_ms = self.gateway.now_ms();
     self.gateway.counters.store_calls.inc();
-    let steward = self.store.steward().await;
+    let steward = self.store.role_leader().await;
     let name = &self.gateway.settings.identity.name;
     match steward {
       Ok(Some(steward)) if steward.holder == *name && Some(steward.fence) == self.fence => {
@@ -340,7 +340,7 @@
   async fn send(&mut self, engine: &EndpointEntry, change: &RoleChange) {
     let RoleChange { role, fence, .. } = change;
     self.note_order(engine, *role);
-    let call = self.gateway.dialect.change_role(change);
+    let call = self.gateway.codec.role_change_call(change);
     match call_engine(&self.gateway, engine, call, Purpose::Call).await {
       Ok(_) => log::info!(
         "E423 role ordered: {} becomes {role:?}, fence {fence}",
--- a/src/gateway/settings/document.rs
+++ b/src/gateway/settings/document.rs
@@ -110,14 +110,14 @@
   /// Part of a service's engines that reads prompts, from 0 to 1.
   pub prefill_share: f64,
   /// Whose priority engines are told.
-  #[serde(default)]
-  pub marks: EngineMarks,
+  #[serde(default, rename = "marks")]
+  pub engine_priority: EnginePriority,
 }
 
 /// Whose priority engines are told: they preempt what is less urgent, and what is preempted is read anew.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
-pub enum EngineMarks {
+pub enum EnginePriority {
   /// The route's. Organisations' priorities order each box's queue alone: where their streams share engines whose memory is
   /// short, marks by organisation double the preemptions.
   #[default]
--- a/src/gateway/settings/mod.rs
+++ b/src/gateway/settings/mod.rs
@@ -10,7 +10,7 @@
 
 pub use self::{
   document::{
-    EngineMarks, EngineSettings, GatewayBounds, GatewayIdentity, GatewayListen, GatewaySettings,
+    EnginePriority, EngineSettings, GatewayBounds, GatewayIdentity, GatewayListen, GatewaySettings,
     PolicySettings, StoreSettings,
   },
   limits::LimitSettings,
--- a/src/gateway/settings/route_policy.rs
+++ b/src/gateway/settings/route_policy.rs
@@ -4,7 +4,7 @@
 use {
   crate::{
     Error, Result,
-    gateway::edge::{CallerFacts, Organisation, Route, RouteKind},
+    gateway::edge::{CallerAttributes, Organisation, Route, RouteKind},
     ids::Name,
     observe::unix_ms,
     policy::{Clock, PoolFacts, Program, RequestFacts},
@@ -21,7 +21,7 @@
   /// 0 goes first, among the requests of a box.
   pub priority: u8,
   /// 0 goes first, among the requests of an engine.
-  pub mark: u8,
+  pub engine_priority: u8,
   /// The time within which its answer, or first event, is wanted.
   pub target_ms: u64,
 }
@@ -53,11 +53,11 @@
     &self,
     route: &Route,
     service: &Name,
-    facts: &CallerFacts,
+    facts: &CallerAttributes,
     organisation: Option<&Organisation>,
   ) -> RouteRank {
     let own = RouteRank {
-      mark: route.priority,
+      engine_priority: route.priority,
       priority: organisation
         .and_then(|organisation| organisation.priority)
         .unwrap_or(route.priority),
@@ -68,7 +68,7 @@
     };
     let kind = match route.kind {
       RouteKind::Stream { .. } => "model",
-      RouteKind::Repeatable | RouteKind::Unrepeatable => "service",
+      RouteKind::Retryable | RouteKind::NonRetryable => "service",
     };
     let told = RequestFacts {
       kind: kind.into(),
@@ -83,7 +83,7 @@
         // The program's higher goes first, the engines' lower.
         let priority = (LEAST_URGENT - rank.priority.clamp(0, LEAST_URGENT)) as u8;
         RouteRank {
-          mark: priority,
+          engine_priority: priority,
           priority,
           target_ms: rank.first_token_ms.min(route.target_ms),
         }
--- a/src/gateway/parts/engine_call.rs
+++ b/src/gateway/stages/engine_call.rs
@@ -1,9 +1,9 @@
-//! The router's own calls to engines: reservations, and freeing what is no longer wanted.
+//! The gateway's own calls to engines: to reserve batch slots, and to release what is no longer needed.
 
 use {
   super::{
-    part::{PartError, exchange},
     purpose::Purpose,
+    stage::{StageError, exchange},
   },
   crate::{
     gateway::{
@@ -24,35 +24,35 @@
   tokio::{task::spawn_local, time::timeout},
 };
 
-/// An engine answers a call of the router's own within milliseconds.
-const CALL_LIMIT: Duration = Duration::from_millis(150);
-/// These answers are a few words long.
-const MOST_ANSWER_BYTES: usize = 64 * 1024;
-/// An export is not handed on when it is about to lapse.
-const EXPORT_MARGIN_MS: u64 = 120;
+/// Timeout of such a call; engines answer them without queueing.
+const CALL_TIMEOUT: Duration = Duration::from_millis(150);
+/// The longest response to such a call.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
+/// An export is not used this shortly before it expires.
+const EXPORT_EXPIRY_MARGIN_MS: u64 = 120;
 
-/// Why a call came to nothing.
+/// Why a call to an engine failed.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum CallFailure {
-  /// The engine refused it.
+pub(crate) enum EngineCallError {
+  /// The engine rejected it.
   #[error("status {0}")]
-  Refused(StatusCode),
-  /// The engine does not answer at all.
-  #[error("no answer in time")]
+  Rejected(StatusCode),
+  /// The engine did not answer in time.
+  #[error("timed out")]
   TimedOut,
-  /// The engine is sent nothing now.
+  /// The engine may not be sent work now.
   #[error("not sent: {0}")]
   Unavailable(Unavailable),
-  /// The engine was not reached, or its answer was lost.
+  /// The connection failed, or the response was invalid.
   #[error("{0}")]
   Lost(String),
 }
 
-impl CallFailure {
-  /// How the work asked for ended, for the endpoint book.
-  pub(crate) fn part_end(&self) -> PartEnd {
+impl EngineCallError {
+  /// The outcome to record for the engine.
+  pub(crate) fn outcome(&self) -> PartEnd {
     match self {
-      Self::Refused(_) => PartEnd::Full,
+      Self::Rejected(_) => PartEnd::Full,
       Self::TimedOut => PartEnd::Unreachable,
       Self::Unavailable(_) => PartEnd::Dropped,
       Self::Lost(_) => PartEnd::Lost,
@@ -60,36 +60,36 @@
   }
 }
 
-/// Makes a call within [`CALL_LIMIT`] and answers with the body of a success.
+/// Makes a call within [`CALL_TIMEOUT`] and returns the body of a successful response.
 pub(crate) async fn call_engine(
   gateway: &Rc<Gateway>,
   entry: &EndpointEntry,
   call: EndpointCall,
   purpose: Purpose,
-) -> Result<Bytes, CallFailure> {
-  let lost = |error: &dyn Display| CallFailure::Lost(error.to_string());
+) -> Result<Bytes, EngineCallError> {
+  let lost = |error: &dyn Display| EngineCallError::Lost(error.to_string());
   let request = build_request(entry, call).map_err(|error| lost(&error))?;
-  let answer = async {
+  let response = async {
     let (connection, response) =
       exchange(gateway, entry, request, purpose)
         .await
         .map_err(|error| match error {
-          PartError::Unreachable => CallFailure::TimedOut,
-          PartError::Unavailable(unavailable) => CallFailure::Unavailable(unavailable),
+          StageError::Unreachable => EngineCallError::TimedOut,
+          StageError::Unavailable(unavailable) => EngineCallError::Unavailable(unavailable),
           error => lost(&error),
         })?;
     let (head, body) = response.into_parts();
-    let read = Limited::new(body, MOST_ANSWER_BYTES).collect().await;
+    let read = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
     let body = read.map_err(|error| lost(&error))?.to_bytes();
     gateway.rest(connection, &head.headers);
     match head.status {
       status if status.is_success() => Ok(body),
-      status => Err(CallFailure::Refused(status)),
+      status => Err(EngineCallError::Rejected(status)),
     }
   };
-  timeout(CALL_LIMIT, answer)
+  timeout(CALL_TIMEOUT, response)
     .await
-    .unwrap_or(Err(CallFailure::TimedOut))
+    .unwrap_or(Err(EngineCallError::TimedOut))
 }
 
 fn build_request(entry: &EndpointEntry, call: EndpointCall) -> http::Result<Request<Full<Bytes>>> {
@@ -105,17 +105,17 @@
   Ok(request)
 }
 
-/// A prompt that an engine keeps; freed there unless it was used.
-pub(crate) struct KeptExport {
+/// An exported KV cache, released at its engine on drop unless it was used.
+pub(crate) struct ExportGuard {
   pub(crate) export: Export,
   gateway: Rc<Gateway>,
   entry: EndpointEntry,
-  good_until_ms: u64,
+  expires_ms: u64,
   used: bool,
 }
 
-impl KeptExport {
-  /// A prompt that an engine has just read and keeps for `ttl_ms`.
+impl ExportGuard {
+  /// A KV cache that an engine has just computed and retains for `ttl_ms`.
   pub(crate) fn new(
     gateway: &Rc<Gateway>,
     entry: &EndpointEntry,
@@ -128,41 +128,41 @@
         handle,
         source: entry.address,
       },
-      good_until_ms: gateway.now_ms() + ttl_ms.saturating_sub(EXPORT_MARGIN_MS),
+      expires_ms: gateway.now_ms() + ttl_ms.saturating_sub(EXPORT_EXPIRY_MARGIN_MS),
       gateway: gateway.clone(),
       used: false,
     }
   }
 
-  /// Another engine was sent for it: it is not freed from here.
+  /// Another engine fetches it, so it is not released on drop.
   pub(crate) fn set_used(&mut self) {
     self.used = true;
   }
 
-  /// Whether another engine can still fetch it.
+  /// Whether it has not expired.
   pub(crate) fn is_fresh(&self) -> bool {
-    self.gateway.now_ms() < self.good_until_ms
+    self.gateway.now_ms() < self.expires_ms
   }
 
-  /// The engine that keeps it.
+  /// The engine that holds it.
   pub(crate) fn engine(&self) -> &Name {
     &self.entry.id
   }
 }
 
-impl Drop for KeptExport {
+impl Drop for ExportGuard {
   fn drop(&mut self) {
     if !self.used {
-      let call = self.gateway.dialect.free_export(&self.export.handle);
-      free_later(&self.gateway, &self.entry, call);
+      let call = self.gateway.codec.release_export_call(&self.export.handle);
+      release_in_background(&self.gateway, &self.entry, call);
     }
   }
 }
 
-/// A reserved seat; given back unless it was used.
+/// A reserved batch slot, released on drop unless it was used.
 pub(crate) struct Reservation {
   pub(crate) id: Name,
-  /// The permit for the request that it is for, until that is sent.
+  /// The permit for the request, until the request is sent.
   permit: Permit,
   gateway: Rc<Gateway>,
   entry: EndpointEntry,
@@ -185,12 +185,12 @@
     }
   }
 
-  /// A request has used it up.
+  /// A request has consumed it, so it is not released on drop.
   pub(crate) fn set_used(&mut self) {
     self.used = true;
   }
 
-  /// The permit, for the request that is sent now: from here on it goes back only if the engine never sees that request.
+  /// Moves the permit to the request that is sent now.
   pub(crate) fn take_permit(&mut self) -> Permit {
     std::mem::replace(&mut self.permit, Permit::NotNeeded)
   }
@@ -202,19 +202,19 @@
       if self.permit == Permit::Taken {
         return_permit(&self.gateway, &self.entry);
       }
-      let call = self.gateway.dialect.free_reservation(&self.id);
-      free_later(&self.gateway, &self.entry, call);
+      let call = self.gateway.codec.release_reservation_call(&self.id);
+      release_in_background(&self.gateway, &self.entry, call);
     }
   }
 }
 
-/// Frees something without holding anybody up; the engine drops it by itself when the call is lost.
-fn free_later(gateway: &Rc<Gateway>, entry: &EndpointEntry, call: EndpointCall) {
+/// Releases something in the background. If the call fails, the engine releases it when it expires.
+fn release_in_background(gateway: &Rc<Gateway>, entry: &EndpointEntry, call: EndpointCall) {
   let gateway = gateway.clone();
   let entry = entry.clone();
   spawn_local(async move {
-    if let Err(error) = call_engine(&gateway, &entry, call, Purpose::GiveBack).await {
-      log::info!("E512 not freed at {}: {error}", entry.id);
+    if let Err(error) = call_engine(&gateway, &entry, call, Purpose::Release).await {
+      log::info!("E512 not released at {}: {error}", entry.id);
     }
   });
 }
--- /dev/null
+++ b/src/gateway/stages/mod.rs
@@ -0,0 +1,20 @@
+//! Sending to one endpoint: a caller's request or a stage of it, and the gateway's own calls for batch slots and cached prompts.
+//!
+//! Imports `permits` and what it imports. Takes a [`RoutedRequest`] and a chosen endpoint, and returns the response's
+//! [`ResponseHead`].
+
+mod engine_call;
+mod notice;
+mod purpose;
+mod request;
+mod send_check;
+mod send_mode;
+mod stage;
+
+pub(crate) use self::{
+  engine_call::{EngineCallError, ExportGuard, Reservation, call_engine},
+  purpose::Purpose,
+  request::RoutedRequest,
+  send_mode::SendMode,
+  stage::{BufferedResponse, LoadGuard, OutgoingStage, ResponseHead, StageError, send_stage},
+};
--- /dev/null
+++ b/src/gateway/stages/purpose.rs
@@ -0,0 +1,12 @@
+//! The purpose of a request to an endpoint, which decides whether it may be sent.
+
+/// The purpose of a request to an endpoint.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub(crate) enum Purpose {
+  /// A caller's request or a stage of it: not sent to an endpoint that is shutting down or asked for a backoff.
+  Request,
+  /// A call of the gateway's own that leads to work: not sent to such an endpoint either.
+  Call,
+  /// Releases what an endpoint holds. It frees memory, so it is sent to such an endpoint too.
+  Release,
+}
--- /dev/null
+++ b/src/gateway/stages/stage.rs
@@ -0,0 +1,410 @@
+//! Sends one stage of a request to one endpoint and reads the response's head.
+
+use {
+  super::{
+    notice::{SentCall, apply_notice},
+    purpose::Purpose,
+    request::RoutedRequest,
+  },
+  crate::{
+    gateway::{
+      connections::{Connection, SendError, remove_connection_headers},
+      decisions::{PartEnd, Unavailable},
+      edge::{EndpointEntry, ProxyHeaders, ResponseAttributes},
+      permits::{Permit, return_permit, take_permit},
+      state::Gateway,
+    },
+    ids::Name,
+  },
+  bytes::Bytes,
+  http::{
+    HeaderMap, Request, Response, StatusCode,
+    header::{CONTENT_ENCODING, CONTENT_LENGTH, TRANSFER_ENCODING},
+    response,
+  },
+  http_body_util::{BodyExt, Full, Limited},
+  hyper::body::Incoming,
+  std::rc::Rc,
+};
+
+/// The longest response that is buffered before it is forwarded.
+const MAX_BUFFERED_BYTES: usize = 4 * 1024 * 1024;
+/// The status of an endpoint that is not the incarnation that the request is for (RFC 9110, 15.5.20).
+const MISDIRECTED: u16 = 421;
+
+/// Why a stage failed.
+#[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
+pub(crate) enum StageError {
+  /// No connection could be established within the timeout.
+  #[error("unreachable")]
+  Unreachable,
+  /// The connection failed before the request was sent.
+  #[error("unsent: {0}")]
+  Unsent(String),
+  /// The endpoint may not be sent work now.
+  #[error("not sent: {0}")]
+  Unavailable(#[from] Unavailable),
+  /// The request is quarantined: endpoints crashed while they ran it.
+  #[error("blocked: endpoints crashed while running it")]
+  Blocked,
+  /// The endpoint states that it did not run the request.
+  #[error("rejected by the endpoint with status {0}")]
+  NotRun(u16),
+  /// The request may have run, but there is no response to forward.
+  #[error("lost: {0}")]
+  Lost(String),
+}
+
+impl StageError {
+  /// Whether the endpoint has certainly not run the request.
+  pub(crate) fn has_not_run(&self) -> bool {
+    !matches!(self, Self::Lost(_))
+  }
+
+  /// Whether the endpoint's rate limit left no permit for the request.
+  pub(crate) fn is_without_permit(&self) -> bool {
+    matches!(self, Self::Unavailable(Unavailable::NoPermit { .. }))
+  }
+
+  /// Whether the endpoint never received the request.
+  pub(crate) fn is_unsent(&self) -> bool {
+    matches!(
+      self,
+      Self::Unreachable | Self::Unsent(_) | Self::Unavailable(_) | Self::Blocked
+    )
+  }
+}
+
+impl From<SendError> for StageError {
+  fn from(error: SendError) -> Self {
+    match error {
+      SendError::Unreachable => Self::Unreachable,
+      SendError::Unsent(text) => Self::Unsent(text),
+      SendError::Broke(text) => Self::Lost(text),
+    }
+  }
+}
+
+/// Counts a stage towards its endpoint's load until dropped, and then records the outcome; cancelled unless settled.
+pub(crate) struct LoadGuard {
+  gateway: Rc<Gateway>,
+  endpoint: Name,
+  size: u64,
+  units: u64,
+  sent_ms: u64,
+  outcome: PartEnd,
+}
+
+impl LoadGuard {
+  /// Counts work that is about to be sent.
+  pub(crate) fn new(gateway: &Rc<Gateway>, endpoint: &Name, size: u64, units: u64) -> Self {
+    gateway.book.borrow_mut().sent(endpoint, size);
+    Self {
+      outcome: PartEnd::Dropped,
+      endpoint: endpoint.clone(),
+      gateway: gateway.clone(),
+      sent_ms: gateway.now_ms(),
+      size,
+      units,
+    }
+  }
+
+  /// Sets the outcome.
+  pub(crate) fn settle(&mut self, outcome: PartEnd) {
+    self.outcome = outcome;
+  }
+
+  /// The response, or its first chunk, has arrived now.
+  pub(crate) fn answered(&mut self) {
+    let took_ms = self.gateway.now_ms() - self.sent_ms;
+    self.outcome = PartEnd::Answered { took_ms };
+  }
+
+  fn settle_error(&mut self, error: &StageError) {
+    self.outcome = match error {
+      StageError::Unreachable => PartEnd::Unreachable,
+      StageError::NotRun(MISDIRECTED) | StageError::Unsent(_) | StageError::Lost(_) => {
+        PartEnd::Lost
+      }
+      StageError::Blocked | StageError::Unavailable(_) => PartEnd::Dropped,
+      StageError::NotRun(_) => PartEnd::Full,
+    };
+  }
+}
+
+impl Drop for LoadGuard {
+  fn drop(&mut self) {
+    self
+      .gateway
+      .ended(&self.endpoint, self.size, self.units, self.outcome);
+  }
+}
+
+/// The head of a response that was checked to belong to the request, with its body still to be read.
+pub(crate) struct ResponseHead {
+  /// The endpoint's entry when the request was sent.
+  pub(crate) entry: EndpointEntry,
+  pub(crate) sent_ms: u64,
+  pub(crate) status: StatusCode,
+  /// The headers as received, including hop-by-hop headers.
+  pub(crate) raw_headers: HeaderMap,
+  pub(crate) attributes: ResponseAttributes,
+  pub(crate) body: Incoming,
+  pub(crate) connection: Connection,
+  pub(crate) load_guard: LoadGuard,
+}
+
+impl ResponseHead {
+  /// The headers to forward.
+  pub(crate) fn headers(&self) -> HeaderMap {
+    let mut headers = self.raw_headers.clone();
+    remove_connection_headers(&mut headers);
+    headers
+  }
+
+  /// Whether the body's end can be told from a closed connection.
+  pub(crate) fn is_framed(&self) -> bool {
+    self.raw_headers.contains_key(CONTENT_LENGTH)
+      || self.raw_headers.contains_key(TRANSFER_ENCODING)
+  }
+
+  /// Reads the whole body and returns the connection to the pool.
+  pub(crate) async fn buffer(mut self, gateway: &Gateway) -> Result<BufferedResponse, StageError> {
+    let headers = self.headers();
+    let read = Limited::new(&mut self.body, MAX_BUFFERED_BYTES)
+      .collect()
+      .await;
+    let body = match read {
+      Ok(body) => body.to_bytes(),
+      Err(error) => {
+        self.load_guard.settle(PartEnd::Lost);
+        return Err(StageError::Lost(format!("response truncated: {error}")));
+      }
+    };
+    if self.status.is_server_error() {
+      self.load_guard.settle(PartEnd::Failed);
+    } else {
+      self.load_guard.answered();
+    }
+    gateway.rest(self.connection, &self.raw_headers);
+    Ok(BufferedResponse {
+      body,
+      headers,
+      status: self.status,
+    })
+  }
+}
+
+/// A response with its whole body.
+pub(crate) struct BufferedResponse {
+  pub(crate) status: StatusCode,
+  pub(crate) headers: HeaderMap,
+  pub(crate) body: Bytes,
+}
+
+/// A stage of a request that is to be sent to an endpoint.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct OutgoingStage<'a> {
+  pub(crate) entry: &'a EndpointEntry,
+  pub(crate) proxy_headers: &'a ProxyHeaders,
+  /// Its weight in the endpoint's load.
+  pub(crate) size: u64,
+  /// Units of work by which the response time is normalised.
+  pub(crate) units: u64,
+  /// The permit that its reservation acquired.
+  pub(crate) permit: Permit,
+}
+
+impl<'a> OutgoingStage<'a> {
+  /// A stage without a reservation's permit.
+  pub(crate) fn new(
+    entry: &'a EndpointEntry,
+    proxy_headers: &'a ProxyHeaders,
+    size: u64,
+    units: u64,
+  ) -> Self {
+    Self {
+      entry,
+      proxy_headers,
+      permit: Permit::NotNeeded,
+      size,
+      units,
+    }
+  }
+}
+
+/// Sends a stage of a request to an endpoint, within the endpoint's rate limit, and reads the response's head.
+pub(crate) async fn send_stage(
+  gateway: &Rc<Gateway>,
+  request: &RoutedRequest,
+  stage: OutgoingStage<'_>,
+) -> Result<ResponseHead, StageError> {
+  let entry = stage.entry;
+  let permit = match stage.permit {
+    Permit::Taken => Permit::Taken,
+    Permit::NotNeeded => take_permit(gateway, entry, request.permit_caller()).await?,
+  };
+  let sent = send_permitted(gateway, request, stage).await;
+  let is_unsent = matches!(&sent, Err(error) if error.is_unsent());
+  if is_unsent && permit == Permit::Taken {
+    return_permit(gateway, entry);
+  }
+  sent
+}
+
+/// Sends a stage that has its permit.
+async fn send_permitted(
+  gateway: &Rc<Gateway>,
+  request: &RoutedRequest,
+  stage: OutgoingStage<'_>,
+) -> Result<ResponseHead, StageError> {
+  let OutgoingStage {
+    entry,
+    proxy_headers,
+    size,
+    units,
+    ..
+  } = stage;
+  // Callers resend a request that crashes endpoints under other ids and to other boxes, so the bound on attempts does not cover
+  // it.
+  let before = request.send_mode.get();
+  if !request.begin_send(gateway, &proxy_headers.stage) {
+    return Err(StageError::Blocked);
+  }
+  let mut load_guard = LoadGuard::new(gateway, &entry.id, size, units);
+  let sent_ms = gateway.now_ms();
+  let sent = request.for_endpoint(&*gateway.codec, proxy_headers);
+  let response = exchange(gateway, entry, sent, Purpose::Request)
+    .await
+    .and_then(|(connection, response)| {
+      let (head, body) = response.into_parts();
+      let attributes = validate(gateway, request, entry, &head)?;
+      Ok((connection, head, body, attributes))
+    });
+  match response {
+    Ok((connection, head, body, attributes)) => Ok(ResponseHead {
+      body,
+      load_guard,
+      connection,
+      entry: entry.clone(),
+      attributes,
+      raw_headers: head.headers,
+      sent_ms,
+      status: head.status,
+    }),
+    Err(error) => {
+      if error.is_unsent() {
+        request.undo_send(before);
+      }
+      load_guard.settle_error(&error);
+      Err(error)
+    }
+  }
+}
+
+/// Sends a request on an idle connection, or on a new one when there is none or it was closed before use.
+pub(crate) async fn exchange(
+  gateway: &Rc<Gateway>,
+  entry: &EndpointEntry,
+  request: Request<Full<Bytes>>,
+  purpose: Purpose,
+) -> Result<(Connection, Response<Incoming>), StageError> {
+  // The endpoint's state may have changed since it was chosen.
+  check_available(gateway, entry, purpose)?;
+  let mut sent = SentCall {
+    entry,
+    purpose,
+    sent_ms: gateway.now_ms(),
+  };
+  if let Some(mut connection) = gateway.pool.take(&entry.id, gateway.now_ms()) {
+    match connection.send(request.clone()).await {
+      Ok(response) => return Ok((connection, apply_response_notice(gateway, sent, response))),
+      Err(SendError::Broke(text)) => return Err(StageError::Lost(text)),
+      Err(SendError::Unreachable | SendError::Unsent(_)) => {}
+    }
+  }
+  gateway.counters.connections.inc();
+  let opened = Connection::open(entry.id.clone(), entry.address).await;
+  let mut connection = opened?;
+  check_available(gateway, entry, purpose)?;
+  sent.sent_ms = gateway.now_ms();
+  let response = connection.send(request).await?;
+  Ok((connection, apply_response_notice(gateway, sent, response)))
+}
+
+/// Applies the endpoint's notice as soon as the head is there: reading the body may take long.
+fn apply_response_notice(
+  gateway: &Rc<Gateway>,
+  sent: SentCall,
+  response: Response<Incoming>,
+) -> Response<Incoming> {
+  let (head, body) = response.into_parts();
+  apply_notice(gateway, sent, &head);
+  Response::from_parts(head, body)
+}
+
+/// Fails when the endpoint is no longer listed or, unless something is released there, takes no work.
+fn check_available(
+  gateway: &Gateway,
+  entry: &EndpointEntry,
+  purpose: Purpose,
+) -> Result<(), StageError> {
+  let now_ms = gateway.now_ms();
+  let mut book = gateway.book.borrow_mut();
+  match (book.check(entry, now_ms), purpose) {
+    (Ok(()), Purpose::Request | Purpose::Call) => {
+      if let Some(asked_ms) = book.sent_after_pause(&entry.id, now_ms) {
+        log::info!(
+          "E537 first request after its backoff: {}, requested {} ms ago",
+          entry.id,
+          now_ms - asked_ms
+        );
+      }
+      Ok(())
+    }
+    (Err(Unavailable::Gone), _) => Err(Unavailable::Gone.into()),
+    (_, Purpose::Release) => Ok(()),
+    (Err(unavailable), Purpose::Request | Purpose::Call) => {
+      gateway.counters.not_sent.inc();
+      Err(unavailable.into())
+    }
+  }
+}
+
+/// Checks that a response belongs to the request, and reads whether the request has run.
+fn validate(
+  gateway: &Gateway,
+  request: &RoutedRequest,
+  entry: &EndpointEntry,
+  head: &response::Parts,
+) -> Result<ResponseAttributes, StageError> {
+  let attributes = gateway.codec.response_attributes(&head.headers);
+  if attributes.request_id != request.attributes.request_id {
+    return Err(StageError::Lost("response to another request".into()));
+  }
+  if let Some(load) = attributes.load {
+    gateway
+      .book
+      .borrow_mut()
+      .told_load(&entry.id, load, gateway.now_ms());
+  }
+  if attributes.not_run {
+    return Err(StageError::NotRun(head.status.as_u16()));
+  }
+  if head.status.as_u16() == MISDIRECTED {
+    return Err(StageError::NotRun(MISDIRECTED));
+  }
+  // Callers take these statuses to mean that the request has not run, which the endpoint does not state.
+  if matches!(head.status.as_u16(), 408 | 429 | 503) {
+    return Err(StageError::Lost(format!(
+      "status {} without stating whether the request ran",
+      head.status
+    )));
+  }
+  if head.headers.contains_key(CONTENT_ENCODING) {
+    return Err(StageError::Lost(
+      "response with a content encoding that was not requested".into(),
+    ));
+  }
+  Ok(attributes)
+}
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -14,7 +14,7 @@
         RetryWindow, SeatForecast, SeatQueue, Unavailable, UseBook, UseLedger, Wanted,
         retry_after_pause_ms,
       },
-      edge::{ColdStart, Dialect, EndpointEntry, RouteTable, StoreLease},
+      edge::{ColdStart, EndpointEntry, PlatformCodec, RouteTable, StoreLease},
       settings::{GatewaySettings, RoutePolicy},
     },
     ids::Name,
@@ -65,7 +65,7 @@
 
 /// One gateway box.
 pub(crate) struct Gateway {
-  pub(crate) dialect: Rc<dyn Dialect>,
+  pub(crate) codec: Rc<dyn PlatformCodec>,
   pub(crate) settings: GatewaySettings,
   pub(crate) policy: RoutePolicy,
   pub(crate) book: RefCell<EndpointBook>,
@@ -129,7 +129,7 @@
 
 impl Gateway {
   pub(crate) fn new(
-    dialect: Rc<dyn Dialect>,
+    codec: Rc<dyn PlatformCodec>,
     settings: GatewaySettings,
     policy: RoutePolicy,
     seed: u64,
@@ -143,7 +143,7 @@
       connections: Cell::new(0),
       counting_box: Cell::new(None),
       counters: Counters::default(),
-      dialect,
+      codec,
       ends_ms: Cell::new(None),
       has_listed: Cell::new(false),
       has_steward: Cell::new(false),
@@ -273,7 +273,7 @@
     };
     let mut book = self.book.borrow_mut();
     let limits = book.limits_mut();
-    limits.note_cold(&entry.id, entry.born_ms, span);
+    limits.note_cold(&entry.id, entry.started_ms, span);
   }
 
   /// The endpoints of a hall whose drain has ended may have turned cold shortly before, and their entries tell so late.
@@ -285,7 +285,7 @@
     };
     for entry in entries {
       if let Some(cold_start) = self.cold_start(&entry.service) {
-        self.note_cold(&entry, cold_start.lasts_ms);
+        self.note_cold(&entry, cold_start.duration_ms);
       }
     }
   }
@@ -336,7 +336,7 @@
       .and_then(|entry| table.as_ref()?.service(&entry.service));
     let Some(service) = service else { return 0 };
     let boxes = self.box_count();
-    let share = f64::from(service.most_connections) * RESTING_SHARE / boxes as f64;
+    let share = f64::from(service.max_connections) * RESTING_SHARE / boxes as f64;
     (share as usize).clamp(1, MOST_RESTING)
   }
 
--- a/tests/gateway/homes.rs
+++ b/tests/gateway/allowed_regions.rs
@@ -1,4 +1,4 @@
-//! Homes: the regions in which requests of a route or an organisation may be served.
+//! RegionSet: the regions in which requests of a route or an organisation may be served.
 
 use {
   super::{
