--- a/emulator/src/limits/figures.rs
+++ b/emulator/src/limits/figures.rs
@@ -1,6 +1,6 @@
 //! What came of a replay of limits.
 
-use {rillford::gateway::UseLimit, std::collections::VecDeque};
+use {rillford::gateway::UsageLimit, std::collections::VecDeque};
 
 /// The users' window and what use may go beyond a limit in it.
 const WINDOW_MS: u64 = 8_000;
@@ -40,7 +40,7 @@
 
 impl WindowUse {
   /// Adds units; answers with the window's sum as a part of the bound.
-  pub(super) fn admit(&mut self, units: f64, limit: UseLimit, now_ms: u64) -> f64 {
+  pub(super) fn admit(&mut self, units: f64, limit: UsageLimit, now_ms: u64) -> f64 {
     self.admitted.push_back((now_ms, units));
     self.sum += units;
     while let Some((at_ms, units)) = self.admitted.front().copied()
@@ -54,7 +54,7 @@
 }
 
 /// The most that may be used in a window.
-fn bound_units(limit: UseLimit) -> f64 {
+fn bound_units(limit: UsageLimit) -> f64 {
   let allowed = limit.rate_per_s * WINDOW_MS as f64 / 1_000.0 + limit.burst;
   allowed * (1.0 + OVERAGE) + SLACK_UNITS
 }
--- a/emulator/src/limits/fleet.rs
+++ b/emulator/src/limits/fleet.rs
@@ -2,7 +2,7 @@
 
 use {
   super::pattern::BoxPlace,
-  rillford::gateway::{BoxEntry, BoxList, UseLimit},
+  rillford::gateway::{BoxEntry, BoxList, UsageLimit},
   std::net::{IpAddr, Ipv4Addr, SocketAddr},
 };
 
@@ -47,10 +47,10 @@
   };
 
   /// An organisation's limit; the largest comes first.
-  pub(super) fn limit(self, organisation: usize) -> UseLimit {
+  pub(super) fn limit(self, organisation: usize) -> UsageLimit {
     let factor = LARGE_FACTORS.get(organisation).copied().unwrap_or(1.0);
     let rate_per_s = LEAST_RATE_PER_S * factor;
-    UseLimit {
+    UsageLimit {
       burst: rate_per_s,
       rate_per_s,
     }
--- a/emulator/src/limits/replay.rs
+++ b/emulator/src/limits/replay.rs
@@ -13,7 +13,7 @@
   rand_chacha::ChaCha8Rng,
   rillford::{
     gateway::{
-      BoxList, LimitSettings, LimitWay, LocalVerdict, ToldSpan, UseLimit, UseRequest, UseTotals,
+      BoxList, LimitSettings, LimitWay, LocalVerdict, ToldSpan, UsageLimit, UseRequest, UseTotals,
       UseVerdict,
     },
     ids::Name,
@@ -134,17 +134,17 @@
   }
 
   /// The operators' limit of an organisation.
-  fn limit(&self, organisation: usize, now_ms: u64) -> UseLimit {
+  fn limit(&self, organisation: usize, now_ms: u64) -> UsageLimit {
     let limit = self.fleet.limit(organisation);
     let share = self.pattern.limit_share(now_ms);
-    UseLimit {
+    UsageLimit {
       burst: limit.burst * share,
       rate_per_s: limit.rate_per_s * share,
     }
   }
 
   fn put_limits(&mut self, now_ms: u64) {
-    let limits: Vec<(Name, UseLimit)> = (0..self.fleet.organisations)
+    let limits: Vec<(Name, UsageLimit)> = (0..self.fleet.organisations)
       .map(|number| {
         let kept = SETTINGS.kept(self.limit(number, now_ms));
         (self.names[number].clone(), kept)
@@ -214,7 +214,7 @@
     verdict == UseVerdict::Within
   }
 
-  fn request<'a>(&self, organisation: &'a Name, limit: UseLimit, now_ms: u64) -> UseRequest<'a> {
+  fn request<'a>(&self, organisation: &'a Name, limit: UsageLimit, now_ms: u64) -> UseRequest<'a> {
     UseRequest {
       boxes: self.fleet.boxes,
       limit,
@@ -225,7 +225,7 @@
   }
 
   /// Asks the first box that counts and is reached; in the replay it answers at once.
-  fn ask(&mut self, at: usize, name: &Name, limit: UseLimit, now_ms: u64) -> UseVerdict {
+  fn ask(&mut self, at: usize, name: &Name, limit: UsageLimit, now_ms: u64) -> UseVerdict {
     let Some(counting) = self.first_reached(at, now_ms) else {
       let request = self.request(name, limit, now_ms);
       let ledger = &mut self.boxes[at].ledger;
--- a/emulator/src/places/replay.rs
+++ b/emulator/src/places/replay.rs
@@ -15,7 +15,7 @@
   rillford::{
     gateway::{
       ALONE_BOXES, BoxList, EndpointEntry, EndpointLife, HeardLimit, LimitHeader, LimitNews,
-      LimitSource, LocalPermit, PermitRequest, PermitVerdict, ToldSpan, UseBucket, UseLimit,
+      LimitSource, LocalPermit, PermitRequest, PermitVerdict, ToldSpan, UsageLimit, UseBucket,
       UseTotals, UseVerdict, counted_limit, endpoint_order, lone_limit,
     },
     ids::Name,
@@ -242,7 +242,7 @@
     match self.way {
       PlaceWay::Off => self.send(at),
       PlaceWay::EvenParts => {
-        let part = UseLimit {
+        let part = UsageLimit {
           burst: 1.0,
           rate_per_s: counted_limit(per_s).rate_per_s / self.fleet.boxes as f64,
         };
--- a/src/gateway/decisions/endpoint_limit.rs
+++ b/src/gateway/decisions/endpoint_limit.rs
@@ -5,7 +5,7 @@
 //! whichever messages between them are late or lost: the box that counts is one, and those that go on alone are the
 //! same few for all.
 
-use crate::gateway::edge::UseLimit;
+use crate::gateway::edge::UsageLimit;
 
 /// Part of a limit that is given out. The rest is for permits that are used later than they were given.
 const KEPT_SHARE: f64 = 0.94;
@@ -28,11 +28,11 @@
 /// assert_eq!(counted_limit(100.0).rate_per_s, 94.0);
 /// assert_eq!(counted_limit(0.0).rate_per_s, counted_limit(0.2).rate_per_s);
 /// ```
-pub fn counted_limit(per_s: f64) -> UseLimit {
+pub fn counted_limit(per_s: f64) -> UsageLimit {
   let kept_per_s = per_s.max(LEAST_PER_S);
   // Who names less is given more than that already: nothing comes on top.
   let least_burst = if per_s < LEAST_PER_S { 1.0 } else { BURST };
-  UseLimit {
+  UsageLimit {
     burst: least_burst.max(1.0 + kept_per_s * BURST_S),
     rate_per_s: kept_per_s * KEPT_SHARE,
   }
@@ -45,8 +45,8 @@
 /// assert_eq!(lone_limit(100.0).rate_per_s, counted_limit(100.0).rate_per_s / 4.0);
 /// assert_eq!(lone_limit(100.0).burst, 1.0);
 /// ```
-pub fn lone_limit(per_s: f64) -> UseLimit {
-  UseLimit {
+pub fn lone_limit(per_s: f64) -> UsageLimit {
+  UsageLimit {
     burst: 1.0,
     rate_per_s: counted_limit(per_s).rate_per_s * ALONE_SHARE / ALONE_BOXES as f64,
   }
--- a/src/gateway/decisions/permit_account.rs
+++ b/src/gateway/decisions/permit_account.rs
@@ -5,7 +5,7 @@
 
 use {
   super::use_bucket::UseBucket,
-  crate::{gateway::edge::UseLimit, ids::Name},
+  crate::{gateway::edge::UsageLimit, ids::Name},
   serde::{Deserialize, Serialize},
   std::collections::HashMap,
 };
@@ -51,8 +51,8 @@
 /// The permits at one endpoint.
 ///
 /// ```
-/// use rillford::gateway::{PermitAccount, PermitVerdict, PermitRequest, UseLimit};
-/// let limit = UseLimit { burst: 3.0, rate_per_s: 2.0 };
+/// use rillford::gateway::{PermitAccount, PermitVerdict, PermitRequest, UsageLimit};
+/// let limit = UsageLimit { burst: 3.0, rate_per_s: 2.0 };
 /// let mut account = PermitAccount::new(limit, 0);
 /// let permit_request = PermitRequest { box_name: "north-1".into(), permits: 1, priority: 4, unused: 0 };
 /// // Nothing is there at first: what was sent before the limit was heard is still under way.
@@ -62,7 +62,7 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct PermitAccount {
-  limit: UseLimit,
+  limit: UsageLimit,
   bucket: UseBucket,
   /// When the last of the boxes is called in that found no permit.
   last_turn_ms: u64,
@@ -75,7 +75,7 @@
 
 impl PermitAccount {
   /// An account without a permit.
-  pub fn new(limit: UseLimit, now_ms: u64) -> Self {
+  pub fn new(limit: UsageLimit, now_ms: u64) -> Self {
     Self {
       asked_ms: now_ms,
       bucket: UseBucket::empty(now_ms),
@@ -88,7 +88,7 @@
 
   /// The endpoint names another figure: permits that come from now on come at that rate. A figure that goes up and down with each
   /// answer brings no permit by that.
-  pub fn set_limit(&mut self, limit: UseLimit, now_ms: u64) {
+  pub fn set_limit(&mut self, limit: UsageLimit, now_ms: u64) {
     self.bucket.left(self.limit, now_ms);
     self.limit = limit;
   }
--- a/src/gateway/decisions/permit_book.rs
+++ b/src/gateway/decisions/permit_book.rs
@@ -5,7 +5,7 @@
     endpoint_life::EndpointLife,
     permit_account::{PermitAccount, PermitRequest, PermitVerdict},
   },
-  crate::gateway::edge::UseLimit,
+  crate::gateway::edge::UsageLimit,
   std::collections::HashMap,
 };
 
@@ -23,7 +23,7 @@
   pub fn ask(
     &mut self,
     life: EndpointLife,
-    limit: UseLimit,
+    limit: UsageLimit,
     permit_request: &PermitRequest,
     now_ms: u64,
   ) -> PermitVerdict {
--- a/src/gateway/decisions/use_book.rs
+++ b/src/gateway/decisions/use_book.rs
@@ -11,7 +11,7 @@
     follower_list::FollowerList, peer_use::Peer, recent_use::RecentUse, use_bucket::UseBucket,
     use_verdict::UseVerdict,
   },
-  crate::{gateway::edge::UseLimit, ids::Name},
+  crate::{gateway::edge::UsageLimit, ids::Name},
   serde::{Deserialize, Serialize},
   std::collections::HashMap,
 };
@@ -53,7 +53,7 @@
 /// One organisation's account.
 #[derive(Clone, Debug)]
 struct Account {
-  limit: UseLimit,
+  limit: UsageLimit,
   bucket: UseBucket,
   /// Units that this box has counted since it started.
   total: i64,
@@ -67,9 +67,9 @@
 /// The accounts of a counting box.
 ///
 /// ```
-/// use rillford::gateway::{UseBook, UseLimit, UseVerdict};
+/// use rillford::gateway::{UseBook, UsageLimit, UseVerdict};
 /// let mut book = UseBook::default();
-/// let limit = UseLimit { burst: 100.0, rate_per_s: 10.0 };
+/// let limit = UsageLimit { burst: 100.0, rate_per_s: 10.0 };
 /// let lectures = "lectures".into();
 /// book.set_limits([("lectures".into(), limit)], 0);
 /// assert_eq!(book.admit(&lectures, 80, 0), UseVerdict::Within);
@@ -92,7 +92,7 @@
 
 impl UseBook {
   /// Puts limits in force. Of organisations that have none any more the totals are kept, since others go by their growth.
-  pub fn set_limits(&mut self, limits: impl IntoIterator<Item = (Name, UseLimit)>, now_ms: u64) {
+  pub fn set_limits(&mut self, limits: impl IntoIterator<Item = (Name, UsageLimit)>, now_ms: u64) {
     let mut accounts = HashMap::new();
     for (name, limit) in limits {
       let account = match self.accounts.remove(&name) {
@@ -114,7 +114,7 @@
   }
 
   /// An organisation's limit; nothing when it has none.
-  pub fn limit(&self, organisation: &str) -> Option<UseLimit> {
+  pub fn limit(&self, organisation: &str) -> Option<UsageLimit> {
     self.accounts.get(organisation).map(|account| account.limit)
   }
 
@@ -153,14 +153,14 @@
   }
 
   /// Units that are left of an organisation's limit; nothing when it has none.
-  pub fn left(&mut self, organisation: &str, now_ms: u64) -> Option<(f64, UseLimit)> {
+  pub fn left(&mut self, organisation: &str, now_ms: u64) -> Option<(f64, UsageLimit)> {
     let account = self.accounts.get_mut(organisation)?;
     let left = account.bucket.left(account.limit, now_ms);
     Some((left, account.limit))
   }
 
   /// All organisations that are limited, each with the units that are left.
-  pub fn standings(&mut self, now_ms: u64) -> Vec<(Name, f64, UseLimit)> {
+  pub fn standings(&mut self, now_ms: u64) -> Vec<(Name, f64, UsageLimit)> {
     let names: Vec<Name> = self.accounts.keys().cloned().collect();
     let mut standings = Vec::new();
     for name in names {
@@ -267,7 +267,7 @@
 }
 
 impl Account {
-  fn new(limit: UseLimit, former_total: Option<i64>, now_ms: u64) -> Self {
+  fn new(limit: UsageLimit, former_total: Option<i64>, now_ms: u64) -> Self {
     let total = former_total.unwrap_or(0);
     Self {
       bucket: UseBucket::full(limit, now_ms),
@@ -279,7 +279,7 @@
     }
   }
 
-  fn with_limit(mut self, limit: UseLimit, now_ms: u64) -> Self {
+  fn with_limit(mut self, limit: UsageLimit, now_ms: u64) -> Self {
     if limit != self.limit {
       self.bucket.change(self.limit, limit, now_ms);
       self.limit = limit;
--- a/src/gateway/decisions/use_ledger.rs
+++ b/src/gateway/decisions/use_ledger.rs
@@ -9,7 +9,7 @@
   super::{
     limit_way::LimitWay, recent_use::RecentUse, use_bucket::UseBucket, use_verdict::UseVerdict,
   },
-  crate::{gateway::edge::UseLimit, ids::Name},
+  crate::{gateway::edge::UsageLimit, ids::Name},
   std::collections::{BTreeMap, HashMap},
 };
 
@@ -28,7 +28,7 @@
   /// The organisation.
   pub organisation: &'a Name,
   /// Its limit over all boxes.
-  pub limit: UseLimit,
+  pub limit: UsageLimit,
   /// What the request counts.
   pub units: u64,
   /// How many boxes there are.
@@ -57,9 +57,9 @@
 /// The limits as a box that does not count sees them.
 ///
 /// ```
-/// use rillford::gateway::{LimitWay, LocalVerdict, UseLedger, UseLimit, UseRequest, UseVerdict};
+/// use rillford::gateway::{LimitWay, LocalVerdict, UseLedger, UsageLimit, UseRequest, UseVerdict};
 /// let lectures = "lectures".into();
-/// let limit = UseLimit { burst: 100.0, rate_per_s: 10.0 };
+/// let limit = UsageLimit { burst: 100.0, rate_per_s: 10.0 };
 /// let mut ledger = UseLedger::default();
 /// ledger.heard(vec![], 0);
 /// let request = UseRequest { boxes: 10, limit, now_ms: 0, organisation: &lectures, units: 80 };
@@ -86,8 +86,8 @@
 #[derive(Clone, Copy, Debug)]
 struct OwnPart {
   /// The limit that it is a part of.
-  of: UseLimit,
-  part: UseLimit,
+  of: UsageLimit,
+  part: UsageLimit,
   bucket: UseBucket,
 }
 
@@ -273,19 +273,19 @@
 }
 
 /// The part of a limit with a rate; it holds one request at least.
-fn part_of(request: UseRequest, rate_per_s: f64) -> UseLimit {
-  let UseLimit {
+fn part_of(request: UseRequest, rate_per_s: f64) -> UsageLimit {
+  let UsageLimit {
     burst,
     rate_per_s: whole_per_s,
   } = request.limit;
-  UseLimit {
+  UsageLimit {
     burst: (burst * rate_per_s / whole_per_s).max(request.units as f64),
     rate_per_s,
   }
 }
 
 impl OwnPart {
-  fn new(of: UseLimit, part: UseLimit, now_ms: u64) -> Self {
+  fn new(of: UsageLimit, part: UsageLimit, now_ms: u64) -> Self {
     Self {
       bucket: UseBucket::full(part, now_ms),
       of,
@@ -296,7 +296,7 @@
 
 impl ShortLimit {
   /// Whether a request is within what was left when it was heard, less what was admitted since.
-  fn verdict(&self, limit: UseLimit, units: u64) -> UseVerdict {
+  fn verdict(&self, limit: UsageLimit, units: u64) -> UseVerdict {
     let wanted = (units as f64).min(limit.burst);
     if self.left >= wanted {
       return UseVerdict::Within;
--- a/src/gateway/edge/mod.rs
+++ b/src/gateway/edge/mod.rs
@@ -19,7 +19,7 @@
   decode_error::DecodeError,
   endpoint_entry::EndpointEntry,
   endpoint_notice::{EndpointNotice, LimitHeader, UnreadableNotice},
-  organisation::{Organisation, Organisations, UsageUnit, UseLimit},
+  organisation::{Organisation, Organisations, UsageLimit, UsageUnit},
   platform_codec::{
     EndpointCall, EngineReport, Export, PlatformCodec, ProxyHeaders, ReportedLoad,
     ResponseAttributes, RoleChange, Stage,
--- a/src/gateway/edge/organisation.rs
+++ b/src/gateway/edge/organisation.rs
@@ -3,7 +3,11 @@
 use {
   super::{caller_attributes::CallerAttributes, decode_error::DecodeError, region_set::RegionSet},
   crate::{configuration::KeyTable, ids::Name},
-  std::{collections::HashMap, rc::Rc},
+  std::{
+    collections::HashMap,
+    fmt::{self, Debug, Formatter},
+    rc::Rc,
+  },
 };
 
 /// The unit in which an organisation's usage is measured.
@@ -19,14 +23,25 @@
 }
 
 /// The limit of an organisation's usage over all boxes: a token bucket.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct UseLimit {
+#[derive(Clone, Copy, PartialEq)]
+pub struct UsageLimit {
   /// Units refilled per second.
   pub rate_per_s: f64,
   /// Capacity of the bucket, in units.
   pub burst: f64,
 }
 
+/// Prints the name that operators know from the log.
+impl Debug for UsageLimit {
+  fn fmt(&self, formatter: &mut Formatter) -> fmt::Result {
+    formatter
+      .debug_struct("UseLimit")
+      .field("rate_per_s", &self.rate_per_s)
+      .field("burst", &self.burst)
+      .finish()
+  }
+}
+
 /// One organisation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Organisation {
@@ -39,7 +54,7 @@
   /// The unit of its limit.
   pub unit: UsageUnit,
   /// Its limit; `None` when unlimited.
-  pub limit: Option<UseLimit>,
+  pub limit: Option<UsageLimit>,
 }
 
 impl Organisation {
--- a/src/gateway/edge/route_table.rs
+++ b/src/gateway/edge/route_table.rs
@@ -2,7 +2,7 @@
 
 use {
   super::{
-    organisation::{Organisations, UseLimit},
+    organisation::{Organisations, UsageLimit},
     region_set::RegionSet,
   },
   crate::ids::Name,
@@ -188,7 +188,7 @@
   }
 
   /// The organisations with a limit.
-  pub fn limited(&self) -> impl Iterator<Item = (&Name, UseLimit)> {
+  pub fn limited(&self) -> impl Iterator<Item = (&Name, UsageLimit)> {
     let organisations = self.organisations.iter().flat_map(Organisations::iter);
     organisations.filter_map(|organisation| Some((&organisation.name, organisation.limit?)))
   }
--- a/src/gateway/edge/store.rs
+++ b/src/gateway/edge/store.rs
@@ -4,7 +4,10 @@
   crate::ids::Name,
   bytes::Bytes,
   serde::{Deserialize, Serialize},
-  std::time::Duration,
+  std::{
+    fmt::{self, Debug, Formatter},
+    time::Duration,
+  },
 };
 
 /// The subject of a store key.
@@ -72,7 +75,7 @@
 }
 
 /// The box that leads the assignment of engine roles.
-#[derive(Clone, Debug, Eq, PartialEq)]
+#[derive(Clone, Eq, PartialEq)]
 pub struct RoleLeadership {
   /// The leader.
   pub holder: Name,
@@ -80,6 +83,17 @@
   pub fence: u64,
 }
 
+/// Prints the name that operators know from the log.
+impl Debug for RoleLeadership {
+  fn fmt(&self, formatter: &mut Formatter) -> fmt::Result {
+    formatter
+      .debug_struct("Stewardship")
+      .field("holder", &self.holder)
+      .field("fence", &self.fence)
+      .finish()
+  }
+}
+
 /// A lease of the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StoreLease(pub u64);
--- a/src/gateway/limits/admission.rs
+++ b/src/gateway/limits/admission.rs
@@ -8,7 +8,7 @@
   crate::{
     gateway::{
       decisions::{LocalVerdict, UseRequest, UseVerdict},
-      edge::{CallerAttributes, Organisation, UseLimit},
+      edge::{CallerAttributes, Organisation, UsageLimit},
       state::Gateway,
     },
     ids::Name,
@@ -112,7 +112,7 @@
 async fn admit_by_ledger(
   gateway: &Gateway,
   name: &Name,
-  limit: UseLimit,
+  limit: UsageLimit,
   units: u64,
 ) -> UseVerdict {
   let request = || UseRequest {
--- a/src/gateway/limits/figures.rs
+++ b/src/gateway/limits/figures.rs
@@ -2,7 +2,7 @@
 
 use {
   crate::{
-    gateway::{edge::UseLimit, state::Gateway},
+    gateway::{edge::UsageLimit, state::Gateway},
     ids::Name,
   },
   std::fmt::Write,
@@ -29,10 +29,10 @@
   text
 }
 
-fn nearest_to_limits(gateway: &Gateway) -> Vec<(Name, f64, UseLimit)> {
+fn nearest_to_limits(gateway: &Gateway) -> Vec<(Name, f64, UsageLimit)> {
   let now_ms = gateway.now_ms();
   let mut all = gateway.use_book.borrow_mut().standings(now_ms);
-  let left_share = |left: f64, limit: UseLimit| left / limit.burst.max(1.0);
+  let left_share = |left: f64, limit: UsageLimit| left / limit.burst.max(1.0);
   all.sort_by(|one, other| {
     left_share(one.1, one.2)
       .total_cmp(&left_share(other.1, other.2))
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -43,7 +43,7 @@
     PlatformCodec, PromptSegment, ProxyHeaders, ReadConsistency, RegionSet, ReportedLoad,
     ResponseAttributes, RoleChange, RoleLeadership, Route, RouteKind, RouteTable, ServiceSpec,
     Stage, Store, StoreChanges, StoreError, StoreItem, StoreKey, StoreLease, StorePage,
-    UnreadableNotice, UsageUnit, UseLimit, WeightedService,
+    UnreadableNotice, UsageLimit, UsageUnit, WeightedService,
   },
   process::run_gateway,
   requests::{EventCutter, WholeEvent},
--- a/src/gateway/settings/limits.rs
+++ b/src/gateway/settings/limits.rs
@@ -1,7 +1,7 @@
 //! How organisations' limits are kept, and how closely.
 
 use {
-  crate::gateway::{decisions::LimitWay, edge::UseLimit},
+  crate::gateway::{decisions::LimitWay, edge::UsageLimit},
   serde::Deserialize,
 };
 
@@ -12,10 +12,10 @@
 /// `[limits]` in the settings.
 ///
 /// ```
-/// use rillford::gateway::{LimitSettings, UseLimit};
+/// use rillford::gateway::{LimitSettings, UsageLimit};
 /// let settings = LimitSettings { overage: 0.5, slack_units: 400.0, ..LimitSettings::default() };
-/// let kept = settings.kept(UseLimit { burst: 1_000.0, rate_per_s: 100.0 });
-/// assert_eq!(kept, UseLimit { burst: 1_100.0, rate_per_s: 112.5 });
+/// let kept = settings.kept(UsageLimit { burst: 1_000.0, rate_per_s: 100.0 });
+/// assert_eq!(kept, UsageLimit { burst: 1_100.0, rate_per_s: 112.5 });
 /// ```
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
@@ -31,8 +31,8 @@
 impl LimitSettings {
   /// The limit that boxes keep: a little above the operators', so that callers who are inside it are not refused because
   /// counts of different boxes meet late.
-  pub fn kept(&self, limit: UseLimit) -> UseLimit {
-    UseLimit {
+  pub fn kept(&self, limit: UsageLimit) -> UsageLimit {
+    UsageLimit {
       burst: limit.burst + self.slack_units * GIVEN_SHARE,
       rate_per_s: limit.rate_per_s * (1.0 + self.overage * GIVEN_SHARE),
     }
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -7,7 +7,7 @@
   proptest::{prelude::*, proptest},
   rillford::{
     gateway::{
-      LimitWay, LocalVerdict, ToldSpan, UseBook, UseLedger, UseLimit, UseRequest, UseTotals,
+      LimitWay, LocalVerdict, ToldSpan, UsageLimit, UseBook, UseLedger, UseRequest, UseTotals,
       UseVerdict,
     },
     ids::Name,
@@ -87,8 +87,8 @@
   assert!(most_used(&plays) < 1.25, "{plays:?}");
 }
 
-fn limit() -> UseLimit {
-  UseLimit {
+fn limit() -> UsageLimit {
+  UsageLimit {
     burst: 100.0,
     rate_per_s: 100.0,
   }
@@ -169,7 +169,7 @@
 #[test]
 fn limit_that_is_lowered_or_raised_holds_at_once() {
   let mut book = book(0);
-  let lower = UseLimit {
+  let lower = UsageLimit {
     burst: 10.0,
     rate_per_s: 10.0,
   };
