--- a/emulator/src/log_summary.rs
+++ b/emulator/src/log_summary.rs
@@ -25,7 +25,7 @@
 ///
 /// ```
 /// use emulator::log_summary::log_summary;
-/// let log = "5100 INFO E510 streaming: r1 at e with status 200 OK, read by p: seat 4 ms, prompt 90 ms, head 8 ms, \
+/// let log = "5100 INFO E510 streaming: r1 at e with status 200 OK, prefilled by p: seat 4 ms, prompt 90 ms, head 8 ms, \
 ///   104 ms after arrival, try 1\n5200 INFO E504 no seat: r2 waited 450 of 450 ms\nno line of a box\n";
 /// let table = log_summary(log.as_bytes(), 2).unwrap();
 /// assert!(table.ends_with("| 0 | 1 | 4 | 90 | 8 | 1 | 0 | 0 | 0 |\n"), "{table}");
--- a/src/gateway/connections/connection.rs
+++ b/src/gateway/connections/connection.rs
@@ -65,7 +65,7 @@
       .await
       .map_err(|_| SendError::Unreachable)?
       .map_err(|error| unsent(&error))?;
-    set_limits(&stream).map_err(|error| unsent(&error))?;
+    set_socket_options(&stream).map_err(|error| unsent(&error))?;
     let (sender, connection) = http1::Builder::new()
       .max_buf_size(BUFFER_BYTES)
       .handshake(TokioIo::new(stream))
@@ -116,7 +116,7 @@
 }
 
 /// Bounds the silence of a connection whose path is cut.
-pub(crate) fn set_limits(stream: &TcpStream) -> io::Result<()> {
+pub(crate) fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
   stream.set_nodelay(true)?;
   let socket = SockRef::from(stream);
   socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))?;
--- a/src/gateway/connections/mod.rs
+++ b/src/gateway/connections/mod.rs
@@ -15,6 +15,6 @@
 pub(crate) use self::{
   accept::{accept, serve_port},
   box_message::{message_answer, read_message, send_message, status_answer},
-  connection::{Connection, SendError, set_limits},
+  connection::{Connection, SendError, set_socket_options},
   connection_pool::ConnectionPool,
 };
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -46,7 +46,7 @@
     UnreadableNotice, UsageLimit, UsageUnit, WeightedService,
   },
   process::run_gateway,
-  requests::{EventCutter, WholeEvent},
+  requests::{EventSplitter, SseEvent},
   settings::{
     EnginePriority, EngineSettings, GatewayBounds, GatewayIdentity, GatewayListen, GatewaySettings,
     LimitSettings, Mechanisms, PolicySettings, QuarantineSettings, RoutePolicy, RouteRank,
--- a/src/gateway/requests/event_source.rs
+++ b/src/gateway/requests/event_relay.rs
@@ -1,9 +1,9 @@
-//! A stream's events on their way to the caller, over all engines that write it.
+//! Forwards the events of a stream to the caller, across all engines that generate it.
 
 use {
   super::{
-    answer::{ResponseBody, StreamAborted},
-    event_cutter::EventCutter,
+    event_splitter::EventSplitter,
+    response::{ResponseBody, StreamAborted},
     stream_request::StreamRequest,
     stream_send::SILENCE_MS,
   },
@@ -21,27 +21,27 @@
   tokio::time::timeout,
 };
 
-/// Where the caller's events come from, over all engines that write the answer.
-pub(crate) struct EventSource {
+/// Forwards the events of a stream, and resumes it at another engine when it is interrupted.
+pub(crate) struct EventRelay {
   stream: StreamRequest,
   head: Option<ResponseHead>,
-  cutter: EventCutter,
+  splitter: EventSplitter,
   ended: bool,
-  first_event_noted: bool,
-  /// When the last event went to the caller.
+  first_event_recorded: bool,
+  /// When the last event was forwarded.
   last_event_ms: Option<u64>,
-  /// The longest pause between two events so far.
+  /// The longest time between two events so far.
   longest_pause_ms: u64,
-  /// Held until the caller has the last event.
+  /// Held until the last event was forwarded.
   _in_flight: InFlight,
 }
 
-impl EventSource {
+impl EventRelay {
   pub(crate) fn new(stream: StreamRequest, head: ResponseHead, in_flight: InFlight) -> Self {
     Self {
-      cutter: EventCutter::default(),
+      splitter: EventSplitter::default(),
       ended: false,
-      first_event_noted: false,
+      first_event_recorded: false,
       last_event_ms: None,
       longest_pause_ms: 0,
       head: Some(head),
@@ -50,7 +50,7 @@
     }
   }
 
-  /// The body that the caller gets.
+  /// The body of the response to the caller.
   pub(crate) fn into_body(self) -> ResponseBody {
     let events = stream::unfold(self, |mut source| async move {
       let item = source.next().await?;
@@ -59,19 +59,19 @@
     Box::pin(StreamBody::new(events))
   }
 
-  /// The next bytes for the caller; nothing after the whole stream.
+  /// The next bytes for the caller; `None` after the stream's end.
   async fn next(&mut self) -> Option<Result<Bytes, StreamAborted>> {
     loop {
       if self.ended {
         return None;
       }
-      if let Some(event) = self.cutter.next_event() {
+      if let Some(event) = self.splitter.next_event() {
         if let (Some(id), Some(last)) = (event.id, self.stream.last_event_id)
           && id <= last
         {
           continue;
         }
-        self.note_event(event.id);
+        self.record_event(event.id);
         return Some(Ok(event.bytes));
       }
       match self.read().await {
@@ -79,15 +79,15 @@
         Ok(false) => return self.finish(),
         Err(error) => {
           if let Err(error) = self.resume(error).await {
-            return Some(Err(self.break_off(error)));
+            return Some(Err(self.abort(error)));
           }
         }
       }
     }
   }
 
-  /// An event goes to the caller: a resumed stream goes on behind it.
-  fn note_event(&mut self, id: Option<u64>) {
+  /// Records that an event is forwarded: a resumed stream continues after it.
+  fn record_event(&mut self, id: Option<u64>) {
     if id.is_some() {
       self.stream.last_event_id = id;
     }
@@ -95,8 +95,8 @@
     if let Some(last_ms) = self.last_event_ms.replace(now_ms) {
       self.longest_pause_ms = self.longest_pause_ms.max(now_ms - last_ms);
     }
-    if !self.first_event_noted {
-      self.first_event_noted = true;
+    if !self.first_event_recorded {
+      self.first_event_recorded = true;
       let took_ms = self.stream.gateway.now_ms() - self.stream.request.arrived_ms;
       self.stream.gateway.counters.first_event_ms.note(took_ms);
       log::info!(
@@ -106,7 +106,7 @@
     }
   }
 
-  /// Reads on; `false` at the stream's end.
+  /// Reads the next bytes from the engine; `false` at the stream's end.
   async fn read(&mut self) -> Result<bool, String> {
     let Some(head) = &mut self.head else {
       return Err("no endpoint".into());
@@ -115,19 +115,19 @@
       .stream
       .request
       .remaining_ms(self.stream.gateway.now_ms());
-    let limit_ms = if self.stream.may_retry() {
+    let timeout_ms = if self.stream.may_retry() {
       remaining_ms.min(SILENCE_MS)
     } else {
       remaining_ms
     };
-    let Ok(frame) = timeout(Duration::from_millis(limit_ms), head.body.frame()).await else {
-      return self.silent(limit_ms, remaining_ms).await;
+    let Ok(frame) = timeout(Duration::from_millis(timeout_ms), head.body.frame()).await else {
+      return self.handle_silence(timeout_ms, remaining_ms).await;
     };
-    self.take(frame)
+    self.push_frame(frame)
   }
 
-  /// The endpoint has been silent. It is given up once another one has a seat, or when the time is over.
-  async fn silent(&mut self, silent_ms: u64, remaining_ms: u64) -> Result<bool, String> {
+  /// Handles a silent engine: it is abandoned once another one has a free slot, or at the deadline.
+  async fn handle_silence(&mut self, silent_ms: u64, remaining_ms: u64) -> Result<bool, String> {
     let Some(head) = &mut self.head else {
       return Err("no endpoint".into());
     };
@@ -139,27 +139,29 @@
     if !self.stream.prepare_takeover().await {
       return Ok(true);
     }
-    // It may have gone on while a seat was looked for.
+    // The engine may have sent more in the meantime.
     if let Some(frame) = head.body.frame().now_or_never() {
       self.stream.cancel_takeover();
-      return self.take(frame);
+      return self.push_frame(frame);
     }
     Err(silent)
   }
 
-  fn take(&mut self, frame: Option<hyper::Result<Frame<Bytes>>>) -> Result<bool, String> {
+  fn push_frame(&mut self, frame: Option<hyper::Result<Frame<Bytes>>>) -> Result<bool, String> {
     match frame {
       Some(Ok(frame)) => {
         if let Some(data) = frame.data_ref() {
-          self.cutter.push(data);
+          self.splitter.push(data);
         }
-        if self.cutter.is_overlong() {
-          return Err("an event is too long".into());
+        if self.splitter.is_overlong() {
+          return Err("event too long".into());
         }
         Ok(true)
       }
       Some(Err(error)) => Err(error.to_string()),
-      None if self.cutter.has_rest() && !self.is_framed() => Err("ended within an event".into()),
+      None if self.splitter.has_rest() && !self.is_framed() => {
+        Err("stream ended within an event".into())
+      }
       None => Ok(false),
     }
   }
@@ -168,12 +170,12 @@
     self.head.as_ref().is_some_and(ResponseHead::is_framed)
   }
 
-  /// The stream is whole: the last bytes, if any are left.
+  /// Completes the stream; returns the remaining bytes, if any.
   fn finish(&mut self) -> Option<Result<Bytes, StreamAborted>> {
     self.ended = true;
     let gateway = self.stream.gateway.clone();
     log::info!(
-      "E515 streamed: {} whole to event {:?}, {} ms after arrival, tried {}, longest pause {} ms",
+      "E515 stream complete: {} to event {:?}, {} ms after arrival, tried {}, longest pause {} ms",
       self.stream.request.id(),
       self.stream.last_event_id,
       gateway.now_ms() - self.stream.request.arrived_ms,
@@ -187,15 +189,15 @@
       head.load_guard.answered();
       gateway.rest(head.connection, &head.raw_headers);
     }
-    let rest = self.cutter.take_rest();
+    let rest = self.splitter.take_rest();
     (!rest.is_empty()).then_some(Ok(rest))
   }
 
-  /// Has another engine go on after the last whole event.
+  /// Resumes the stream at another engine, after the last complete event.
   async fn resume(&mut self, error: String) -> Result<(), String> {
     let request = self.stream.request.clone();
     log::info!(
-      "E506 stream broke: {} after event {:?}: {error}",
+      "E506 stream interrupted: {} after event {:?}: {error}",
       request.id(),
       self.stream.last_event_id
     );
@@ -208,11 +210,15 @@
         sent_ms: head.sent_ms,
       };
       note_lost(&self.stream.gateway, &request, lost).await;
-      self.stream.wrote_it = Some(head.connection.endpoint.clone());
+      self.stream.interrupted_at = Some(head.connection.endpoint.clone());
     }
-    self.cutter = EventCutter::default();
+    self.splitter = EventSplitter::default();
     let remaining_ms = request.remaining_ms(self.stream.gateway.now_ms());
-    if remaining_ms == 0 || !self.stream.may_try_again(&StageError::Lost(String::new())) {
+    if remaining_ms == 0
+      || !self
+        .stream
+        .may_continue_after(&StageError::Lost(String::new()))
+    {
       return Err(error);
     }
     match timeout(Duration::from_millis(remaining_ms), self.stream.begin()).await {
@@ -221,29 +227,26 @@
         self.head = Some(head);
         Ok(())
       }
-      Ok(Err(_)) => Err(format!("no endpoint resumes it after: {error}")),
-      Err(_) => Err("time is over".into()),
+      Ok(Err(_)) => Err(format!("no endpoint resumed the stream after: {error}")),
+      Err(_) => Err("deadline exceeded".into()),
     }
   }
 
-  /// Ends the stream so that the caller sees that its end is missing.
-  fn break_off(&mut self, error: String) -> StreamAborted {
+  /// Aborts the stream, so that the caller sees that it is incomplete.
+  fn abort(&mut self, error: String) -> StreamAborted {
     self.ended = true;
     self.stream.gateway.counters.broken_streams.inc();
-    log::info!(
-      "E507 stream broken off: {}: {error}",
-      self.stream.request.id()
-    );
+    log::info!("E507 stream aborted: {}: {error}", self.stream.request.id());
     StreamAborted(error)
   }
 }
 
-impl Drop for EventSource {
+impl Drop for EventRelay {
   fn drop(&mut self) {
     if !self.ended {
       self.stream.gateway.counters.callers_gone.inc();
       log::info!(
-        "E516 caller left: {} after event {:?}",
+        "E516 caller disconnected: {} after event {:?}",
         self.stream.request.id(),
         self.stream.last_event_id
       );
--- a/src/gateway/requests/event_cutter.rs
+++ b/src/gateway/requests/event_splitter.rs
@@ -1,71 +1,70 @@
-//! Cuts a stream of bytes into whole events, so that a broken stream ends between two of them.
+//! Splits a byte stream into server-sent events, so that an interrupted stream ends between two of them.
 
 use bytes::{Bytes, BytesMut};
 
-/// The most bytes that one event may have.
+/// The longest event.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 /// The blank line that ends an event.
 const EVENT_END: &[u8] = b"\n\n";
 
-/// One whole event, with its bytes as they came.
+/// One complete event.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct WholeEvent {
-  /// The bytes, the blank line included.
+pub struct SseEvent {
+  /// The bytes as received, including the blank line.
   pub bytes: Bytes,
-  /// Its id; nothing when it states no number.
+  /// Its id; `None` when it is missing or not a number.
   pub id: Option<u64>,
 }
 
-/// Holds the part of an event that has come so far.
+/// Buffers the incomplete event at the end of the stream.
 ///
 /// ```
-/// use rillford::gateway::EventCutter;
-/// let mut cutter = EventCutter::default();
-/// cutter.push(b"id: 7\ndata: a\n\nid: 8\nda");
-/// let event = cutter.next_event().unwrap();
+/// use rillford::gateway::EventSplitter;
+/// let mut splitter = EventSplitter::default();
+/// splitter.push(b"id: 7\ndata: a\n\nid: 8\nda");
+/// let event = splitter.next_event().unwrap();
 /// assert_eq!(event.id, Some(7));
-/// assert!(cutter.next_event().is_none());
-/// assert!(cutter.has_rest());
+/// assert!(splitter.next_event().is_none());
+/// assert!(splitter.has_rest());
 /// ```
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
   rest: BytesMut,
 }
 
-impl EventCutter {
-  /// Adds bytes.
+impl EventSplitter {
+  /// Appends received bytes.
   pub fn push(&mut self, bytes: &[u8]) {
     self.rest.extend_from_slice(bytes);
   }
 
-  /// The next whole event.
-  pub fn next_event(&mut self) -> Option<WholeEvent> {
+  /// Removes and returns the next complete event.
+  pub fn next_event(&mut self) -> Option<SseEvent> {
     let end = self
       .rest
       .windows(EVENT_END.len())
       .position(|window| window == EVENT_END)?;
     let bytes = self.rest.split_to(end + EVENT_END.len()).freeze();
     let id = event_id(&bytes);
-    Some(WholeEvent { bytes, id })
+    Some(SseEvent { bytes, id })
   }
 
-  /// Whether a part of an event is left.
+  /// Whether an incomplete event is buffered.
   pub fn has_rest(&self) -> bool {
     !self.rest.is_empty()
   }
 
-  /// Whether the part of an event is longer than any event may be.
+  /// Whether the incomplete event exceeds the longest event.
   pub fn is_overlong(&self) -> bool {
     self.rest.len() > MAX_EVENT_BYTES
   }
 
-  /// Takes the part that is left.
+  /// Removes and returns the incomplete event.
   pub fn take_rest(&mut self) -> Bytes {
     self.rest.split().freeze()
   }
 }
 
-/// The id that an event states; nothing when it has none, or one that is no number.
 fn event_id(bytes: &[u8]) -> Option<u64> {
   let text = std::str::from_utf8(bytes).ok()?;
   let id = text.lines().find_map(|line| line.strip_prefix("id:"))?;
--- a/src/gateway/requests/front.rs
+++ b/src/gateway/requests/frontend.rs
@@ -1,14 +1,14 @@
-//! Callers' connections and requests.
+//! Accepts callers' connections, and reads, routes and admits their requests.
 
 use {
   super::{
-    answer::{LocalReply, ResponseBody},
-    caller_identity::identify,
-    plain::answer_plain,
-    stream::answer_stream,
+    authentication::authenticate,
+    response::{LocalReply, ResponseBody},
+    stream::serve_stream,
+    unary::serve_unary,
   },
   crate::gateway::{
-    connections::{accept, remove_connection_headers, set_limits},
+    connections::{accept, remove_connection_headers, set_socket_options},
     decisions::{AllowedHalls, RETRY_AFTER_LEAVING_MS, RETRY_AFTER_NO_CONFIGURATION_MS},
     edge::{RouteKind, RouteTable},
     limits::{Beyond, Charge, admit},
@@ -39,21 +39,22 @@
   },
 };
 
-/// How long a connection may rest before a configuration says so.
-const REST_MS: u64 = 60_000;
-/// The connection's one timer covers its rest and the next head: it must outlast both, also after a change.
-const REST_FACTOR: u64 = 2;
-/// The longest head before a configuration says so.
-const HEAD_BYTES: usize = 16 * 1024;
-/// The smallest buffer that the HTTP library takes.
-const LEAST_BUFFER_BYTES: usize = 8 * 1024;
+/// Timeout of an idle connection before a configuration is known.
+const DEFAULT_IDLE_TIMEOUT_MS: u64 = 60_000;
+/// The HTTP library has one timer for the idle time and the next request head: it must outlast both, also when a new
+/// configuration raises the idle timeout.
+const IDLE_TIMEOUT_FACTOR: u64 = 2;
+/// The longest request head before a configuration is known.
+const DEFAULT_MAX_HEAD_BYTES: usize = 16 * 1024;
+/// The smallest buffer that the HTTP library accepts.
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
-/// What a request is told while the configuration that it needs has not come.
+/// The response while the configuration that a request needs is missing.
 const NO_CONFIGURATION: LocalReply = LocalReply::NotRun {
   retry_after_ms: RETRY_AFTER_NO_CONFIGURATION_MS,
 };
 
-/// Accepts callers until the process ends.
+/// Accepts callers' connections until the box has stopped serving.
 pub(crate) async fn accept_callers(gateway: Rc<Gateway>, listener: TcpListener) {
   let mut phase = gateway.phase.subscribe();
   loop {
@@ -64,44 +65,44 @@
     gateway.connections.set(gateway.connections.get() + 1);
     let gateway = gateway.clone();
     spawn_local(async move {
-      serve_caller(gateway.clone(), stream).await;
+      serve_connection(gateway.clone(), stream).await;
       gateway.connections.set(gateway.connections.get() - 1);
     });
   }
 }
 
-/// Serves one connection until it ends; what rests is closed once the box is closing.
-async fn serve_caller(gateway: Rc<Gateway>, stream: TcpStream) {
-  if let Err(error) = set_limits(&stream) {
-    log::debug!("a caller's connection ended at once: {error}");
+/// Serves one connection until it is closed; an idle one is closed when the box shuts down.
+async fn serve_connection(gateway: Rc<Gateway>, stream: TcpStream) {
+  if let Err(error) = set_socket_options(&stream) {
+    log::debug!("socket options of a caller's connection not set: {error}");
     return;
   }
   let limits = gateway.table().map(|table| table.limits());
-  let rest_ms = limits.map_or(REST_MS, |limits| {
-    limits.idle_ms * REST_FACTOR + limits.head_ms
+  let timeout_ms = limits.map_or(DEFAULT_IDLE_TIMEOUT_MS, |limits| {
+    limits.idle_ms * IDLE_TIMEOUT_FACTOR + limits.head_ms
   });
-  let head_bytes = limits.map_or(HEAD_BYTES, |limits| limits.head_bytes);
+  let head_bytes = limits.map_or(DEFAULT_MAX_HEAD_BYTES, |limits| limits.head_bytes);
   let mut phase = gateway.phase.subscribe();
   let service = service_fn(move |request| handle(gateway.clone(), request));
   let connection = http1::Builder::new()
     .timer(TokioTimer::new())
-    .header_read_timeout(Duration::from_millis(rest_ms))
-    .max_buf_size(head_bytes.max(LEAST_BUFFER_BYTES))
+    .header_read_timeout(Duration::from_millis(timeout_ms))
+    .max_buf_size(head_bytes.max(MIN_BUFFER_BYTES))
     .serve_connection(TokioIo::new(stream), service);
   let mut connection = pin!(connection);
-  let ended = tokio::select! {
-    ended = connection.as_mut() => ended,
+  let result = tokio::select! {
+    result = connection.as_mut() => result,
     _ = phase.wait_for(|phase| *phase >= Phase::Closing) => {
       connection.as_mut().graceful_shutdown();
       connection.await
     }
   };
-  if let Err(error) = ended {
-    log::debug!("a caller's connection ended: {error}");
+  if let Err(error) = result {
+    log::debug!("a caller's connection failed: {error}");
   }
 }
 
-/// Answers one request, and asks its caller to go elsewhere while the box is leaving.
+/// Serves one request. While the box shuts down, the response asks the caller to close the connection.
 async fn handle(
   gateway: Rc<Gateway>,
   request: Request<Incoming>,
@@ -110,7 +111,7 @@
   gateway.counters.requests.inc();
   let arrived_ms = gateway.now_ms();
   let mut response = respond(gateway.clone(), request, in_flight).await;
-  count(&gateway, &response, arrived_ms);
+  count_response(&gateway, &response, arrived_ms);
   if *gateway.phase.borrow() != Phase::Serving {
     response
       .headers_mut()
@@ -119,8 +120,8 @@
   Ok(response)
 }
 
-/// Counts an answer by its status.
-fn count(gateway: &Gateway, response: &Response<ResponseBody>, arrived_ms: u64) {
+/// Counts a response by its status.
+fn count_response(gateway: &Gateway, response: &Response<ResponseBody>, arrived_ms: u64) {
   let counters = &gateway.counters;
   match response.status().as_u16() {
     200..300 => {
@@ -135,19 +136,19 @@
   }
 }
 
-/// The answer to a request, from an endpoint or this box's own.
+/// The response to a request, from an endpoint or generated by this box.
 async fn respond(
   gateway: Rc<Gateway>,
   request: Request<Incoming>,
   in_flight: InFlight,
 ) -> Response<ResponseBody> {
-  match route(&gateway, request).await {
+  match route_request(&gateway, request).await {
     Ok(request) => serve_routed(gateway, request, in_flight).await,
-    Err(own) => own.response(),
+    Err(reply) => reply.response(),
   }
 }
 
-/// The answer to a request that has a route.
+/// Serves a request that has a route, unless it is quarantined.
 async fn serve_routed(
   gateway: Rc<Gateway>,
   request: RoutedRequest,
@@ -162,7 +163,7 @@
   response
 }
 
-/// The answer to a request that may be sent, if it is within its organisation's limit.
+/// Serves a request that may be sent, if it is within its organisation's limit.
 async fn serve_admitted(
   gateway: &Rc<Gateway>,
   request: &Rc<RoutedRequest>,
@@ -170,8 +171,8 @@
 ) -> Response<ResponseBody> {
   match admit_request(gateway, request).await {
     Ok(charge) => {
-      let response = answer(gateway.clone(), request.clone(), in_flight).await;
-      // No endpoint's answer says so: a request that has not run.
+      let response = dispatch(gateway.clone(), request.clone(), in_flight).await;
+      // Only this box answers with this status: the request has not run.
       if response.status() == StatusCode::SERVICE_UNAVAILABLE
         && let Some(charge) = charge
       {
@@ -183,7 +184,7 @@
   }
 }
 
-/// Charges a request to its organisation.
+/// Charges a request to its organisation's limit.
 async fn admit_request(
   gateway: &Rc<Gateway>,
   request: &RoutedRequest,
@@ -196,29 +197,32 @@
   }
 }
 
-/// Answers a request that is within its limit.
-async fn answer(
+/// Serves an admitted request as its route's kind requires.
+async fn dispatch(
   gateway: Rc<Gateway>,
   request: Rc<RoutedRequest>,
   in_flight: InFlight,
 ) -> Response<ResponseBody> {
   gateway.note_request(&request.service);
   match request.route.kind {
-    // It would outlast the process.
+    // The stream would outlast the process.
     RouteKind::Stream { .. } if *gateway.phase.borrow() >= Phase::Closing => {
-      log::info!("E605 refused: {} the box is about to stop", request.id());
+      log::info!("E605 rejected: {} the box is about to stop", request.id());
       LocalReply::NotRun {
         retry_after_ms: RETRY_AFTER_LEAVING_MS,
       }
       .response()
     }
-    RouteKind::Stream { .. } => answer_stream(gateway, request, in_flight).await,
-    RouteKind::Retryable | RouteKind::NonRetryable => answer_plain(gateway, request).await,
+    RouteKind::Stream { .. } => serve_stream(gateway, request, in_flight).await,
+    RouteKind::Retryable | RouteKind::NonRetryable => serve_unary(gateway, request).await,
   }
 }
 
-/// Reads a request whole and finds its route.
-async fn route(gateway: &Gateway, request: Request<Incoming>) -> Result<RoutedRequest, LocalReply> {
+/// Reads a whole request and finds its route.
+async fn route_request(
+  gateway: &Gateway,
+  request: Request<Incoming>,
+) -> Result<RoutedRequest, LocalReply> {
   let arrived_ms = gateway.now_ms();
   let (mut head, body) = request.into_parts();
   let host = head
@@ -231,7 +235,7 @@
     .find(host, head.uri.path())
     .cloned()
     .ok_or_else(|| no_route(gateway, &table, host, head.uri.path()))?;
-  let organisation = identify(gateway, &table, &route, &mut head.headers)?;
+  let organisation = authenticate(gateway, &table, &route, &mut head.headers)?;
   let mut attributes = gateway.codec.caller_attributes(&head.headers);
   if !gateway.settings.mechanisms.seat_by_estimate {
     attributes.answer_estimate = None;
@@ -252,13 +256,13 @@
   if gateway.settings.engines.engine_priority == EnginePriority::Organisation {
     rank.engine_priority = rank.priority;
   }
-  let homes = [
+  let region_sets = [
     route.allowed_regions.as_ref(),
     organisation
       .as_ref()
       .and_then(|organisation| organisation.allowed_regions.as_ref()),
   ];
-  let allowed_halls = AllowedHalls::of(&gateway.settings.regions, homes);
+  let allowed_halls = AllowedHalls::of(&gateway.settings.regions, region_sets);
   let mut headers = head.headers;
   remove_connection_headers(&mut headers);
   gateway.codec.remove_reserved(&mut headers);
@@ -280,7 +284,7 @@
   })
 }
 
-/// The answer to a request without a route: a newer configuration that has not come may have one.
+/// The response to a request without a route. While the box is out of contact with the store, a newer configuration may have one.
 fn no_route(gateway: &Gateway, table: &RouteTable, host: &str, path: &str) -> LocalReply {
   let current = gateway.is_current();
   log::info!(
@@ -294,12 +298,12 @@
   }
 }
 
-/// Reads a body within bounds on its length and time.
-async fn read_body(body: Incoming, most_bytes: usize, limit_ms: u64) -> Result<Bytes, LocalReply> {
-  let read = Limited::new(body, most_bytes).collect();
-  match timeout(Duration::from_millis(limit_ms), read).await {
+/// Reads a body within limits on its length and time.
+async fn read_body(body: Incoming, max_bytes: usize, timeout_ms: u64) -> Result<Bytes, LocalReply> {
+  let read = Limited::new(body, max_bytes).collect();
+  match timeout(Duration::from_millis(timeout_ms), read).await {
     Ok(Ok(body)) => Ok(body.to_bytes()),
-    Ok(Err(error)) if error.is::<LengthLimitError>() => Err(LocalReply::TooLong),
+    Ok(Err(error)) if error.is::<LengthLimitError>() => Err(LocalReply::BodyTooLarge),
     Ok(Err(_)) | Err(_) => Err(LocalReply::Malformed),
   }
 }
--- a/src/gateway/requests/mod.rs
+++ b/src/gateway/requests/mod.rs
@@ -1,22 +1,22 @@
-//! The way of a caller's request, in order: `front` reads it and finds its route; `plain` or `stream` answers it. A stream
-//! takes a `seat`, has its `prompt` read, and is sent (`stream_request`, `stream_send`); `event_source` passes the events on
-//! and has another engine go on after a break.
+//! Serves callers' requests. `frontend` reads a request and finds its route; `unary` or `stream` serves it. A stream reserves
+//! a batch `slot`, has its prompt prefilled (`prefill`), and is sent (`stream_request`, `stream_send`); `event_relay` forwards
+//! the events and resumes an interrupted stream at another engine.
 //!
-//! Imports `stages` and what lies below it. A request comes in at [`accept_callers`] and leaves as an `answer`.
+//! Imports `stages` and what it imports. Requests enter at [`accept_callers`].
 
-mod answer;
-mod caller_identity;
-mod event_cutter;
-mod event_source;
-mod front;
-mod plain;
-mod prompt;
-mod resume_seat;
-mod seat;
+mod authentication;
+mod event_relay;
+mod event_splitter;
+mod frontend;
+mod prefill;
+mod response;
+mod resume_slot;
+mod slot;
 mod stream;
 mod stream_request;
 mod stream_send;
+mod unary;
 
-pub use self::event_cutter::{EventCutter, WholeEvent};
+pub use self::event_splitter::{EventSplitter, SseEvent};
 
-pub(crate) use self::front::accept_callers;
+pub(crate) use self::frontend::accept_callers;
--- a/src/gateway/requests/seat.rs
+++ b/src/gateway/requests/slot.rs
@@ -1,4 +1,4 @@
-//! Reserving a seat at a decode engine before a prompt is read for it.
+//! Reserves a batch slot at a decode engine before the prompt is prefilled.
 
 use {
   crate::{
@@ -16,83 +16,82 @@
   tokio::time::{sleep, timeout},
 };
 
-/// A reservation outlasts reading and a retry.
+/// Lifetime of a reservation: long enough for a prefill and a retry.
 const RESERVATION_MS: u64 = 1_500;
-/// How long a stream that broke looks for a seat: its caller has patience for two seconds.
-const GO_ON_WAIT_MS: u64 = 900;
-/// Pause between asks when every engine has just said that it is full.
-const SEAT_PAUSE: Duration = Duration::from_millis(8);
-/// Part of the wanted time for which a request looks for a seat at least, though its first event may come too late.
-const LEAST_WAIT_SHARE: f64 = 0.22;
-/// Part of the wanted time that is taken for the way from a seat to the first event before any was seen.
-const UNSEEN_START_SHARE: f64 = 0.4;
-/// The way from a seat to the first event varies; this many times its mean is allowed for.
+/// How long an interrupted stream waits for a slot: callers give up after two seconds.
+const RESUME_TIMEOUT_MS: u64 = 900;
+/// Delay before the next request for a slot when every engine is full.
+const FULL_RETRY_DELAY: Duration = Duration::from_millis(8);
+/// Fraction of the latency target for which a new request waits for a slot at least, even if its first event may be late.
+const MIN_WAIT_SHARE: f64 = 0.22;
+/// Fraction of the latency target that is assumed between a slot and the first event before any was observed.
+const DEFAULT_START_SHARE: f64 = 0.4;
+/// Factor on the mean time between a slot and the first event, since it varies.
 const START_MARGIN: f64 = 1.5;
 
-/// How long a request looks for a seat, and how it stands among the others.
+/// How long a request waits for a slot, and with which urgency.
 #[derive(Clone, Copy, Debug)]
-struct SeatWait {
+struct SlotWait {
   urgency: SeatUrgency,
   until_ms: u64,
 }
 
-/// Reserves a seat. A stream that goes on comes first, then the oldest request; one that begins looks for a seat as
-/// long as its first event can still come in the wanted time.
-pub(crate) async fn reserve_seat(
+/// Reserves a slot. Resumed streams go first, then the oldest request of the highest priority. A new request waits as long as its
+/// first event can still meet the latency target.
+pub(crate) async fn reserve_slot(
   gateway: &Rc<Gateway>,
   request: &Rc<RoutedRequest>,
   tried: &[Name],
 ) -> Option<(EndpointEntry, Reservation)> {
   let since_ms = gateway.now_ms();
-  let wait = seat_wait(gateway, request, tried);
+  let wait = slot_wait(gateway, request, tried);
   let wait_ms = wait.until_ms.saturating_sub(since_ms);
   if !has_chance(gateway, request, wait.urgency, wait_ms) {
     return None;
   }
-  let seat = timeout(
+  let slot = timeout(
     Duration::from_millis(wait_ms),
-    ask_in_turn(gateway, request, tried, wait.urgency),
+    request_in_order(gateway, request, tried, wait.urgency),
   )
   .await
   .unwrap_or(None);
-  if seat.is_none() {
+  if slot.is_none() {
     log::info!(
-      "E504 no seat: {} waited {} of {wait_ms} ms",
+      "E504 no slot: {} waited {} of {wait_ms} ms",
       request.id(),
       gateway.now_ms() - since_ms
     );
   }
-  seat
+  slot
 }
 
-/// Whether a request may get a seat before its wait is over; a stream that goes on always tries.
+/// Whether a request is likely to get a slot within its wait; a resumed stream always tries.
 fn has_chance(
   gateway: &Gateway,
   request: &RoutedRequest,
   urgency: SeatUrgency,
-  within_ms: u64,
+  wait_ms: u64,
 ) -> bool {
   if urgency == SeatUrgency::GoesOn || !gateway.settings.mechanisms.refusal_by_forecast {
     return true;
   }
   let ahead = gateway.seat_queue.borrow().len();
   let forecast = gateway.seat_forecast.borrow();
-  if forecast.has_chance(ahead, within_ms) {
+  if forecast.has_chance(ahead, wait_ms) {
     return true;
   }
   log::info!(
-    "E524 no seat expected: {} has {within_ms} ms and {ahead} ahead, a seat comes each {:?} ms",
+    "E524 no slot expected: {} has {wait_ms} ms and {ahead} ahead, one slot per {:?} ms",
     request.id(),
     forecast.interval_ms()
   );
   false
 }
 
-/// How long a request looks for a seat.
-fn seat_wait(gateway: &Gateway, request: &RoutedRequest, tried: &[Name]) -> SeatWait {
+fn slot_wait(gateway: &Gateway, request: &RoutedRequest, tried: &[Name]) -> SlotWait {
   if !tried.is_empty() || request.attributes.last_event_id.is_some() {
-    return SeatWait {
-      until_ms: gateway.now_ms() + GO_ON_WAIT_MS,
+    return SlotWait {
+      until_ms: gateway.now_ms() + RESUME_TIMEOUT_MS,
       urgency: SeatUrgency::GoesOn,
     };
   }
@@ -100,29 +99,29 @@
   let start_ms = gateway
     .start_ms
     .get()
-    .unwrap_or(target_ms * UNSEEN_START_SHARE);
-  let in_time_ms = target_ms - start_ms * START_MARGIN;
-  let wait_ms = in_time_ms.max(target_ms * LEAST_WAIT_SHARE) as u64;
-  SeatWait {
+    .unwrap_or(target_ms * DEFAULT_START_SHARE);
+  let timely_wait_ms = target_ms - start_ms * START_MARGIN;
+  let wait_ms = timely_wait_ms.max(target_ms * MIN_WAIT_SHARE) as u64;
+  SlotWait {
     until_ms: (request.arrived_ms + wait_ms).min(request.deadline_ms),
     urgency: SeatUrgency::Begins,
   }
 }
 
-/// A request in the queue; it leaves when this is dropped.
+/// A request's entry in the slot queue, removed on drop.
 struct QueuedRequest<'a> {
   gateway: &'a Gateway,
-  place: SeatPlace,
+  position: SeatPlace,
 }
 
 impl<'a> QueuedRequest<'a> {
   fn new(gateway: &'a Gateway, urgency: SeatUrgency, priority: u8) -> Self {
-    let place = gateway.seat_queue.borrow_mut().join(urgency, priority);
-    Self { gateway, place }
+    let position = gateway.seat_queue.borrow_mut().join(urgency, priority);
+    Self { gateway, position }
   }
 
-  /// The request has a seat.
-  fn note_seat(&self) {
+  /// Records that the request has a slot.
+  fn record_slot(&self) {
     let others_wait = self.gateway.seat_queue.borrow().len() > 1;
     let now_ms = self.gateway.now_ms();
     self
@@ -133,14 +132,14 @@
   }
 
   fn is_first(&self) -> bool {
-    self.gateway.seat_queue.borrow().is_first(self.place)
+    self.gateway.seat_queue.borrow().is_first(self.position)
   }
 }
 
 impl Drop for QueuedRequest<'_> {
   fn drop(&mut self) {
     let mut queue = self.gateway.seat_queue.borrow_mut();
-    queue.leave(self.place);
+    queue.leave(self.position);
     if queue.is_empty() {
       self.gateway.seat_forecast.borrow_mut().note_idle();
     }
@@ -149,8 +148,8 @@
   }
 }
 
-/// Asks one engine after another until one has a seat, while no other request of the box goes first.
-async fn ask_in_turn(
+/// Requests a slot from one engine after another, whenever the request is first in the box's queue.
+async fn request_in_order(
   gateway: &Rc<Gateway>,
   request: &RoutedRequest,
   tried: &[Name],
@@ -158,9 +157,9 @@
 ) -> Option<(EndpointEntry, Reservation)> {
   let queued = QueuedRequest::new(gateway, urgency, request.rank.priority);
   loop {
-    let moved = gateway.seat_queue_moved.notified();
+    let queue_changed = gateway.seat_queue_moved.notified();
     if !queued.is_first() {
-      moved.await;
+      queue_changed.await;
       continue;
     }
     let choice = gateway.choose(Wanted {
@@ -172,25 +171,25 @@
       size: request.expected_tokens().max(1),
       tried,
     })?;
-    match ask_seat(gateway, request, &choice.entry, request.expected_tokens()).await {
+    match request_slot(gateway, request, &choice.entry, request.expected_tokens()).await {
       Some(reservation) => {
-        queued.note_seat();
+        queued.record_slot();
         return Some((choice.entry, reservation));
       }
-      None if choice.left_alone => sleep(SEAT_PAUSE).await,
+      None if choice.left_alone => sleep(FULL_RETRY_DELAY).await,
       None => {}
     }
   }
 }
 
-/// Asks one engine for a seat with memory for some tokens; nothing when it has none or does not answer.
-pub(crate) async fn ask_seat(
+/// Requests a slot with KV memory for some tokens from one engine; `None` when it is full or does not answer.
+pub(crate) async fn request_slot(
   gateway: &Rc<Gateway>,
   request: &RoutedRequest,
   entry: &EndpointEntry,
   tokens: u64,
 ) -> Option<Reservation> {
-  // One permit is for the seat and for the stream in it: a seat without a permit would be reserved in vain.
+  // One permit covers the slot and the stream in it: without a permit the slot would be useless.
   let permit = match take_permit(gateway, entry, request.permit_caller()).await {
     Ok(permit) => permit,
     Err(_) => return None,
@@ -209,19 +208,19 @@
         load_guard.settle(PartEnd::Lost);
       }
     },
-    Err(failure) => {
-      // A refusal is usual: the engine is full.
-      if !matches!(failure, EngineCallError::Rejected(_)) {
+    Err(error) => {
+      // Rejections are not logged: they only mean that the engine is full.
+      if !matches!(error, EngineCallError::Rejected(_)) {
         log::info!(
-          "E511 reservation failed: {} at {}: {failure}",
+          "E511 reservation failed: {} at {}: {error}",
           request.id(),
           entry.id
         );
       }
-      load_guard.settle(failure.outcome());
+      load_guard.settle(error.outcome());
     }
   }
-  // What gets a permit is a caller's request, and none was sent.
+  // Permits are for callers' requests, and none was sent.
   if permit == Permit::Taken {
     return_permit(gateway, entry);
   }
--- a/src/gateway/requests/stream_request.rs
+++ b/src/gateway/requests/stream_request.rs
@@ -1,7 +1,7 @@
-//! The tries of one streamed request: a seat, the prompt, the stream.
+//! The attempts of one streaming request: batch slot, prefill, stream.
 
 use {
-  super::{prompt::read_prompt, resume_seat::reserve_resume_seat, seat::reserve_seat},
+  super::{prefill::prefill, resume_slot::reserve_resume_slot, slot::reserve_slot},
   crate::{
     gateway::{
       decisions::{PartEnd, Wanted},
@@ -14,91 +14,91 @@
   std::rc::Rc,
 };
 
-/// Endpoints that may turn out not to be reachable before a request is refused.
+/// Endpoints that may turn out to be unreachable before a request is rejected.
 const MAX_UNSENT: usize = 4;
-/// Engines that may refuse a request before it is refused.
+/// Engines that may reject a request before it is rejected.
 const MAX_REJECTIONS: u32 = 3;
 
-/// Why no endpoint streams.
-pub(crate) enum NoStream {
-  /// No endpoint has a seat, and none was sent it.
-  NoSeat,
-  /// It failed at the last endpoint that may be tried.
+/// Why no endpoint streams the response.
+pub(crate) enum StreamFailure {
+  /// No endpoint has a free slot, and none was sent the request.
+  NoSlot,
+  /// The last attempt has failed.
   Failed,
-  /// An endpoint answered with something other than a stream.
-  Answered(Box<ResponseHead>),
+  /// An endpoint's response is not a stream.
+  NotStreamed(Box<ResponseHead>),
 }
 
-/// What one try came to. The outer error says that there is no endpoint to try.
-type Attempt = Result<Result<ResponseHead, StageError>, NoStream>;
+/// The result of one attempt. The outer error means that no further attempt is possible.
+type Attempt = Result<Result<ResponseHead, StageError>, StreamFailure>;
 
-/// One streamed request.
+/// The state of one streaming request.
 pub(crate) struct StreamRequest {
   pub(crate) gateway: Rc<Gateway>,
   pub(crate) request: Rc<RoutedRequest>,
-  /// The last event that went to the caller.
+  /// The last event that was forwarded to the caller.
   pub(crate) last_event_id: Option<u64>,
-  /// Endpoints that were sent it.
+  /// Endpoints that were tried.
   pub(super) tried: Vec<Name>,
-  /// Sends that may have run.
+  /// Attempts that may have run.
   pub(super) attempts: u32,
-  /// Arrivals at endpoints; all but the first are paid from the budget for repeats.
-  pub(super) arrivals: u32,
-  /// Endpoints that said that it did not run.
-  pub(super) refusals: u32,
-  /// A seat that was found while another engine was silent.
-  pub(super) seat: Option<(EndpointEntry, Reservation)>,
-  /// The prompt as it was read, kept after a refusal.
+  /// Sends that reached an endpoint; all but the first are charged to the retry budget.
+  pub(super) sends: u32,
+  /// Endpoints that stated that they did not run the request.
+  pub(super) rejections: u32,
+  /// A slot that was reserved while another engine was silent.
+  pub(super) slot: Option<(EndpointEntry, Reservation)>,
+  /// The exported KV cache, retained after a rejection.
   pub(super) export: Option<ExportGuard>,
-  /// The engine that refused that prompt.
-  pub(super) refused_by: Option<Name>,
-  /// Whether the engine that writes the answer is to read the prompt.
-  pub(super) reads_itself: bool,
-  /// The engine that wrote the stream so far, when it may go on there.
-  pub(crate) wrote_it: Option<Name>,
-  /// Whether an engine that keeps the prompt was looked for.
-  pub(super) looked_for_kept: bool,
-  /// Whether an engine was asked to read the prompt; the first time is free.
-  pub(super) prompt_was_read: bool,
+  /// The engine that rejected the request with that export.
+  pub(super) rejected_by: Option<Name>,
+  /// Whether the decode engine has to prefill the prompt itself.
+  pub(super) skips_prefill: bool,
+  /// The engine where the stream was interrupted, until a resumption there was tried.
+  pub(crate) interrupted_at: Option<Name>,
+  /// Whether an engine with the prompt cached was searched for.
+  pub(super) searched_cached: bool,
+  /// Whether a prefill was requested before; the first one is not charged to the retry budget.
+  pub(super) was_prefilled: bool,
 }
 
 impl StreamRequest {
   pub(crate) fn new(gateway: Rc<Gateway>, request: Rc<RoutedRequest>) -> Self {
     Self {
-      arrivals: 0,
+      sends: 0,
       attempts: 0,
       export: None,
       gateway,
-      looked_for_kept: false,
+      searched_cached: false,
       last_event_id: request.attributes.last_event_id,
-      prompt_was_read: false,
-      reads_itself: false,
-      refusals: 0,
-      refused_by: None,
+      was_prefilled: false,
+      skips_prefill: false,
+      rejections: 0,
+      rejected_by: None,
       request,
-      seat: None,
+      slot: None,
       tried: Vec::new(),
-      wrote_it: None,
+      interrupted_at: None,
     }
   }
 
-  /// The endpoints that were sent it.
+  /// The endpoints that were tried.
   pub(crate) fn tried(&self) -> &[Name] {
     &self.tried
   }
 
-  /// Whether an endpoint may have run it.
+  /// Whether an endpoint may have run the request.
   pub(crate) fn may_have_run(&self) -> bool {
     self.attempts > 0
   }
 
-  /// Whether another endpoint may be sent what may have run.
+  /// Whether a request that may have run may be sent again.
   pub(crate) fn may_retry(&self) -> bool {
     self.request.route.kind.may_retry()
   }
 
-  /// Sends the request until an endpoint streams, or no further one may be tried.
-  pub(crate) async fn begin(&mut self) -> Result<ResponseHead, NoStream> {
+  /// Sends the request until an endpoint streams or no further attempt is allowed.
+  pub(crate) async fn begin(&mut self) -> Result<ResponseHead, StreamFailure> {
     loop {
       let error = match self.attempt().await? {
         Ok(head) if head.status.is_success() && head.attributes.has_receipt => return Ok(head),
@@ -110,11 +110,11 @@
           head.load_guard.settle(PartEnd::Failed);
           StageError::Lost(format!("status {}", head.status))
         }
-        Ok(head) => return Err(NoStream::Answered(Box::new(head))),
+        Ok(head) => return Err(StreamFailure::NotStreamed(Box::new(head))),
         Err(error) => error,
       };
-      if !self.may_try_again(&error) {
-        return Err(NoStream::Failed);
+      if !self.may_continue_after(&error) {
+        return Err(StreamFailure::Failed);
       }
     }
   }
@@ -123,8 +123,8 @@
     self.may_retry() && self.attempts < self.request.route.max_attempts
   }
 
-  /// Whether the request may be sent once more after an error.
-  pub(crate) fn may_try_again(&self, error: &StageError) -> bool {
+  /// Whether the request may be sent again after an error.
+  pub(crate) fn may_continue_after(&self, error: &StageError) -> bool {
     if self.request.is_blocked(&self.gateway) {
       return false;
     }
@@ -133,15 +133,15 @@
       StageError::Unreachable | StageError::Unsent(_) | StageError::Unavailable(_) => {
         self.tried.len() < MAX_UNSENT
       }
-      StageError::NotRun(_) => self.refusals < MAX_REJECTIONS,
+      StageError::NotRun(_) => self.rejections < MAX_REJECTIONS,
       StageError::Lost(_) => self.has_attempts_left(),
     }
   }
 
-  /// Whether the request may arrive at an endpoint: the first time always, then as the budget allows.
-  fn may_arrive(&mut self) -> bool {
-    self.arrivals += 1;
-    if self.arrivals == 1 {
+  /// Whether the request may be sent: always the first time, then as the retry budget allows.
+  fn take_send(&mut self) -> bool {
+    self.sends += 1;
+    if self.sends == 1 {
       return true;
     }
     let taken = self.gateway.take_repeat(&self.request.service);
@@ -155,12 +155,12 @@
     if self.is_split() {
       self.attempt_split().await
     } else {
-      self.attempt_whole().await
+      self.attempt_full().await
     }
   }
 
-  /// A try at an endpoint that reads the prompt itself.
-  async fn attempt_whole(&mut self) -> Attempt {
+  /// An attempt at an endpoint that runs the whole request.
+  async fn attempt_full(&mut self) -> Attempt {
     let choice = self.gateway.choose(Wanted {
       allowed_halls: &self.request.allowed_halls,
       hall: self.gateway.preferred_hall(),
@@ -170,99 +170,99 @@
       size: self.request.expected_tokens().max(1),
       tried: &self.tried,
     });
-    let entry = choice.ok_or(NoStream::NoSeat)?.entry;
-    self.arrive(&entry, None, None).await
+    let entry = choice.ok_or(StreamFailure::NoSlot)?.entry;
+    self.send_charged(&entry, None, None).await
   }
 
-  /// A try with a seat at one engine, and the prompt read by another.
+  /// An attempt with disaggregated prefill: a slot at a decode engine, and the prefill at another engine.
   async fn attempt_split(&mut self) -> Attempt {
-    if let Some((entry, reservation)) = self.resume_seat().await {
-      return self.arrive(&entry, Some(reservation), None).await;
+    if let Some((entry, reservation)) = self.resume_slot().await {
+      return self.send_charged(&entry, Some(reservation), None).await;
     }
-    let asked_ms = self.gateway.now_ms();
-    let seat = match self.seat.take() {
-      Some(seat) => Some(seat),
-      None => reserve_seat(&self.gateway, &self.request, &self.tried).await,
+    let requested_ms = self.gateway.now_ms();
+    let slot = match self.slot.take() {
+      Some(slot) => Some(slot),
+      None => reserve_slot(&self.gateway, &self.request, &self.tried).await,
     };
-    let seated_ms = self.gateway.now_ms();
-    let (entry, reservation) = seat.ok_or(NoStream::NoSeat)?;
-    let export = self.prompt(&entry.hall).await;
-    let read_ms = self.gateway.now_ms();
-    let reader = export
+    let reserved_ms = self.gateway.now_ms();
+    let (entry, reservation) = slot.ok_or(StreamFailure::NoSlot)?;
+    let export = self.export_for(&entry.hall).await;
+    let prefilled_ms = self.gateway.now_ms();
+    let prefilled_by = export
       .as_ref()
       .map_or_else(|| entry.id.clone(), |export| export.engine().clone());
-    let arrived = self.arrive(&entry, Some(reservation), export).await?;
-    if let Ok(head) = &arrived {
-      self.gateway.note_start(self.gateway.now_ms() - seated_ms);
+    let sent = self.send_charged(&entry, Some(reservation), export).await?;
+    if let Ok(head) = &sent {
+      self.gateway.note_start(self.gateway.now_ms() - reserved_ms);
       log::info!(
-        "E510 streaming: {} at {} with status {}, read by {reader}: seat {} ms, prompt {} ms, head {} ms, {} ms after arrival, try {}",
+        "E510 streaming: {} at {} with status {}, prefilled by {prefilled_by}: seat {} ms, prompt {} ms, head {} ms, {} ms after arrival, try {}",
         self.request.id(),
         entry.id,
         head.status,
-        seated_ms - asked_ms,
-        read_ms - seated_ms,
-        self.gateway.now_ms() - read_ms,
+        reserved_ms - requested_ms,
+        prefilled_ms - reserved_ms,
+        self.gateway.now_ms() - prefilled_ms,
         self.gateway.now_ms() - self.request.arrived_ms,
         self.tried.len()
       );
     }
-    Ok(arrived)
+    Ok(sent)
   }
 
-  /// A seat at an engine that keeps the prompt of a stream that goes on; looked for once a break.
-  async fn resume_seat(&mut self) -> Option<(EndpointEntry, Reservation)> {
-    let wrote_it = self.wrote_it.take();
-    let is_new = self.tried.is_empty() && !self.looked_for_kept;
-    let may_look = wrote_it.is_some() || is_new;
-    if self.seat.is_some() || self.last_event_id.is_none() || !may_look {
+  /// A slot at an engine that has the prompt of a resumed stream cached; searched for once per interruption.
+  async fn resume_slot(&mut self) -> Option<(EndpointEntry, Reservation)> {
+    let interrupted_at = self.interrupted_at.take();
+    let is_new = self.tried.is_empty() && !self.searched_cached;
+    let may_search = interrupted_at.is_some() || is_new;
+    if self.slot.is_some() || self.last_event_id.is_none() || !may_search {
       return None;
     }
-    self.looked_for_kept = true;
+    self.searched_cached = true;
     if !self.gateway.settings.mechanisms.resume_where_kept {
       return None;
     }
-    reserve_resume_seat(&self.gateway, &self.request, wrote_it.as_ref()).await
+    reserve_resume_slot(&self.gateway, &self.request, interrupted_at.as_ref()).await
   }
 
-  /// The prompt for an engine in a hall; nothing when the engine that writes the answer is to read it.
-  async fn prompt(&mut self, hall: &str) -> Option<ExportGuard> {
-    // A trial reaches one endpoint, not two.
-    if self.reads_itself || self.request.is_probe() {
+  /// The exported KV cache for a decode engine in a hall; `None` when that engine has to prefill the prompt itself.
+  async fn export_for(&mut self, hall: &str) -> Option<ExportGuard> {
+    // A quarantine probe must reach one endpoint only.
+    if self.skips_prefill || self.request.is_probe() {
       return None;
     }
     match self.export.take() {
       Some(export) if export.is_fresh() => Some(export),
-      // A second reading is paid for; else the engine that writes the answer reads.
-      _ if self.prompt_was_read && !self.may_arrive() => None,
+      // A second prefill is charged to the retry budget; without budget the decode engine prefills.
+      _ if self.was_prefilled && !self.take_send() => None,
       _ => {
-        let reading = read_prompt(&self.gateway, &self.request, hall).await;
-        if !self.prompt_was_read && reading.arrived && reading.export.is_none() {
-          self.arrivals += 1;
+        let result = prefill(&self.gateway, &self.request, hall).await;
+        if !self.was_prefilled && result.was_received && result.export.is_none() {
+          self.sends += 1;
         }
-        self.prompt_was_read = true;
-        reading.export
+        self.was_prefilled = true;
+        result.export
       }
     }
   }
 
-  /// Sends the request to an endpoint, if it may arrive there.
-  async fn arrive(
+  /// Sends the request to an endpoint, if the retry budget allows.
+  async fn send_charged(
     &mut self,
     entry: &EndpointEntry,
     reservation: Option<Reservation>,
     export: Option<ExportGuard>,
   ) -> Attempt {
-    if !self.may_arrive() {
-      return Err(NoStream::Failed);
+    if !self.take_send() {
+      return Err(StreamFailure::Failed);
     }
     let sent = self.send(entry, reservation, export).await;
     if matches!(&sent, Err(error) if error.is_unsent()) {
-      self.arrivals -= 1;
+      self.sends -= 1;
     }
     Ok(sent)
   }
 
-  /// Whether the service has engines for both parts.
+  /// Whether the service has prefill and decode engines.
   pub(super) fn is_split(&self) -> bool {
     let Some(table) = self.gateway.table() else {
       return false;
--- a/src/gateway/requests/stream_send.rs
+++ b/src/gateway/requests/stream_send.rs
@@ -1,8 +1,7 @@
-//! Sending a streamed request to one engine: within the silence that is borne, and what the engine's word means for the
-//! next try.
+//! Sends a streaming request to one engine, detects its silence, and records what its result means for the next attempt.
 
 use {
-  super::{seat::reserve_seat, stream_request::StreamRequest},
+  super::{slot::reserve_slot, stream_request::StreamRequest},
   crate::gateway::{
     edge::{EndpointEntry, ProxyHeaders, Stage},
     permits::Permit,
@@ -14,7 +13,7 @@
   tokio::time::timeout,
 };
 
-/// How long a repeatable stream may be silent before another engine takes it up: less than a caller's patience.
+/// How long a retryable stream may be silent before another engine takes it over: less than callers' timeouts.
 pub(crate) const SILENCE_MS: u64 = 1_200;
 
 impl StreamRequest {
@@ -25,7 +24,7 @@
     export: Option<ExportGuard>,
   ) -> Result<ResponseHead, StageError> {
     self.tried.push(entry.id.clone());
-    // Counted before it is sent: the time may run out while no answer is known.
+    // Counted before it is sent: the deadline may pass before the result is known.
     self.attempts += 1;
     let proxy_headers = self.proxy_headers(entry, reservation.as_ref(), export.as_ref());
     let sent_ms = self.gateway.now_ms();
@@ -36,8 +35,8 @@
       .send_within_silence(entry, &proxy_headers, permit)
       .await;
     match &result {
-      Ok(_) => self.note_answer(reservation, export),
-      Err(error) => self.note_error(entry, error, export),
+      Ok(_) => self.record_response(reservation, export),
+      Err(error) => self.record_error(entry, error, export),
     }
     if let Err(StageError::Lost(error)) = &result {
       let lost = LostPart {
@@ -57,18 +56,17 @@
     reservation: Option<&Reservation>,
     export: Option<&ExportGuard>,
   ) -> ProxyHeaders {
-    let part = export.map_or(Stage::Full, |kept| Stage::DecodeFrom(kept.export.clone()));
+    let stage = export.map_or(Stage::Full, |guard| Stage::DecodeFrom(guard.export.clone()));
     ProxyHeaders {
       last_event_id: self.last_event_id,
       reservation: reservation.map(|reservation| reservation.id.clone()),
       ..self
         .request
-        .proxy_headers(entry, part, self.gateway.now_ms())
+        .proxy_headers(entry, stage, self.gateway.now_ms())
     }
   }
 
-  /// Waits for the head; an engine that is silent for too long is left alone, and given up once another one has
-  /// a seat. Silence by itself ends nothing.
+  /// Waits for the response's head. A silent engine gets no further requests, and is abandoned only once another one has a slot.
   async fn send_within_silence(
     &mut self,
     entry: &EndpointEntry,
@@ -77,11 +75,11 @@
   ) -> Result<ResponseHead, StageError> {
     let (gateway, request) = (self.gateway.clone(), self.request.clone());
     let size = request.expected_tokens().max(1);
-    let part = OutgoingStage {
+    let stage = OutgoingStage {
       permit,
       ..OutgoingStage::new(entry, proxy_headers, size, 1)
     };
-    let mut sending = pin!(send_stage(&gateway, &request, part));
+    let mut sending = pin!(send_stage(&gateway, &request, stage));
     loop {
       let silence = Duration::from_millis(SILENCE_MS);
       if let Ok(result) = timeout(silence, sending.as_mut()).await {
@@ -91,16 +89,16 @@
       if !self.prepare_takeover().await {
         continue;
       }
-      // It may have answered while a seat was looked for.
+      // The engine may have answered in the meantime.
       if let Some(result) = sending.as_mut().now_or_never() {
         self.cancel_takeover();
         return result;
       }
-      return Err(StageError::Lost("no answer in time".into()));
+      return Err(StageError::Lost("no response in time".into()));
     }
   }
 
-  /// Finds a seat for a further try while the present endpoint is silent.
+  /// Reserves a slot for the next attempt while the current endpoint is silent.
   pub(crate) async fn prepare_takeover(&mut self) -> bool {
     if !self.gateway.settings.mechanisms.silence_takeover {
       return false;
@@ -114,38 +112,43 @@
     if !self.is_split() {
       return true;
     }
-    self.seat = reserve_seat(&self.gateway, &self.request, &self.tried).await;
-    self.seat.is_some()
+    self.slot = reserve_slot(&self.gateway, &self.request, &self.tried).await;
+    self.slot.is_some()
   }
 
-  /// The present endpoint goes on after all.
+  /// Releases that slot: the current endpoint has continued.
   pub(crate) fn cancel_takeover(&mut self) {
-    self.seat = None;
+    self.slot = None;
   }
 
-  /// An endpoint answered: it has used up the seat and the prompt.
-  fn note_answer(&mut self, reservation: Option<Reservation>, export: Option<ExportGuard>) {
+  /// Records a response: the endpoint has consumed the reservation and the export.
+  fn record_response(&mut self, reservation: Option<Reservation>, export: Option<ExportGuard>) {
     if let Some(mut export) = export {
       export.set_used();
     }
     if let Some(mut reservation) = reservation {
       reservation.set_used();
     }
-    self.blame_for_refusal();
+    self.blame_rejecting_engine();
   }
 
-  fn note_error(&mut self, entry: &EndpointEntry, error: &StageError, export: Option<ExportGuard>) {
+  fn record_error(
+    &mut self,
+    entry: &EndpointEntry,
+    error: &StageError,
+    export: Option<ExportGuard>,
+  ) {
     if error.has_not_run() {
       self.attempts -= 1;
     }
     log::info!(
-      "E502 part failed: {} at {}: {error}",
+      "E502 stage failed: {} at {}: {error}",
       self.request.id(),
       entry.id
     );
     match error {
-      StageError::NotRun(_) => self.note_refusal(entry, export),
-      // No engine has fetched it.
+      StageError::NotRun(_) => self.record_rejection(entry, export),
+      // No engine has fetched the export.
       StageError::Unreachable
       | StageError::Unsent(_)
       | StageError::Unavailable(_)
@@ -154,25 +157,25 @@
     }
   }
 
-  /// Another engine took the prompt: the one that refused it is at fault.
-  fn blame_for_refusal(&mut self) {
-    if let Some(engine) = self.refused_by.take() {
+  /// Another engine has accepted the export: the one that rejected it is at fault.
+  fn blame_rejecting_engine(&mut self) {
+    if let Some(engine) = self.rejected_by.take() {
       self.gateway.blame(&engine);
     }
   }
 
-  /// An engine with a seat refused: it, or the prompt that another engine keeps, may be at fault.
-  fn note_refusal(&mut self, entry: &EndpointEntry, export: Option<ExportGuard>) {
-    self.refusals += 1;
-    match (export, self.refused_by.take()) {
+  /// Records that an engine rejected the request despite a reservation: the engine or the export may be at fault.
+  fn record_rejection(&mut self, entry: &EndpointEntry, export: Option<ExportGuard>) {
+    self.rejections += 1;
+    match (export, self.rejected_by.take()) {
       (None, _) => self.gateway.blame(&entry.id),
       (Some(export), None) => {
-        self.refused_by = Some(entry.id.clone());
+        self.rejected_by = Some(entry.id.clone());
         self.export = Some(export);
       }
       (Some(export), Some(_)) => {
         self.gateway.blame(export.engine());
-        self.reads_itself = true;
+        self.skips_prefill = true;
       }
     }
   }
--- a/src/gateway/requests/plain.rs
+++ b/src/gateway/requests/unary.rs
@@ -1,7 +1,8 @@
-//! A request that is answered whole: one endpoint after another, as far as its route and the budget allow.
+//! Unary requests: the response is buffered, and the request is retried at other endpoints as far as its route and the retry
+//! budget allow.
 
 use {
-  super::answer::{LocalReply, ResponseBody, forward_response, full_body},
+  super::response::{LocalReply, ResponseBody, forward_response, full_body},
   crate::{
     gateway::{
       decisions::{RETRY_AFTER_FULL_MS, RETRY_AFTER_NO_ENDPOINT_MS, Wanted},
@@ -18,59 +19,59 @@
   tokio::time::sleep,
 };
 
-/// Part of the wanted latency after which a repeatable request is sent to a second endpoint too.
+/// Fraction of the latency target after which a retryable request is hedged: sent to a second endpoint too.
 const HEDGE_SHARE: f64 = 0.6;
 
-/// Endpoints that may turn out not to be reachable before a request is refused.
+/// Endpoints that may turn out to be unreachable before a request is rejected.
 const MAX_UNSENT: u32 = 4;
 
 type Try = LocalBoxFuture<'static, (Name, Result<BufferedResponse, StageError>)>;
 
-/// How a request that is answered whole stands.
-struct PlainRequest {
+/// The state of one unary request.
+struct UnaryRequest {
   gateway: Rc<Gateway>,
   request: Rc<RoutedRequest>,
   tried: Vec<Name>,
-  /// Of these, the endpoints that never saw it.
+  /// Tried endpoints that never received the request.
   unsent: u32,
-  /// Of those, the ones at which there was no place for it.
+  /// Of those, the endpoints whose rate limit left no permit.
   without_permit: u32,
-  /// Whether a repeat was taken from the budget that no endpoint has seen.
-  has_repeat_left: bool,
+  /// Whether a retry was taken from the budget for a request that no endpoint has received yet.
+  has_unused_retry: bool,
   running: FuturesUnordered<Try>,
-  /// The endpoints that have not answered yet.
+  /// The endpoints that have not responded yet.
   awaited: Vec<Name>,
-  /// An endpoint's own failure, passed on when nothing better comes.
+  /// An endpoint's error response, forwarded when there is no better one.
   failure: Option<BufferedResponse>,
-  /// Whether a lost endpoint may have run it.
-  perhaps_run: bool,
+  /// Whether an endpoint may have run the request.
+  may_have_run: bool,
 }
 
-/// Answers a request.
-pub(crate) async fn answer_plain(
+/// Serves a unary request.
+pub(crate) async fn serve_unary(
   gateway: Rc<Gateway>,
   request: Rc<RoutedRequest>,
 ) -> Response<ResponseBody> {
-  let mut plain = PlainRequest {
+  let mut unary = UnaryRequest {
     awaited: Vec::new(),
     failure: None,
     gateway,
-    has_repeat_left: false,
-    perhaps_run: false,
+    has_unused_retry: false,
+    may_have_run: false,
     request,
     running: FuturesUnordered::new(),
     tried: Vec::new(),
     unsent: 0,
     without_permit: 0,
   };
-  if !plain.start() {
-    return plain.refuse(RETRY_AFTER_NO_ENDPOINT_MS);
+  if !unary.start() {
+    return unary.reject(RETRY_AFTER_NO_ENDPOINT_MS);
   }
-  plain.run().await
+  unary.run().await
 }
 
-impl PlainRequest {
-  /// Waits for an answer, the deadline, or the time to send the request to a second endpoint too.
+impl UnaryRequest {
+  /// Waits for a response, the deadline or the time to hedge.
   async fn run(mut self) -> Response<ResponseBody> {
     let now_ms = self.gateway.now_ms();
     let mut deadline =
@@ -83,75 +84,75 @@
         biased;
         Some((endpoint, result)) = self.running.next() => {
           self.awaited.retain(|awaited| *awaited != endpoint);
-          if let Some(response) = self.judge(&endpoint, result) {
+          if let Some(response) = self.handle_result(&endpoint, result) {
             return response;
           }
-          if self.running.is_empty() && !self.start_again() {
+          if self.running.is_empty() && !self.retry() {
             return self.give_up();
           }
         }
         () = &mut deadline => return self.time_out(),
         () = &mut hedge, if may_hedge => {
           may_hedge = false;
-          self.start_again();
+          self.retry();
         }
       }
     }
   }
 
-  /// What an endpoint's answer means; nothing when another endpoint may be asked.
-  fn judge(
+  /// Handles an endpoint's result; `None` when another endpoint may be tried.
+  fn handle_result(
     &mut self,
     endpoint: &Name,
     result: Result<BufferedResponse, StageError>,
   ) -> Option<Response<ResponseBody>> {
     match result {
-      Ok(answer) if !answer.status.is_server_error() => {
+      Ok(response) if !response.status.is_server_error() => {
         log::info!(
           "E508 answered: {} by {endpoint} with status {}, {} ms after arrival, tried {}",
           self.request.id(),
-          answer.status,
+          response.status,
           self.gateway.now_ms() - self.request.arrived_ms,
           self.tried.len()
         );
-        self.note_slower_endpoints();
-        if answer.status.is_success() {
+        self.mark_slower_endpoints();
+        if response.status.is_success() {
           note_whole(&self.gateway, &self.request, RoutedRequest::fingerprint);
         }
-        return Some(pass_on(answer));
+        return Some(forward(response));
       }
-      Ok(answer) => {
+      Ok(response) => {
         log::info!(
-          "E502 part failed: {} at {endpoint}: status {}",
+          "E502 stage failed: {} at {endpoint}: status {}",
           self.request.id(),
-          answer.status
+          response.status
         );
         self.gateway.counters.endpoint_failures.inc();
-        self.perhaps_run = true;
-        self.failure = Some(answer);
+        self.may_have_run = true;
+        self.failure = Some(response);
       }
       Err(error) => {
         log::info!(
-          "E502 part failed: {} at {endpoint}: {error}",
+          "E502 stage failed: {} at {endpoint}: {error}",
           self.request.id()
         );
-        self.perhaps_run |= !error.has_not_run();
+        self.may_have_run |= !error.has_not_run();
         if error.is_unsent() {
-          // The endpoint never saw it: it counts as no attempt.
+          // Not an attempt: the endpoint never received it.
           self.unsent += 1;
           self.without_permit += u32::from(error.is_without_permit());
-          self.go_elsewhere();
+          self.reroute();
         } else {
-          self.has_repeat_left = false;
+          self.has_unused_retry = false;
         }
       }
     }
     None
   }
 
-  /// Sends the request to a further endpoint as a repeat, if its route and the budget allow.
-  fn start_again(&mut self) -> bool {
-    let may_have_run = self.perhaps_run || !self.running.is_empty();
+  /// Sends the request to a further endpoint, if its route and the retry budget allow.
+  fn retry(&mut self) -> bool {
+    let may_have_run = self.may_have_run || !self.running.is_empty();
     let attempts = self.tried.len() as u32 - self.unsent;
     let route = &self.request.route;
     let allowed = !self.request.is_blocked(&self.gateway)
@@ -166,30 +167,30 @@
       return false;
     }
     self.gateway.counters.repeats.inc();
-    self.has_repeat_left = true;
+    self.has_unused_retry = true;
     self.send_to(entry);
     true
   }
 
-  /// Sends what an endpoint never saw to another one. Where there is none, a repeat that was taken for it goes back.
-  fn go_elsewhere(&mut self) {
+  /// Sends a request that an endpoint never received to another one. If there is none, returns an unused retry to the budget.
+  fn reroute(&mut self) {
     let may_start = self.unsent - self.without_permit < MAX_UNSENT;
     if may_start && self.start() {
       return;
     }
-    if std::mem::take(&mut self.has_repeat_left) {
+    if std::mem::take(&mut self.has_unused_retry) {
       self.gateway.give_repeat_back(&self.request.service);
     }
   }
 
-  /// Endpoints that were asked first and have still not answered count as failing, for the choice to come.
-  fn note_slower_endpoints(&self) {
+  /// Records the endpoints that were sent the request but have not responded yet as slower than the one that has.
+  fn mark_slower_endpoints(&self) {
     for endpoint in &self.awaited {
       self.gateway.book.borrow_mut().outrun(endpoint);
     }
   }
 
-  /// Sends the request to the best endpoint not tried yet; `false` when there is none.
+  /// Sends the request to the best untried endpoint; `false` when there is none.
   fn start(&mut self) -> bool {
     if self.request.is_blocked(&self.gateway) {
       return false;
@@ -201,7 +202,7 @@
     true
   }
 
-  /// The best endpoint not tried yet.
+  /// The best untried endpoint.
   fn choose(&self) -> Option<EndpointEntry> {
     let choice = self.gateway.choose(Wanted {
       allowed_halls: &self.request.allowed_halls,
@@ -222,34 +223,34 @@
     let proxy_headers = self
       .request
       .proxy_headers(&entry, Stage::Full, gateway.now_ms());
-    let asking = ask_endpoint(gateway.clone(), self.request.clone(), entry, proxy_headers);
-    self.running.push(asking.boxed_local());
+    let attempt = send_attempt(gateway.clone(), self.request.clone(), entry, proxy_headers);
+    self.running.push(attempt.boxed_local());
   }
 
-  /// The answer when no further endpoint may be asked.
+  /// The response when no further endpoint may be tried.
   fn give_up(self) -> Response<ResponseBody> {
-    if let Some(answer) = self.failure {
+    if let Some(response) = self.failure {
       log::info!(
         "E508 answered: {} with status {}, {} ms after arrival, tried {}",
         self.request.id(),
-        answer.status,
+        response.status,
         self.gateway.now_ms() - self.request.arrived_ms,
         self.tried.len()
       );
-      return pass_on(answer);
+      return forward(response);
     }
-    if self.perhaps_run {
+    if self.may_have_run {
       return LocalReply::Unknown.response();
     }
-    self.refuse(RETRY_AFTER_FULL_MS)
+    self.reject(RETRY_AFTER_FULL_MS)
   }
 
-  /// Tells the caller at once that it has not run, and when to come back.
-  fn refuse(&self, otherwise_ms: u64) -> Response<ResponseBody> {
+  /// Rejects a request that has not run, with a retry-after delay.
+  fn reject(&self, default_ms: u64) -> Response<ResponseBody> {
     let service = &self.request.service;
-    let retry_after_ms = self.gateway.retry_after_ms(service, otherwise_ms);
+    let retry_after_ms = self.gateway.retry_after_ms(service, default_ms);
     log::info!(
-      "E501 refused: {} {service} with status 503, tried {}, {}, to come back in {retry_after_ms} ms",
+      "E501 rejected: {} {service} with status 503, tried {}, {}, retry after {retry_after_ms} ms",
       self.request.id(),
       self.tried.len(),
       self.gateway.count_endpoints(service)
@@ -257,29 +258,29 @@
     LocalReply::NotRun { retry_after_ms }.response()
   }
 
-  /// The answer at the deadline.
+  /// The response at the deadline.
   fn time_out(self) -> Response<ResponseBody> {
     for endpoint in &self.awaited {
       self.gateway.overdue(endpoint);
     }
     log::info!("E503 timed out: {} at {:?}", self.request.id(), self.tried);
     match self.failure {
-      Some(answer) => pass_on(answer),
+      Some(response) => forward(response),
       None => LocalReply::TimedOut.response(),
     }
   }
 }
 
-async fn ask_endpoint(
+async fn send_attempt(
   gateway: Rc<Gateway>,
   request: Rc<RoutedRequest>,
   entry: EndpointEntry,
   proxy_headers: ProxyHeaders,
 ) -> (Name, Result<BufferedResponse, StageError>) {
   let sent_ms = gateway.now_ms();
-  let answer = whole_answer(&gateway, &request, &entry, &proxy_headers).await;
+  let result = fetch_response(&gateway, &request, &entry, &proxy_headers).await;
   let id = entry.id.clone();
-  if let Err(StageError::Lost(error)) = &answer {
+  if let Err(StageError::Lost(error)) = &result {
     let error = error.clone();
     let lost = LostPart {
       entry,
@@ -289,10 +290,10 @@
     };
     note_lost(&gateway, &request, lost).await;
   }
-  (id, answer)
+  (id, result)
 }
 
-async fn whole_answer(
+async fn fetch_response(
   gateway: &Rc<Gateway>,
   request: &RoutedRequest,
   entry: &EndpointEntry,
@@ -305,13 +306,13 @@
   )
   .await?;
   let has_receipt = head.attributes.has_receipt;
-  let answer = head.buffer(gateway).await?;
-  if answer.status.is_success() && !has_receipt {
+  let response = head.buffer(gateway).await?;
+  if response.status.is_success() && !has_receipt {
     return Err(StageError::Lost("success without a receipt".into()));
   }
-  Ok(answer)
+  Ok(response)
 }
 
-fn pass_on(answer: BufferedResponse) -> Response<ResponseBody> {
-  forward_response(answer.status, answer.headers, full_body(answer.body))
+fn forward(response: BufferedResponse) -> Response<ResponseBody> {
+  forward_response(response.status, response.headers, full_body(response.body))
 }
