--- a/src/gateway/connections/accept.rs
+++ b/src/gateway/connections/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections on the box's ports, and serving those that only boxes and tools use.
+//! Accepts connections on the box's ports, and serves the internal ports for other boxes and tools.
 
 use {
   crate::listener::ACCEPT_PAUSE,
@@ -15,7 +15,7 @@
   },
 };
 
-/// The next connection. One that can't be accepted is logged, and the listener is asked again after a pause.
+/// Accepts the next connection. Logs a failure and retries after a delay.
 pub(crate) async fn accept(listener: &TcpListener) -> TcpStream {
   loop {
     match listener.accept().await {
@@ -28,25 +28,25 @@
   }
 }
 
-/// Answers every request on a port with `answer` until the process ends; `port` names it in logs.
+/// Handles every request on an internal port until the process exits; `port` is its name in logs.
 ///
-/// Sets no bounds on connections or time: callers don't reach these ports.
-pub(crate) async fn serve_port<A: Future<Output = Response<Full<Bytes>>> + 'static>(
+/// Sets no limits on connections or timeouts: callers can't reach these ports.
+pub(crate) async fn serve_port<F: Future<Output = Response<Full<Bytes>>> + 'static>(
   listener: TcpListener,
   port: &'static str,
-  answer: impl Fn(Request<Incoming>) -> A + Clone + 'static,
+  handler: impl Fn(Request<Incoming>) -> F + Clone + 'static,
 ) {
   loop {
     let stream = accept(&listener).await;
-    let answer = answer.clone();
+    let handler = handler.clone();
     let service = service_fn(move |request| {
-      let response = answer(request);
+      let response = handler(request);
       async move { Ok::<_, Infallible>(response.await) }
     });
     spawn_local(async move {
       let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
       if let Err(error) = connection.await {
-        log::debug!("connection to port {port} ended: {error}");
+        log::debug!("connection to port {port} failed: {error}");
       }
     });
   }
--- a/src/gateway/connections/connection.rs
+++ b/src/gateway/connections/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an endpoint. Dropping it closes it at once, and with it the work asked for.
+//! One connection to an endpoint. Dropping it closes it at once, which cancels the request on it.
 
 use {
   crate::ids::Name,
@@ -16,37 +16,37 @@
   },
 };
 
-/// An endpoint in reach accepts within milliseconds; one packet lost costs a second and is worth another
-/// endpoint. A box that has used up its share of a core stands still for up to 100 ms.
-const CONNECT_LIMIT: Duration = Duration::from_millis(150);
-/// Bytes that are not acknowledged for this long mean that the path is gone.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(1_500);
-/// Pause before probes of a silent connection, and between them.
-const PROBE_PAUSE: Duration = Duration::from_secs(1);
-/// Reads are small: an event at a time.
+/// Less than the retransmission of a lost SYN, so that another endpoint is tried; more than the 100 ms for which a box may be
+/// throttled at its CPU quota.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
+/// A connection is closed when sent data is not acknowledged for this long.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Interval of TCP keep-alive probes on a silent connection.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Buffer of a connection; reads are as small as one event.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// Why nothing came back.
+/// Why a request got no response.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub(crate) enum SendError {
-  /// The endpoint does not answer at all: it, or the path to it, is gone.
-  #[error("no connection in time")]
+  /// No connection could be established within the timeout.
+  #[error("connect timed out")]
   Unreachable,
-  /// The endpoint never saw the request.
+  /// The request was not sent.
   #[error("not sent: {0}")]
   Unsent(String),
-  /// It may have seen it.
-  #[error("broke: {0}")]
-  Broke(String),
+  /// The connection was lost after the request may have been sent.
+  #[error("connection lost: {0}")]
+  ConnectionLost(String),
 }
 
 /// One connection to an endpoint.
 #[derive(Debug)]
 pub(crate) struct Connection {
-  /// The incarnation it was opened for.
+  /// The endpoint's incarnation.
   pub(crate) endpoint: Name,
-  /// When it must no longer be used, on the box's clock.
-  pub(crate) good_until_ms: u64,
+  /// When it must no longer be reused, on the box's clock.
+  pub(crate) reusable_until_ms: u64,
   sender: http1::SendRequest<Full<Bytes>>,
   task: AbortHandle,
 }
@@ -58,10 +58,9 @@
 }
 
 impl Connection {
-  /// Opens a connection.
   pub(crate) async fn open(endpoint: Name, address: SocketAddr) -> Result<Self, SendError> {
     let unsent = |error: &dyn Display| SendError::Unsent(error.to_string());
-    let stream = timeout(CONNECT_LIMIT, TcpStream::connect(address))
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
       .await
       .map_err(|_| SendError::Unreachable)?
       .map_err(|error| unsent(&error))?;
@@ -73,18 +72,18 @@
       .map_err(|error| unsent(&error))?;
     let task = spawn_local(async move {
       if let Err(error) = connection.await {
-        log::debug!("connection to {address} ended: {error}");
+        log::debug!("connection to {address} failed: {error}");
       }
     });
     Ok(Self {
       endpoint,
-      good_until_ms: 0,
+      reusable_until_ms: 0,
       sender,
       task: task.abort_handle(),
     })
   }
 
-  /// Sends a request and waits for the answer's head.
+  /// Sends a request and waits for the response's head.
   pub(crate) async fn send(
     &mut self,
     request: Request<Full<Bytes>>,
@@ -98,30 +97,30 @@
       .sender
       .try_send_request(request)
       .await
-      .map_err(|mut refused| {
-        let unsent = refused.take_message().is_some();
-        let text = refused.error().to_string();
+      .map_err(|mut error| {
+        let unsent = error.take_message().is_some();
+        let text = error.error().to_string();
         if unsent {
           SendError::Unsent(text)
         } else {
-          SendError::Broke(text)
+          SendError::ConnectionLost(text)
         }
       })
   }
 
-  /// Whether a further request may be sent now.
+  /// Whether another request may be sent now.
   pub(crate) fn is_usable(&self, now_ms: u64) -> bool {
-    now_ms < self.good_until_ms && self.sender.is_ready()
+    now_ms < self.reusable_until_ms && self.sender.is_ready()
   }
 }
 
-/// Bounds the silence of a connection whose path is cut.
+/// Sets the socket options that detect an unresponsive peer.
 pub(crate) fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
   stream.set_nodelay(true)?;
   let socket = SockRef::from(stream);
-  socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))?;
-  let probes = TcpKeepalive::new()
-    .with_time(PROBE_PAUSE)
-    .with_interval(PROBE_PAUSE);
-  socket.set_tcp_keepalive(&probes)
+  socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
+  let keepalive = TcpKeepalive::new()
+    .with_time(KEEPALIVE_INTERVAL)
+    .with_interval(KEEPALIVE_INTERVAL);
+  socket.set_tcp_keepalive(&keepalive)
 }
--- a/src/gateway/connections/connection_pool.rs
+++ b/src/gateway/connections/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections that rest between requests.
+//! The pool of idle connections to endpoints.
 
 use {
   super::connection::Connection,
@@ -7,61 +7,61 @@
   std::{cell::RefCell, collections::HashMap},
 };
 
-/// How long a connection may rest when its endpoint does not say; one that does gets twice that at the most.
-const REST_MS: u64 = 4_000;
-/// A connection is not used when its endpoint may be closing it at this moment.
-const REST_MARGIN_MS: u64 = 1_000;
+/// Idle timeout when the endpoint sends none; a timeout that it sends is capped at twice this value.
+const DEFAULT_IDLE_TIMEOUT_MS: u64 = 4_000;
+/// A connection is not reused this shortly before its endpoint closes it.
+const IDLE_MARGIN_MS: u64 = 1_000;
 
-/// The connections that rest, newest last.
+/// The idle connections of each endpoint, the most recently used one last.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionPool {
-  resting: RefCell<HashMap<Name, Vec<Connection>>>,
+  idle: RefCell<HashMap<Name, Vec<Connection>>>,
 }
 
 impl ConnectionPool {
-  /// The connection that rested for the shortest time.
-  pub(crate) fn take(&self, endpoint: &str, now_ms: u64) -> Option<Connection> {
-    let mut resting = self.resting.borrow_mut();
-    let connections = resting.get_mut(endpoint)?;
+  /// Removes and returns the connection that was idle for the shortest time.
+  pub(crate) fn take_idle(&self, endpoint: &str, now_ms: u64) -> Option<Connection> {
+    let mut idle = self.idle.borrow_mut();
+    let connections = idle.get_mut(endpoint)?;
     connections.retain(|connection| connection.is_usable(now_ms));
     connections.pop()
   }
 
-  /// Lets a connection rest whose answer came whole, unless `most` rest already; `headers` are that answer's.
-  pub(crate) fn put(
+  /// Returns a connection after a complete response, unless `max_idle` are idle already; `headers` are that response's.
+  pub(crate) fn put_idle(
     &self,
     mut connection: Connection,
     headers: &HeaderMap,
-    most: usize,
+    max_idle: usize,
     now_ms: u64,
   ) {
-    let Some(rest_ms) = rest_ms(headers) else {
+    let Some(idle_timeout_ms) = idle_timeout_ms(headers) else {
       return;
     };
-    connection.good_until_ms = now_ms + rest_ms;
-    let mut resting = self.resting.borrow_mut();
-    let connections = resting.entry(connection.endpoint.clone()).or_default();
-    if connections.len() < most {
+    connection.reusable_until_ms = now_ms + idle_timeout_ms;
+    let mut idle = self.idle.borrow_mut();
+    let connections = idle.entry(connection.endpoint.clone()).or_default();
+    if connections.len() < max_idle {
       connections.push(connection);
     }
   }
 
-  /// Closes the connections of an endpoint.
+  /// Closes the idle connections of an endpoint.
   pub(crate) fn close(&self, endpoint: &str) {
-    self.resting.borrow_mut().remove(endpoint);
+    self.idle.borrow_mut().remove(endpoint);
   }
 
-  /// Closes the connections that have rested for too long.
-  pub(crate) fn close_old(&self, now_ms: u64) {
-    self.resting.borrow_mut().retain(|_, connections| {
+  /// Closes the connections that may no longer be reused.
+  pub(crate) fn close_expired(&self, now_ms: u64) {
+    self.idle.borrow_mut().retain(|_, connections| {
       connections.retain(|connection| connection.is_usable(now_ms));
       !connections.is_empty()
     });
   }
 }
 
-/// How long a connection may rest after an answer; nothing when it ends with it.
-fn rest_ms(headers: &HeaderMap) -> Option<u64> {
+/// How long a connection may be idle after a response; `None` when it is closed.
+fn idle_timeout_ms(headers: &HeaderMap) -> Option<u64> {
   let closes = headers
     .get_all(CONNECTION)
     .iter()
@@ -70,7 +70,7 @@
   if closes {
     return None;
   }
-  let told_ms = headers
+  let advertised_ms = headers
     .get("keep-alive")
     .and_then(|value| value.to_str().ok())
     .and_then(|text| {
@@ -80,8 +80,10 @@
     })
     .and_then(|seconds| seconds.trim().parse::<u64>().ok())
     .map(|seconds| seconds.saturating_mul(1_000));
-  let rest_ms = told_ms.map_or(REST_MS, |told_ms| {
-    told_ms.saturating_sub(REST_MARGIN_MS).min(REST_MS * 2)
+  let idle_timeout_ms = advertised_ms.map_or(DEFAULT_IDLE_TIMEOUT_MS, |advertised_ms| {
+    advertised_ms
+      .saturating_sub(IDLE_MARGIN_MS)
+      .min(DEFAULT_IDLE_TIMEOUT_MS * 2)
   });
-  (rest_ms > 0).then_some(rest_ms)
+  (idle_timeout_ms > 0).then_some(idle_timeout_ms)
 }
--- a/src/gateway/connections/headers.rs
+++ b/src/gateway/connections/headers.rs
@@ -1,4 +1,4 @@
-//! Leaves out the headers that concern one connection only when a message is passed on (RFC 9110, 7.6.1).
+//! Removes hop-by-hop headers when a message is forwarded (RFC 9110, 7.6.1).
 
 use http::{
   HeaderMap, HeaderName,
@@ -8,8 +8,8 @@
   },
 };
 
-/// Headers that are never passed on; the HTTP library writes its own framing.
-const OF_ONE_CONNECTION: [HeaderName; 9] = [
+/// Headers that are never forwarded; the HTTP library writes its own framing.
+const HOP_BY_HOP: [HeaderName; 9] = [
   CONNECTION,
   CONTENT_LENGTH,
   EXPECT,
@@ -21,7 +21,7 @@
   UPGRADE,
 ];
 
-/// Removes the headers that concern one connection, those that `Connection` names included.
+/// Removes hop-by-hop headers, including those that `Connection` lists.
 ///
 /// ```
 /// use http::HeaderMap;
@@ -40,7 +40,7 @@
     .flat_map(|value| value.split(','))
     .filter_map(|name| name.trim().parse().ok())
     .collect();
-  for name in named.iter().chain(&OF_ONE_CONNECTION) {
+  for name in named.iter().chain(&HOP_BY_HOP) {
     headers.remove(name);
   }
   headers.remove("keep-alive");
--- a/src/gateway/connections/mod.rs
+++ b/src/gateway/connections/mod.rs
@@ -1,8 +1,7 @@
-//! Connections to endpoints, and the listeners that others connect to: limits, rest and reuse, headers that concern one
-//! connection alone, messages between boxes.
+//! Pooled connections to endpoints, listeners, hop-by-hop headers, and messages between boxes.
 //!
-//! Imports nothing of the gateway. A request comes in through [`accept`] and goes out over a [`Connection`], which then
-//! rests in the [`ConnectionPool`].
+//! Imports no other module of the gateway. A request arrives through [`accept`] and is sent over a [`Connection`], which then
+//! returns to the [`ConnectionPool`].
 
 mod accept;
 mod box_message;
@@ -14,7 +13,7 @@
 
 pub(crate) use self::{
   accept::{accept, serve_port},
-  box_message::{message_answer, read_message, send_message, status_answer},
+  box_message::{message_response, read_message, send_message, status_response},
   connection::{Connection, SendError, set_socket_options},
   connection_pool::ConnectionPool,
 };
--- a/src/gateway/limits/messages.rs
+++ b/src/gateway/limits/messages.rs
@@ -4,7 +4,7 @@
   crate::{
     CallError, HttpClient,
     gateway::{
-      connections::{message_answer, read_message, send_message, status_answer},
+      connections::{message_response, read_message, send_message, status_response},
       decisions::{UseTotals, UseVerdict},
       state::Gateway,
     },
@@ -74,7 +74,7 @@
   request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
   let Some(report) = read::<UseReport>(request).await else {
-    return status_answer(StatusCode::BAD_REQUEST);
+    return status_response(StatusCode::BAD_REQUEST);
   };
   let now_ms = gateway.now_ms();
   let mut book = gateway.use_book.borrow_mut();
@@ -89,7 +89,7 @@
     short: book.short(now_ms),
     verdict,
   };
-  message_answer(&answer)
+  message_response(&answer)
 }
 
 /// Takes over the totals of another box that counts.
@@ -98,7 +98,7 @@
   request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
   let Some(totals) = read::<UseTotals>(request).await else {
-    return status_answer(StatusCode::BAD_REQUEST);
+    return status_response(StatusCode::BAD_REQUEST);
   };
   let now_ms = gateway.now_ms();
   // This box's clock starts with its process.
@@ -107,7 +107,7 @@
     .use_book
     .borrow_mut()
     .hear(&totals, uptime_ms, now_ms);
-  status_answer(StatusCode::OK)
+  status_response(StatusCode::OK)
 }
 
 async fn read<M: DeserializeOwned>(request: Request<Incoming>) -> Option<M> {
--- a/src/gateway/membership/relay.rs
+++ b/src/gateway/membership/relay.rs
@@ -4,7 +4,7 @@
   crate::{
     CallError, HttpClient,
     gateway::{
-      connections::{message_answer, serve_port, status_answer},
+      connections::{message_response, serve_port, status_response},
       edge::StoreChanges,
       limits::{TOTALS_PATH, USE_PATH, answer_totals, answer_use},
       permits::{LIMITS_PATH, PERMITS_PATH, answer_limit, answer_permits},
@@ -81,7 +81,7 @@
     .strip_prefix("/changes/")
     .and_then(|text| text.parse().ok());
   let Some(revision) = revision else {
-    return status_answer(StatusCode::NOT_FOUND);
+    return status_response(StatusCode::NOT_FOUND);
   };
   let heard_ms = gateway.store_heard_ms.get();
   let is_source = heard_ms.is_some_and(|heard_ms| gateway.now_ms() < heard_ms + READER_STALE_MS);
@@ -97,5 +97,5 @@
       .get()
       .map(|heard_ms| gateway.now_ms() - heard_ms),
   };
-  message_answer(&answer)
+  message_response(&answer)
 }
--- a/src/gateway/permits/messages.rs
+++ b/src/gateway/permits/messages.rs
@@ -5,7 +5,7 @@
   crate::{
     CallError, HttpClient,
     gateway::{
-      connections::{message_answer, read_message, send_message, status_answer},
+      connections::{message_response, read_message, send_message, status_response},
       decisions::{EndpointLife, PermitRequest, PermitVerdict, counted_limit, endpoint_order},
       state::Gateway,
     },
@@ -65,11 +65,11 @@
   request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
   match read_message(request, MOST_BYTES).await {
-    Ok(question) if !counts_for(gateway, &question) => status_answer(StatusCode::CONFLICT),
-    Ok(question) => message_answer(&answer_question(gateway, &question)),
+    Ok(question) if !counts_for(gateway, &question) => status_response(StatusCode::CONFLICT),
+    Ok(question) => message_response(&answer_question(gateway, &question)),
     Err(error) => {
       log::info!("E609 question for permits not read: {error}");
-      status_answer(StatusCode::BAD_REQUEST)
+      status_response(StatusCode::BAD_REQUEST)
     }
   }
 }
--- a/src/gateway/permits/telling.rs
+++ b/src/gateway/permits/telling.rs
@@ -4,7 +4,7 @@
   super::told_limit::ToldLimit,
   crate::{
     gateway::{
-      connections::{read_message, send_message, status_answer},
+      connections::{read_message, send_message, status_response},
       decisions::{HeardLimit, LimitNews},
       state::Gateway,
     },
@@ -89,11 +89,11 @@
   match read_message::<LimitMessage>(request, MOST_BYTES).await {
     Ok(message) => {
       hear_told(gateway, message);
-      status_answer(StatusCode::OK)
+      status_response(StatusCode::OK)
     }
     Err(error) => {
       log::info!("E609 an endpoint's limit not read: {error}");
-      status_answer(StatusCode::BAD_REQUEST)
+      status_response(StatusCode::BAD_REQUEST)
     }
   }
 }
--- a/src/gateway/process/start.rs
+++ b/src/gateway/process/start.rs
@@ -181,7 +181,7 @@
   loop {
     sleep(HOUSEKEEPING).await;
     let now_ms = gateway.now_ms();
-    gateway.pool.close_old(now_ms);
+    gateway.pool.close_expired(now_ms);
     gateway.book.borrow_mut().forget_lapsed(now_ms);
     forget_notices(&gateway, now_ms);
     gateway.permit_book.borrow_mut().forget_old(now_ms);
--- a/src/gateway/quarantine/messages.rs
+++ b/src/gateway/quarantine/messages.rs
@@ -4,7 +4,7 @@
   crate::{
     CallError, HttpClient,
     gateway::{
-      connections::{read_message, send_message, status_answer},
+      connections::{read_message, send_message, status_response},
       decisions::QuarantineKey,
       state::{Gateway, MarkOrigin},
     },
@@ -44,11 +44,11 @@
   match read_message::<Vec<Name>>(request, MOST_BYTES).await {
     Ok(texts) => {
       note_marks(gateway, &texts);
-      status_answer(StatusCode::OK)
+      status_response(StatusCode::OK)
     }
     Err(error) => {
       log::info!("E534 marks of another box not read: {error}");
-      status_answer(StatusCode::BAD_REQUEST)
+      status_response(StatusCode::BAD_REQUEST)
     }
   }
 }
--- a/src/gateway/stages/stage.rs
+++ b/src/gateway/stages/stage.rs
@@ -80,7 +80,7 @@
     match error {
       SendError::Unreachable => Self::Unreachable,
       SendError::Unsent(text) => Self::Unsent(text),
-      SendError::Broke(text) => Self::Lost(text),
+      SendError::ConnectionLost(text) => Self::Lost(text),
     }
   }
 }
@@ -316,10 +316,10 @@
     purpose,
     sent_ms: gateway.now_ms(),
   };
-  if let Some(mut connection) = gateway.pool.take(&entry.id, gateway.now_ms()) {
+  if let Some(mut connection) = gateway.pool.take_idle(&entry.id, gateway.now_ms()) {
     match connection.send(request.clone()).await {
       Ok(response) => return Ok((connection, apply_response_notice(gateway, sent, response))),
-      Err(SendError::Broke(text)) => return Err(StageError::Lost(text)),
+      Err(SendError::ConnectionLost(text)) => return Err(StageError::Lost(text)),
       Err(SendError::Unreachable | SendError::Unsent(_)) => {}
     }
   }
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -324,7 +324,7 @@
   /// Lets a connection rest whose answer came whole; `headers` are that answer's.
   pub(crate) fn rest(&self, connection: Connection, headers: &HeaderMap) {
     let most = self.most_resting(&connection.endpoint);
-    self.pool.put(connection, headers, most, self.now_ms());
+    self.pool.put_idle(connection, headers, most, self.now_ms());
   }
 
   /// This box's share of the connections that an endpoint accepts, as far as they may rest.
