--- a/emulator/src/limits/replay.rs
+++ b/emulator/src/limits/replay.rs
@@ -29,7 +29,7 @@
 const SETTINGS: LimitSettings = LimitSettings {
   overage: 0.1,
   slack_units: 190_000.0,
-  way: LimitWay::AskedWhenShort,
+  strategy: LimitWay::AskedWhenShort,
 };
 /// Bytes of an entry with a name and a number in a message.
 const ENTRY_BYTES: usize = 14;
@@ -146,7 +146,7 @@
   fn put_limits(&mut self, now_ms: u64) {
     let limits: Vec<(Name, UsageLimit)> = (0..self.fleet.organisations)
       .map(|number| {
-        let kept = SETTINGS.kept(self.limit(number, now_ms));
+        let kept = SETTINGS.enforced(self.limit(number, now_ms));
         (self.names[number].clone(), kept)
       })
       .collect();
--- a/src/gateway/limits/admission.rs
+++ b/src/gateway/limits/admission.rs
@@ -122,8 +122,8 @@
     organisation: name,
     units,
   };
-  let way = gateway.settings.limits.way;
-  let local = gateway.use_ledger.borrow_mut().admit(request(), way);
+  let strategy = gateway.settings.limits.strategy;
+  let local = gateway.use_ledger.borrow_mut().admit(request(), strategy);
   match local {
     LocalVerdict::Settled(verdict) => verdict,
     LocalVerdict::Ask => match ask(gateway, name, units).await {
--- a/src/gateway/limits/telling.rs
+++ b/src/gateway/limits/telling.rs
@@ -30,7 +30,7 @@
   let mut turn = 0_u32;
   loop {
     sleep(PAUSE).await;
-    if gateway.use_book.borrow().is_empty() || !gateway.settings.limits.way.is_told() {
+    if gateway.use_book.borrow().is_empty() || !gateway.settings.limits.strategy.is_told() {
       continue;
     }
     if gateway.is_counting() {
--- a/src/gateway/membership/own_entry.rs
+++ b/src/gateway/membership/own_entry.rs
@@ -18,7 +18,7 @@
 
 /// Keeps this box's own entry, by which the others count the boxes.
 pub(crate) async fn keep_entry<S: Store>(gateway: Rc<Gateway>, store: S) {
-  let ttl = Duration::from_millis(LEASE_TTL_MS.max(gateway.settings.store.least_lease_ms));
+  let ttl = Duration::from_millis(LEASE_TTL_MS.max(gateway.settings.store.min_lease_ms));
   while *gateway.phase.borrow() == Phase::Serving {
     let sent_ms = gateway.now_ms();
     gateway.counters.store_calls.inc();
--- a/src/gateway/membership/store_view.rs
+++ b/src/gateway/membership/store_view.rs
@@ -110,7 +110,7 @@
 
   /// What this box knows of requests that end endpoints and the store no longer does; what it has still to write is not missing.
   fn quarantine_missing_from(&self, listing: &Listing) -> Vec<Name> {
-    if self.gateway.settings.quarantine.way != QuarantineWay::Shared {
+    if self.gateway.settings.quarantine.strategy != QuarantineWay::Shared {
       return Vec::new();
     }
     let quarantine = &self.gateway.quarantine;
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,14 +1,14 @@
-//! A box that routes requests by host and path to endpoints that come and go.
+//! A gateway box: routes requests by host and path to endpoints, which come and go.
 //!
-//! A request's way: [`front`](requests) reads it and finds its [`Route`], `requests` choose endpoints from the
-//! [`EndpointBook`] within the [`RetryWindow`], `stages` send it over `connections`, and the answer goes back unchanged.
-//! `membership` keeps routes and endpoints as the store has them. What a platform calls all this stands behind [`PlatformCodec`]
-//! and [`Store`].
+//! `requests` reads a request, finds its [`Route`] and chooses endpoints from the [`EndpointBook`] within the retry budget
+//! ([`RetryWindow`]); `stages` sends it over `connections`; the response is forwarded unchanged. `membership` keeps routes and
+//! endpoints in sync with the store. The platform is accessed through [`PlatformCodec`] and [`Store`] only.
 //!
-//! The folders in order, each importing only those before it: `edge`, `decisions`, `settings`, `connections`, `state`,
-//! `permits`, `stages`, `limits` and `quarantine`, then `requests`, `roles` and `membership` side by side, and `process`. A test holds that order.
+//! The modules in order, each importing only those before it: `edge`, `decisions`, `settings`, `connections`, `state`,
+//! `permits`, `stages`, then `limits` and `quarantine`, then `requests`, `roles` and `membership`, and `process`. A test enforces
+//! this order.
 //!
-//! One thread serves everything: a box has a fraction of a core, and each thread costs it memory.
+//! One thread serves everything, since a box has only a fraction of a core and little memory.
 
 mod connections;
 mod decisions;
--- a/src/gateway/process/log_writer.rs
+++ b/src/gateway/process/log_writer.rs
@@ -1,4 +1,4 @@
-//! The log's way to standard output: a bounded queue and a thread, so that no request waits for a reader.
+//! Writes the log to standard output through a bounded queue and a thread, so that no request blocks on a slow reader.
 
 use std::{
   io::{self, Write},
@@ -12,22 +12,22 @@
   time::Duration,
 };
 
-/// Lines that wait for a slow reader; more are dropped and counted.
-const MOST_WAITING_LINES: usize = 1_024;
-/// The thread only copies lines.
+/// Capacity of the queue; further lines are dropped and counted.
+const MAX_QUEUED_LINES: usize = 1_024;
+/// Stack of the thread, which only copies lines.
 const STACK_BYTES: usize = 64 * 1024;
 
-/// How long a stopping process waits for its last lines to be written.
-const FLUSH_LIMIT: Duration = Duration::from_millis(200);
+/// How long a stopping process waits until its last lines are written.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 enum Entry {
-  /// A whole line.
+  /// A complete line.
   Line(Vec<u8>),
-  /// All lines before it have been written: tell so.
+  /// Signals the sender once all lines before it are written.
   Flush(SyncSender<()>),
 }
 
-/// Takes whole lines without ever waiting.
+/// Queues complete lines without blocking.
 pub(crate) struct LogWriter {
   lines: SyncSender<Entry>,
   dropped: Arc<AtomicU64>,
@@ -35,15 +35,15 @@
 }
 
 impl LogWriter {
-  /// Starts the thread that writes.
+  /// Starts the writing thread.
   pub(crate) fn start() -> io::Result<Self> {
-    let (lines, waiting) = sync_channel(MOST_WAITING_LINES);
+    let (lines, queue) = sync_channel(MAX_QUEUED_LINES);
     let dropped = Arc::new(AtomicU64::new(0));
-    let counted = dropped.clone();
+    let counter = dropped.clone();
     thread::Builder::new()
       .name("log".into())
       .stack_size(STACK_BYTES)
-      .spawn(move || write_lines(&waiting, &counted))?;
+      .spawn(move || write_lines(&queue, &counter))?;
     Ok(Self {
       dropped,
       line: Vec::new(),
@@ -64,23 +64,23 @@
     Ok(bytes.len())
   }
 
-  /// Waits until the lines so far are written; only a process that stops calls this.
+  /// Waits until all queued lines are written; called only at shutdown.
   fn flush(&mut self) -> io::Result<()> {
     let (written, wait) = sync_channel(1);
     if self.lines.try_send(Entry::Flush(written)).is_ok() {
-      // A reader that is too slow must not hold up the stop.
-      let _ = wait.recv_timeout(FLUSH_LIMIT);
+      // A slow reader must not delay the shutdown.
+      let _ = wait.recv_timeout(FLUSH_TIMEOUT);
     }
     Ok(())
   }
 }
 
-fn write_lines(waiting: &Receiver<Entry>, dropped: &AtomicU64) {
+fn write_lines(queue: &Receiver<Entry>, dropped: &AtomicU64) {
   let mut output = io::stdout();
-  while let Ok(first) = waiting.recv() {
+  while let Ok(first) = queue.recv() {
     let mut text = Vec::new();
     let mut flushed = Vec::new();
-    for entry in std::iter::once(first).chain(waiting.try_iter()) {
+    for entry in std::iter::once(first).chain(queue.try_iter()) {
       match entry {
         Entry::Line(line) => text.extend_from_slice(&line),
         Entry::Flush(written) => flushed.push(written),
@@ -91,7 +91,7 @@
       let line = format!("E603 {lost} log lines dropped: the reader is too slow\n");
       text.extend_from_slice(line.as_bytes());
     }
-    // Nobody is left to be told when the output itself is gone, or who waited for it.
+    // An error can't be logged when the output is closed.
     let _ = output.write_all(&text);
     let _ = output.flush();
     for written in flushed {
--- a/src/gateway/process/mod.rs
+++ b/src/gateway/process/mod.rs
@@ -1,9 +1,9 @@
-//! The process: its start, its threads of work, its planned stop, its log and its own pages.
+//! The process: startup, tasks, graceful shutdown, log and status pages.
 //!
-//! May import every other folder; none imports it.
+//! May import every other module of the gateway; none imports it.
 
 mod log_writer;
-mod own_pages;
 mod start;
+mod status_pages;
 
 pub use self::start::run_gateway;
--- a/src/gateway/process/start.rs
+++ b/src/gateway/process/start.rs
@@ -1,9 +1,9 @@
-//! Starting a gateway box, and stopping it without cutting a request.
+//! Starts a gateway box, and shuts it down without interrupting requests.
 
 use {
   super::{
     log_writer::LogWriter,
-    own_pages::{OwnPage, serve_page},
+    status_pages::{StatusPage, serve_page},
   },
   crate::{
     Error, Result,
@@ -31,20 +31,20 @@
   },
 };
 
-/// The balancer asks every second and takes a box out after two misses.
+/// Time until the load balancer has removed the box: it checks readiness every second and removes a box after two failures.
 const BALANCER_LAG: Duration = Duration::from_millis(2_300);
-/// What is left between the last answer and the kill.
+/// Reserve before the process is killed.
 const KILL_MARGIN: Duration = Duration::from_millis(400);
-/// New connections are taken until this long before the end.
-const LAST_CALL_MS: u64 = 1_500;
-/// A request that comes while the box is leaving has its final answer this long before the end.
-const ANSWER_MARGIN_MS: u64 = 200;
-/// Pause between looks at what is still in progress.
-const DRAIN_POLL: Duration = Duration::from_millis(50);
-/// Pause between closing connections that rested for too long.
-const HOUSEKEEPING: Duration = Duration::from_millis(1_000);
+/// New connections are accepted until this long before the exit.
+const ACCEPT_MARGIN_MS: u64 = 1_500;
+/// Requests that arrive during the shutdown get their deadline this long before the exit.
+const RESPONSE_MARGIN_MS: u64 = 200;
+/// Interval of checks for requests in flight during the shutdown.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which expired state is removed.
+const CLEANUP_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Runs a gateway box until it is told to stop, and then until its requests have ended or their time is over.
+/// Runs a gateway box until the stop signal, and then until its requests have completed or the shutdown timeout has passed.
 /// Fails when an address can't be bound, or the policy program can't be read.
 pub fn run_gateway<S: Store>(
   settings: GatewaySettings,
@@ -65,7 +65,7 @@
   })
 }
 
-/// Serves until the signal to stop, then leaves.
+/// Serves until the stop signal, then shuts down.
 async fn serve<S: Store>(
   settings: GatewaySettings,
   codec: Rc<dyn PlatformCodec>,
@@ -87,19 +87,19 @@
   loop {
     tokio::select! {
       _ = stop.recv() => break,
-      _ = reload.recv() => log::info!("E102 settings changed: in force at the next start"),
+      _ = reload.recv() => log::info!("E102 reload signal: changed settings apply after a restart"),
     }
   }
-  leave(&gateway, &store).await;
+  shut_down(&gateway, &store).await;
   log::info!(
-    "E103 stopped: {name}, {} requests left",
+    "E103 stopped: {name}, {} requests in flight",
     gateway.in_flight.get()
   );
   log::logger().flush();
   Ok(())
 }
 
-/// The box's listeners, bound before it says that it has started.
+/// The box's listeners, bound before the start is logged.
 struct Ports {
   callers: TcpListener,
   ready: TcpListener,
@@ -112,13 +112,13 @@
     let callers = listen("callers", addresses.callers)?;
     let ready = listen("ready", addresses.ready)?;
     let boxes = listen("boxes", addresses.boxes)?;
-    // Requests are served without figures too.
+    // Requests can be served without metrics.
     let metrics = addresses
       .metrics
       .and_then(|address| match listen("metrics", address) {
         Ok(listener) => Some(listener),
         Err(error) => {
-          log::warn!("E606 no figures: {error}");
+          log::warn!("E606 no metrics: {error}");
           None
         }
       });
@@ -131,70 +131,71 @@
   }
 }
 
-/// Starts what a box does at the same time; all of it ends with the process.
+/// Starts the box's tasks, which run until the process exits.
 fn spawn_tasks<S: Store>(gateway: &Rc<Gateway>, store: &S, ports: Ports) {
-  spawn_local(serve_page(gateway.clone(), ports.ready, OwnPage::Ready));
+  spawn_local(serve_page(gateway.clone(), ports.ready, StatusPage::Ready));
   if let Some(metrics) = ports.metrics {
-    spawn_local(serve_page(gateway.clone(), metrics, OwnPage::Metrics));
+    spawn_local(serve_page(gateway.clone(), metrics, StatusPage::Metrics));
   }
   spawn_local(follow_store(gateway.clone(), store.clone()));
   spawn_local(keep_entry(gateway.clone(), store.clone()));
-  if gateway.settings.mechanisms.role_orders {
+  if gateway.settings.mechanisms.role_commands {
     spawn_local(keep_roles(gateway.clone(), store.clone()));
   }
   spawn_local(accept_callers(gateway.clone(), ports.callers));
   spawn_local(serve_boxes(gateway.clone(), ports.boxes));
   spawn_local(keep_counts(gateway.clone()));
   spawn_local(keep_quarantine(gateway.clone(), store.clone()));
-  spawn_local(keep_house(gateway.clone()));
+  spawn_local(remove_expired(gateway.clone()));
 }
 
-/// Serves what still comes, then closes what rests.
-async fn leave<S: Store>(gateway: &Gateway, store: &S) {
+/// Shuts down gracefully: signals that the box is not ready, serves until the load balancer has removed it, drains the requests in
+/// flight, and then closes the connections.
+async fn shut_down<S: Store>(gateway: &Gateway, store: &S) {
   let now_ms = gateway.now_ms();
   let stop_ms = (gateway.settings.bounds.stop_s * 1_000.0) as u64;
   let end_ms = now_ms + stop_ms.saturating_sub(u64::try_from(KILL_MARGIN.as_millis()).unwrap_or(0));
   gateway
     .ends_ms
-    .set(Some(end_ms.saturating_sub(ANSWER_MARGIN_MS)));
+    .set(Some(end_ms.saturating_sub(RESPONSE_MARGIN_MS)));
   gateway.phase.send_replace(Phase::Leaving);
   log::info!(
-    "E104 leaving: {} requests in progress",
+    "E104 shutting down: {} requests in flight",
     gateway.in_flight.get()
   );
   end_entry(gateway, store).await;
   sleep(BALANCER_LAG).await;
   gateway.phase.send_replace(Phase::Closing);
-  let last_call_ms = end_ms.saturating_sub(LAST_CALL_MS);
-  while gateway.in_flight.get() > 0 && gateway.now_ms() < last_call_ms {
-    sleep(DRAIN_POLL).await;
+  let accept_until_ms = end_ms.saturating_sub(ACCEPT_MARGIN_MS);
+  while gateway.in_flight.get() > 0 && gateway.now_ms() < accept_until_ms {
+    sleep(DRAIN_POLL_INTERVAL).await;
   }
-  // From here on no request can be taken and then cut: connections end with what they carry.
+  // No new connections from here on; open ones close after the request that they carry.
   gateway.phase.send_replace(Phase::Closed);
   while gateway.connections.get() > 0 && gateway.now_ms() < end_ms {
-    sleep(DRAIN_POLL).await;
+    sleep(DRAIN_POLL_INTERVAL).await;
   }
 }
 
-/// Closes connections and forgets endpoints whose time is over, until the process ends.
-async fn keep_house(gateway: Rc<Gateway>) {
+/// Closes expired connections and removes expired state, until the process exits.
+async fn remove_expired(gateway: Rc<Gateway>) {
   loop {
-    sleep(HOUSEKEEPING).await;
+    sleep(CLEANUP_INTERVAL).await;
     let now_ms = gateway.now_ms();
     gateway.pool.close_expired(now_ms);
     gateway.book.borrow_mut().forget_lapsed(now_ms);
-    forget_notices(&gateway, now_ms);
+    expire_notices(&gateway, now_ms);
     gateway.permit_book.borrow_mut().forget_old(now_ms);
     gateway.lone_permits.borrow_mut().forget_old(now_ms);
   }
 }
 
-/// Forgets what endpoints said of themselves once it no longer counts.
-fn forget_notices(gateway: &Gateway, now_ms: u64) {
-  let taken_back = gateway.book.borrow_mut().forget_notices(now_ms);
-  for endpoint in taken_back {
+/// Removes endpoints' notices that no longer apply.
+fn expire_notices(gateway: &Gateway, now_ms: u64) {
+  let contradicted = gateway.book.borrow_mut().forget_notices(now_ms);
+  for endpoint in contradicted {
     log::warn!(
-      "E539 taken back: {endpoint} said that it leaves, and is still there as the store lists it"
+      "E539 shutdown notice dropped: {endpoint} signalled a shutdown, but is still listed in the store"
     );
   }
 }
--- a/src/gateway/process/own_pages.rs
+++ b/src/gateway/process/status_pages.rs
@@ -1,4 +1,4 @@
-//! The box's own pages, each on a port of its own: whether it is ready, and its figures.
+//! The box's status pages, each on its own port: readiness and metrics.
 
 use {
   crate::gateway::{
@@ -11,17 +11,17 @@
   tokio::net::TcpListener,
 };
 
-/// A page of the box's own.
+/// A status page.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum OwnPage {
-  /// 200 while the balancer may send callers.
+pub(crate) enum StatusPage {
+  /// Status 200 while the load balancer may send callers, otherwise 503.
   Ready,
-  /// Counters and histograms.
+  /// Metrics as text.
   Metrics,
 }
 
-impl OwnPage {
-  /// Its port's name, for logs.
+impl StatusPage {
+  /// The port's name, for logs.
   fn port(self) -> &'static str {
     match self {
       Self::Metrics => "metrics",
@@ -30,15 +30,15 @@
   }
 }
 
-/// Serves one page until the process ends.
-pub(crate) async fn serve_page(gateway: Rc<Gateway>, listener: TcpListener, page: OwnPage) {
-  let answer = move |_| ready(page_answer(&gateway, page));
-  serve_port(listener, page.port(), answer).await;
+/// Serves one page until the process exits.
+pub(crate) async fn serve_page(gateway: Rc<Gateway>, listener: TcpListener, page: StatusPage) {
+  let handler = move |_| ready(render(&gateway, page));
+  serve_port(listener, page.port(), handler).await;
 }
 
-fn page_answer(gateway: &Gateway, page: OwnPage) -> Response<Full<Bytes>> {
+fn render(gateway: &Gateway, page: StatusPage) -> Response<Full<Bytes>> {
   match page {
-    OwnPage::Metrics => {
+    StatusPage::Metrics => {
       let mut text = gateway.counters.text();
       text.push_str(&limit_figures(gateway));
       text.push_str(&gateway.quarantine.figures());
@@ -46,7 +46,7 @@
       text.push_str(&permit_figures(gateway));
       Response::new(Full::new(text.into()))
     }
-    OwnPage::Ready => {
+    StatusPage::Ready => {
       let mut response = Response::new(Full::default());
       if !gateway.is_ready() {
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
--- a/src/gateway/quarantine/endpoint_end.rs
+++ b/src/gateway/quarantine/endpoint_end.rs
@@ -82,7 +82,7 @@
     return;
   }
   gateway.counters.lost_with_endpoint.inc();
-  if gateway.settings.quarantine.way != QuarantineWay::Off {
+  if gateway.settings.quarantine.strategy != QuarantineWay::Off {
     let life = reached_life(&gateway, &entry, fingerprint, sent_ms).await;
     note_end(&gateway, fingerprint, life);
   }
--- a/src/gateway/quarantine/vetting.rs
+++ b/src/gateway/quarantine/vetting.rs
@@ -21,7 +21,7 @@
 
 /// Lets a request pass, or takes a trial for it. One that is held is refused at once: no endpoint sees it.
 pub(crate) async fn vet(gateway: &Rc<Gateway>, request: &RoutedRequest) -> Result<(), Held> {
-  let is_off = gateway.settings.quarantine.way == QuarantineWay::Off;
+  let is_off = gateway.settings.quarantine.strategy == QuarantineWay::Off;
   if is_off || gateway.quarantine.book.borrow().is_empty() {
     return Ok(());
   }
@@ -71,7 +71,7 @@
     fingerprint: request.fingerprint(),
     mark: QuarantineMark::Trial(number),
   };
-  let is_own = match gateway.settings.quarantine.way {
+  let is_own = match gateway.settings.quarantine.strategy {
     QuarantineWay::Off => false,
     QuarantineWay::OwnBox => true,
     QuarantineWay::Shared => gateway.quarantine.claim(key).await,
@@ -140,7 +140,7 @@
 
 /// Tells the other boxes, where boxes share what they know.
 pub(super) fn share(gateway: &Gateway, keys: &[QuarantineKey], is_pressing: bool) {
-  if gateway.settings.quarantine.way == QuarantineWay::Shared {
+  if gateway.settings.quarantine.strategy == QuarantineWay::Shared {
     gateway.quarantine.write(keys, MarkOrigin::Own, is_pressing);
   }
 }
--- a/src/gateway/requests/frontend.rs
+++ b/src/gateway/requests/frontend.rs
@@ -237,7 +237,7 @@
     .ok_or_else(|| no_route(gateway, &table, host, head.uri.path()))?;
   let organisation = authenticate(gateway, &table, &route, &mut head.headers)?;
   let mut attributes = gateway.codec.caller_attributes(&head.headers);
-  if !gateway.settings.mechanisms.seat_by_estimate {
+  if !gateway.settings.mechanisms.slot_by_estimate {
     attributes.answer_estimate = None;
   }
   let ends_ms = gateway.ends_ms.get().unwrap_or(u64::MAX);
--- a/src/gateway/requests/prefill.rs
+++ b/src/gateway/requests/prefill.rs
@@ -108,7 +108,7 @@
 /// more prompts bypass them; the remaining ones show when the queues are short again.
 fn bypasses_prefill(gateway: &Gateway, request: &RoutedRequest, choice: &Choice) -> bool {
   let max_ms = request.route.target_ms as f64 * MAX_PREFILL_SHARE;
-  if !gateway.settings.mechanisms.prompts_past_readers {
+  if !gateway.settings.mechanisms.prefill_bypass {
     return false;
   }
   if gateway.draw() >= choice.share_beyond(max_ms) {
--- a/src/gateway/requests/slot.rs
+++ b/src/gateway/requests/slot.rs
@@ -72,7 +72,7 @@
   urgency: SeatUrgency,
   wait_ms: u64,
 ) -> bool {
-  if urgency == SeatUrgency::GoesOn || !gateway.settings.mechanisms.refusal_by_forecast {
+  if urgency == SeatUrgency::GoesOn || !gateway.settings.mechanisms.rejection_by_forecast {
     return true;
   }
   let ahead = gateway.seat_queue.borrow().len();
--- a/src/gateway/requests/stream_request.rs
+++ b/src/gateway/requests/stream_request.rs
@@ -218,7 +218,7 @@
       return None;
     }
     self.searched_cached = true;
-    if !self.gateway.settings.mechanisms.resume_where_kept {
+    if !self.gateway.settings.mechanisms.resume_on_cached_prompt {
       return None;
     }
     reserve_resume_slot(&self.gateway, &self.request, interrupted_at.as_ref()).await
--- a/src/gateway/settings/document.rs
+++ b/src/gateway/settings/document.rs
@@ -17,117 +17,117 @@
 /// The settings file of `rillford gateway`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct GatewaySettings {
-  /// Who this box is.
+  /// This box's identity.
   #[serde(rename = "box")]
   pub identity: GatewayIdentity,
-  /// The region of each data hall; needed where routes or organisations have homes.
+  /// The region of each data hall; required when routes or organisations have allowed regions.
   #[serde(default)]
   pub regions: BTreeMap<Name, Name>,
-  /// Where it listens.
+  /// Listening addresses.
   pub listen: GatewayListen,
   /// The platform's store.
   pub store: StoreSettings,
-  /// Bounds that the users set.
+  /// The deployment's bounds.
   pub bounds: GatewayBounds,
-  /// How engines are shared out.
+  /// How engines are divided between prefill and decode.
   pub engines: EngineSettings,
-  /// The operators' policy program; the routes' own words hold without one.
+  /// The operators' policy program; without one, the routes' configuration applies.
   pub policy: Option<PolicySettings>,
-  /// How organisations' limits are kept.
+  /// Enforcement of organisations' limits.
   #[serde(default)]
   pub limits: LimitSettings,
-  /// What is done about requests that end endpoints.
+  /// Quarantine of requests that crash endpoints.
   #[serde(default)]
   pub quarantine: QuarantineSettings,
-  /// Mechanisms that are switched off.
+  /// Switches of mechanisms.
   #[serde(default)]
   pub mechanisms: Mechanisms,
 }
 
-/// Who a box is.
+/// A box's identity.
 #[derive(Clone, Debug, Deserialize)]
 pub struct GatewayIdentity {
-  /// Its name.
+  /// The box's name.
   pub name: Name,
-  /// Its data hall.
+  /// The box's data hall.
   pub hall: Name,
 }
 
-/// Where a box listens.
+/// A box's listening addresses.
 #[derive(Clone, Debug, Deserialize)]
 pub struct GatewayListen {
   /// For callers.
   pub callers: SocketAddr,
-  /// For the balancer's question whether it is ready.
+  /// For the load balancer's readiness checks.
   pub ready: SocketAddr,
   /// For the other boxes.
   pub boxes: SocketAddr,
-  /// For whoever reads its figures.
+  /// For metrics; no metrics are served without it.
   pub metrics: Option<SocketAddr>,
 }
 
-/// The store.
+/// The platform's store.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StoreSettings {
-  /// Where it listens.
+  /// The store's address.
   pub address: SocketAddr,
   /// The shortest lease that it grants.
-  pub least_lease_ms: u64,
+  #[serde(rename = "least_lease_ms")]
+  pub min_lease_ms: u64,
 }
 
-/// Bounds that the users set; fractions are theirs.
+/// The deployment's bounds.
 #[derive(Clone, Debug, Deserialize)]
 pub struct GatewayBounds {
-  /// Seconds from the signal to stop until the process is killed.
+  /// Seconds from the stop signal until the process is killed.
   pub stop_s: f64,
-  /// Repeats for each request in a window, over all boxes.
+  /// Retries per request in a window, over all boxes.
   pub retry_ratio: f64,
-  /// Length of the sliding window in which repeats are counted, in seconds.
+  /// Length of the sliding window in which retries are counted, in seconds.
   pub retry_window_s: f64,
-  /// Repeats in a window beyond the ratio, over all boxes.
+  /// Additional retries in a window, over all boxes.
   pub retry_slack: f64,
-  /// Orders of two boxes to one engine are at least this far apart.
+  /// Minimum time between role commands of two boxes to the same engine.
   pub order_gap_ms: u64,
-  /// Time without trouble after which a box counts as connected to the store.
+  /// Time of undisturbed contact after which a box counts as connected to the store.
   pub contact_ms: u64,
-  /// Time within which a configuration is to be in force on every box that is connected.
+  /// Time within which every connected box has to apply a new configuration.
   pub configuration_ms: u64,
 }
 
-/// Where the policy program is.
+/// The policy program.
 #[derive(Clone, Debug, Deserialize)]
 pub struct PolicySettings {
-  /// The program, from the directory that the process was started in.
+  /// The program's path, relative to the process's working directory.
   pub file: PathBuf,
   /// Minutes that local time is ahead of UTC.
   #[serde(default)]
   pub utc_offset_minutes: i64,
 }
 
-/// How engines are shared out between reading prompts and writing answers.
+/// How engines are divided between prefill and decode.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EngineSettings {
-  /// Part of a service's engines that reads prompts, from 0 to 1.
+  /// Fraction of a service's engines with the prefill role, between 0 and 1.
   pub prefill_share: f64,
-  /// Whose priority engines are told.
+  /// Which priority is sent to engines.
   #[serde(default, rename = "marks")]
   pub engine_priority: EnginePriority,
 }
 
-/// Whose priority engines are told: they preempt what is less urgent, and what is preempted is read anew.
+/// Which priority is sent to engines, which preempt less urgent requests; a preempted request is prefilled again.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub enum EnginePriority {
-  /// The route's. Organisations' priorities order each box's queue alone: where their streams share engines whose memory is
-  /// short, marks by organisation double the preemptions.
+  /// The route's. Organisations' priorities order only each box's queue, which avoids preemptions between organisations.
   #[default]
   Route,
-  /// The organisation's, where it has one.
+  /// The organisation's, if it has one.
   Organisation,
 }
 
 impl GatewaySettings {
-  /// Reads a settings file. Fails when it can't be read, is no such file, or has a value out of bounds.
+  /// Reads a settings file. Fails when it can't be read, is malformed, or has a value out of range.
   pub fn load(path: &Path) -> Result<Self> {
     let text = std::fs::read_to_string(path).map_err(|source| Error::Read {
       path: path.into(),
@@ -136,24 +136,24 @@
     Self::parse(path, &text)
   }
 
-  /// Reads settings from text; `path` stands in errors.
+  /// Parses settings; `path` is named in errors.
   pub fn parse(path: &Path, text: &str) -> Result<Self> {
     let settings: Self = toml::from_str(text).map_err(|error| {
       let start = error.span().map_or(0, |span| span.start);
       let before = text.get(..start).unwrap_or_default();
-      refusal(
+      invalid(
         path,
         before.matches('\n').count() + 1,
         "settings",
         error.message(),
       )
     })?;
-    settings.check(path)?;
+    settings.validate(path)?;
     Ok(settings)
   }
 
-  /// Refuses the first value that is out of bounds.
-  fn check(&self, path: &Path) -> Result {
+  /// Fails for the first value that is out of range.
+  fn validate(&self, path: &Path) -> Result {
     let bounds = &self.bounds;
     let positive = [
       ("bounds.stop_s", bounds.stop_s),
@@ -161,7 +161,7 @@
     ];
     for (key, value) in positive {
       if !value.is_finite() || value <= 0.0 {
-        return Err(refusal(path, 1, key, "must be a number above 0"));
+        return Err(invalid(path, 1, key, "must be a number above 0"));
       }
     }
     let shares = [
@@ -170,15 +170,15 @@
     ];
     for (key, value) in shares {
       if !value.is_finite() || value < 0.0 {
-        return Err(refusal(path, 1, key, "must be a number of 0 or more"));
+        return Err(invalid(path, 1, key, "must be a number of 0 or more"));
       }
     }
-    if let Some((key, message)) = self.limits.mistake() {
-      return Err(refusal(path, 1, key, message));
+    if let Some((key, message)) = self.limits.validation_error() {
+      return Err(invalid(path, 1, key, message));
     }
     let share = self.engines.prefill_share;
     if !(share > 0.0 && share < 1.0) {
-      return Err(refusal(
+      return Err(invalid(
         path,
         1,
         "engines.prefill_share",
@@ -196,7 +196,7 @@
     }
   }
 
-  /// What is allowed in repeats.
+  /// The retry budget.
   pub fn retry_allowance(&self) -> RetryAllowance {
     RetryAllowance {
       ratio: self.bounds.retry_ratio,
@@ -206,7 +206,7 @@
   }
 }
 
-fn refusal(path: &Path, line: usize, key: &str, message: &str) -> Error {
+fn invalid(path: &Path, line: usize, key: &str, message: &str) -> Error {
   Error::Settings(vec![SettingsError {
     file: path.into(),
     key: key.into(),
--- a/src/gateway/settings/mechanisms.rs
+++ b/src/gateway/settings/mechanisms.rs
@@ -1,36 +1,41 @@
-//! Which of the gateway's mechanisms are in use. All are, unless an operator or an experiment switches one off.
+//! Switches of the gateway's mechanisms, for operators and experiments.
 
 use serde::Deserialize;
 
-/// Switches under `[mechanisms]` in the settings; each is on unless it is said to be `false`.
+/// `[mechanisms]` in the settings; each is on unless set to `false`.
 ///
 /// ```
 /// use rillford::gateway::Mechanisms;
-/// let mechanisms = Mechanisms { role_orders: false, ..Mechanisms::default() };
-/// assert!(mechanisms.resume_where_kept);
+/// let mechanisms = Mechanisms { role_commands: false, ..Mechanisms::default() };
+/// assert!(mechanisms.resume_on_cached_prompt);
 /// ```
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Mechanisms {
-  /// An endpoint that names how many requests a second it takes of all boxes gets no more.
+  /// Honour the rate limits that endpoints advertise.
   pub endpoint_limits: bool,
-  /// An endpoint that says in an answer that it leaves, or wants no work for a while, gets none.
+  /// Honour endpoints' notices of a shutdown or a backoff.
   pub endpoint_notices: bool,
-  /// Endpoints of the own hall are preferred.
+  /// Prefer endpoints of the box's own hall.
   pub own_hall_first: bool,
-  /// Prompts go past readers that are behind: the engine that writes the answer reads.
-  pub prompts_past_readers: bool,
-  /// Engines that were here lately count for the roles of the others.
+  /// Let decode engines prefill some prompts themselves while the prefill engines are overloaded.
+  #[serde(rename = "prompts_past_readers")]
+  pub prefill_bypass: bool,
+  /// Include engines that were listed until recently when roles are planned.
   pub recent_engines: bool,
-  /// A stream goes on at the engine that keeps its prompt.
-  pub resume_where_kept: bool,
-  /// A request without a chance of a seat in time is refused at once.
-  pub refusal_by_forecast: bool,
-  /// The steward orders engines into other roles.
-  pub role_orders: bool,
-  /// A seat's memory is reserved by the caller's estimate of the answer.
-  pub seat_by_estimate: bool,
-  /// A silent endpoint of a repeatable request is given up for another one.
+  /// Resume a stream at an engine that has its prompt cached.
+  #[serde(rename = "resume_where_kept")]
+  pub resume_on_cached_prompt: bool,
+  /// Reject a request at once that is unlikely to get a batch slot in time.
+  #[serde(rename = "refusal_by_forecast")]
+  pub rejection_by_forecast: bool,
+  /// Let the role leader change engines' roles.
+  #[serde(rename = "role_orders")]
+  pub role_commands: bool,
+  /// Reserve KV memory by the caller's estimate of the response's length.
+  #[serde(rename = "seat_by_estimate")]
+  pub slot_by_estimate: bool,
+  /// Move a retryable request from a silent endpoint to another one.
   pub silence_takeover: bool,
 }
 
@@ -40,13 +45,13 @@
       endpoint_limits: true,
       endpoint_notices: true,
       own_hall_first: true,
-      prompts_past_readers: true,
+      prefill_bypass: true,
       recent_engines: true,
-      resume_where_kept: true,
-      refusal_by_forecast: true,
-      role_orders: true,
-      seat_by_estimate: true,
+      rejection_by_forecast: true,
+      resume_on_cached_prompt: true,
+      role_commands: true,
       silence_takeover: true,
+      slot_by_estimate: true,
     }
   }
 }
--- a/src/gateway/settings/mod.rs
+++ b/src/gateway/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings file of a box, checked, with the switches of its mechanisms and the operators' policy.
+//! A box's settings file, with its validation, and the operators' policy.
 //!
 //! Imports `decisions` and `edge`.
 
--- a/src/gateway/settings/quarantine.rs
+++ b/src/gateway/settings/quarantine.rs
@@ -1,4 +1,4 @@
-//! What is done about requests that end endpoints.
+//! Settings of the quarantine of requests that crash endpoints.
 
 use {crate::gateway::decisions::QuarantineWay, serde::Deserialize};
 
@@ -6,11 +6,12 @@
 ///
 /// ```
 /// use rillford::gateway::{QuarantineSettings, QuarantineWay};
-/// assert_eq!(QuarantineSettings::default().way, QuarantineWay::Shared);
+/// assert_eq!(QuarantineSettings::default().strategy, QuarantineWay::Shared);
 /// ```
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct QuarantineSettings {
-  /// How far boxes share what they know.
-  pub way: QuarantineWay,
+  /// Whether requests are quarantined, and whether boxes share their records.
+  #[serde(rename = "way")]
+  pub strategy: QuarantineWay,
 }
--- a/src/gateway/settings/route_policy.rs
+++ b/src/gateway/settings/route_policy.rs
@@ -1,5 +1,4 @@
-//! What the operators' policy program says of a request and of the engines' roles; the routes' own words where
-//! there is none.
+//! Ranks requests and divides engines by the operators' policy program, or by the configuration if there is none.
 
 use {
   crate::{
@@ -12,21 +11,21 @@
   std::{path::Path, sync::Arc},
 };
 
-/// The least urgent priority that engines know.
-const LEAST_URGENT: i64 = 9;
+/// The least urgent priority of engines.
+const LOWEST_PRIORITY: i64 = 9;
 
-/// How a request is treated.
+/// A request's priorities and latency target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RouteRank {
-  /// 0 goes first, among the requests of a box.
+  /// Priority in a box's queue; 0 is the most urgent.
   pub priority: u8,
-  /// 0 goes first, among the requests of an engine.
+  /// Priority that is sent to engines; 0 is the most urgent.
   pub engine_priority: u8,
-  /// The time within which its answer, or first event, is wanted.
+  /// Latency target of the response, or of a stream's first event.
   pub target_ms: u64,
 }
 
-/// The policy of a gateway box.
+/// A gateway box's policy.
 #[derive(Clone, Debug, Default)]
 pub struct RoutePolicy {
   program: Option<Arc<Program>>,
@@ -48,15 +47,15 @@
     })
   }
 
-  /// The rank of a request: the organisation's priority, else the route's own, unless the program says otherwise.
+  /// The rank of a request, by the program if there is one, otherwise by the organisation's or the route's priority.
   pub fn rank(
     &self,
     route: &Route,
     service: &Name,
-    facts: &CallerAttributes,
+    attributes: &CallerAttributes,
     organisation: Option<&Organisation>,
   ) -> RouteRank {
-    let own = RouteRank {
+    let default = RouteRank {
       engine_priority: route.priority,
       priority: organisation
         .and_then(|organisation| organisation.priority)
@@ -64,24 +63,27 @@
       target_ms: route.target_ms,
     };
     let Some(program) = &self.program else {
-      return own;
+      return default;
     };
     let kind = match route.kind {
       RouteKind::Stream { .. } => "model",
       RouteKind::Retryable | RouteKind::NonRetryable => "service",
     };
-    let told = RequestFacts {
+    let request = RequestFacts {
       kind: kind.into(),
-      max_tokens: facts.answer_tokens,
-      organisation: organisation.map_or_else(|| route.host.clone(), |asks| asks.name.clone()),
-      prompt_tokens: facts.prompt_tokens,
+      max_tokens: attributes.answer_tokens,
+      organisation: organisation.map_or_else(
+        || route.host.clone(),
+        |organisation| organisation.name.clone(),
+      ),
+      prompt_tokens: attributes.prompt_tokens,
       subject: service.clone(),
       task: route.name.clone(),
     };
-    match program.rank(&told, self.clock()) {
+    match program.rank(&request, self.clock()) {
       Ok(rank) => {
-        // The program's higher goes first, the engines' lower.
-        let priority = (LEAST_URGENT - rank.priority.clamp(0, LEAST_URGENT)) as u8;
+        // In the program the highest number is the most urgent, at engines the lowest.
+        let priority = (LOWEST_PRIORITY - rank.priority.clamp(0, LOWEST_PRIORITY)) as u8;
         RouteRank {
           engine_priority: priority,
           priority,
@@ -90,15 +92,15 @@
       }
       Err(error) => {
         log::warn!(
-          "E520 policy failed for route {}: {error}: the route's own rank is used",
+          "E520 policy failed for route {}: {error}: the route's rank is used",
           route.name
         );
-        own
+        default
       }
     }
   }
 
-  /// The wanted share of engines that read prompts, if the program says.
+  /// The program's target fraction of prefill engines, if it sets one.
   pub fn prefill_share(&self, pool: &PoolFacts) -> Option<f64> {
     let program = self.program.as_ref()?;
     match program.shift(self.clock(), std::slice::from_ref(pool)) {
--- a/src/gateway/stages/send_check.rs
+++ b/src/gateway/stages/send_check.rs
@@ -50,7 +50,7 @@
 /// Whether a fingerprint is quarantined. The fingerprint is computed only when the registry has entries.
 fn is_quarantined(gateway: &Gateway, fingerprint: impl FnOnce() -> Fingerprint) -> bool {
   let book = gateway.quarantine.book.borrow();
-  if book.is_empty() || gateway.settings.quarantine.way == QuarantineWay::Off {
+  if book.is_empty() || gateway.settings.quarantine.strategy == QuarantineWay::Off {
     return false;
   }
   book.verdict(fingerprint(), gateway.now_ms()) != QuarantineVerdict::Free
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -202,7 +202,7 @@
     }
     let limits = table
       .limited()
-      .map(|(name, limit)| (name.clone(), self.settings.limits.kept(limit)));
+      .map(|(name, limit)| (name.clone(), self.settings.limits.enforced(limit)));
     self.use_book.borrow_mut().set_limits(limits, self.now_ms());
     *current = Some(Rc::new(table));
     true
@@ -222,7 +222,7 @@
 
   /// Whether this box decides on limits by its own count.
   pub(crate) fn counts_use(&self) -> bool {
-    self.settings.limits.way.is_told() && self.is_counting()
+    self.settings.limits.strategy.is_told() && self.is_counting()
   }
 
   /// Whether the store was heard so recently that what this box knows can be trusted.
