--- a/src/gateway/connections/box_message.rs
+++ b/src/gateway/connections/box_message.rs
@@ -22,7 +22,7 @@
   let request = Request::post(format!("http://{address}{path}"))
     .body(Full::new(body.into()))
     .map_err(|error| CallError::NotSent(error.to_string()))?;
-  http.bytes(request, timeout).await
+  http.fetch_bytes(request, timeout).await
 }
 
 /// Reads a message from another box. Fails with the reason when it is too long, truncated, or can't be decoded.
