--- a/tests/gateway/allowed_regions.rs
+++ b/tests/gateway/allowed_regions.rs
@@ -1,4 +1,4 @@
-//! RegionSet: the regions in which requests of a route or an organisation may be served.
+//! The regions in which requests of a route or an organisation may be served.
 
 use {
   super::{
@@ -10,7 +10,7 @@
   serde_json::{Value, json},
 };
 
-/// The box's own hall and another one, each in a region of its own (the harness's settings).
+/// The box's own hall and another one, each in its own region (see the harness's settings).
 const OWN_HALL: &str = "north";
 const OTHER_HALL: &str = "south";
 const OWN_REGION: &str = "north-land";
@@ -18,11 +18,11 @@
 const EVENTS: &str = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
 const ASKS: usize = 12;
 
-/// All routes have these homes.
-fn with_route_homes(homes: Value) -> impl FnOnce(&mut Value) {
+/// Sets the allowed regions of all routes.
+fn with_route_regions(regions: Value) -> impl FnOnce(&mut Value) {
   move |configuration| {
     for route in configuration["routes"].as_array_mut().unwrap() {
-      route["allowedRegions"] = homes.clone();
+      route["allowedRegions"] = regions.clone();
     }
   }
 }
@@ -51,8 +51,13 @@
 #[case::here(json!([OWN_REGION]), OWN_HALL)]
 #[case::both(json!([OTHER_REGION, OWN_REGION]), OWN_HALL)]
 #[tokio::test]
-async fn requests_go_to_the_homes_of_their_route(#[case] homes: Value, #[case] hall: &str) {
-  let test = GatewayTest::new().await.configure(with_route_homes(homes));
+async fn requests_are_served_in_the_allowed_regions_of_their_route(
+  #[case] regions: Value,
+  #[case] hall: &str,
+) {
+  let test = GatewayTest::new()
+    .await
+    .configure(with_route_regions(regions));
   let _endpoints = two_halls(&test).await;
   let gateway = test.start().await;
   for number in 0..ASKS {
@@ -62,10 +67,10 @@
 }
 
 #[tokio::test]
-async fn request_that_no_home_can_serve_is_refused_at_once() {
+async fn request_without_an_endpoint_in_its_regions_is_rejected_at_once() {
   let test = GatewayTest::new()
     .await
-    .configure(with_route_homes(json!([OTHER_REGION])));
+    .configure(with_route_regions(json!([OTHER_REGION])));
   let one = EndpointStandIn::engine(EVENTS).await;
   test.enter_in_hall("p-1", "portal", None, &one, OWN_HALL);
   test.enter_in_hall("e-1", "llm", Some("prefill"), &one, OWN_HALL);
@@ -79,11 +84,11 @@
   assert!(one.seen().is_empty());
 }
 
-/// Both bind where both have homes: the keys' holders differ in theirs, and the route has both regions.
+/// The organisations differ in their allowed regions, and the route allows both.
 #[tokio::test]
-async fn homes_of_organisations_bind_beside_those_of_routes() {
+async fn allowed_regions_of_organisation_and_route_both_apply() {
   let test = GatewayTest::new().await.configure(|configuration| {
-    with_route_homes(json!([OTHER_REGION, OWN_REGION]))(configuration);
+    with_route_regions(json!([OTHER_REGION, OWN_REGION]))(configuration);
     configuration["tenants"] = json!([
       {"name": "captions", "apiKeys": ["key-a"], "allowedRegions": [OTHER_REGION]},
       {"name": "lectures", "apiKeys": ["key-b"]},
@@ -99,17 +104,19 @@
   assert_eq!(body, OWN_HALL);
 }
 
-/// A stream that is resumed, too: an engine elsewhere that keeps its prompt is not asked.
+/// A resumed stream stays in its regions even if an engine elsewhere has its prompt cached.
 #[rstest]
-#[case::begins(None)]
-#[case::goes_on(Some("1"))]
+#[case::new(None)]
+#[case::resumed(Some("1"))]
 #[tokio::test]
-async fn seats_prompts_and_streams_stay_at_home(#[case] last_event_id: Option<&str>) {
+async fn slots_prefills_and_streams_stay_in_the_allowed_regions(
+  #[case] last_event_id: Option<&str>,
+) {
   let test = GatewayTest::new()
     .await
-    .configure(with_route_homes(json!([OTHER_REGION])));
-  let mut abroad = Vec::new();
-  let mut at_home = Vec::new();
+    .configure(with_route_regions(json!([OTHER_REGION])));
+  let mut elsewhere = Vec::new();
+  let mut allowed = Vec::new();
   for (id, stage, hall) in [
     ("e-1", "prefill", OWN_HALL),
     ("e-2", "decode", OWN_HALL),
@@ -119,8 +126,8 @@
     let engine = EndpointStandIn::start(|seen: &Seen| engine_reply(seen, EVENTS)).await;
     test.enter_in_hall(id, "llm", Some(stage), &engine, hall);
     match hall {
-      OWN_HALL => abroad.push(engine),
-      _ => at_home.push(engine),
+      OWN_HALL => elsewhere.push(engine),
+      _ => allowed.push(engine),
     }
   }
   let gateway = test.start().await;
@@ -137,8 +144,8 @@
     let seen = engines.iter().map(EndpointStandIn::requests);
     seen.map(|seen| seen.len()).sum::<usize>()
   };
-  assert_eq!(runs(&abroad), 0);
-  assert!(runs(&at_home) >= ASKS);
+  assert_eq!(runs(&elsewhere), 0);
+  assert!(runs(&allowed) >= ASKS);
 }
 
 #[rstest]
@@ -148,17 +155,17 @@
 #[case::text(json!(OWN_REGION))]
 #[case::numbers(json!([1, 2]))]
 #[tokio::test]
-async fn document_with_homes_that_mean_nothing_changes_nothing(#[case] homes: Value) {
+async fn configuration_with_invalid_regions_is_rejected(#[case] regions: Value) {
   let test = GatewayTest::new().await;
   let _endpoints = two_halls(&test).await;
   let gateway = test.start().await;
   let mut configuration = gateway.test.configuration.clone();
   configuration["version"] = json!(9);
   configuration["routes"][0]["pathPrefix"] = json!("/newer/");
-  configuration["routes"][1]["allowedRegions"] = homes;
+  configuration["routes"][1]["allowedRegions"] = regions;
   let store = &gateway.test.store;
   store.put("op/config", configuration.to_string().as_bytes());
-  // What is entered after it shows that the box has seen it.
+  // The box has seen the configuration once it knows an endpoint that was listed later.
   let later = EndpointStandIn::start(|seen| Reply::ok(seen, "later")).await;
   gateway.test.enter("p-3", "portal", None, &later);
   let is_seen = async || {
--- a/tests/gateway/answers.rs
+++ b/tests/gateway/answers.rs
@@ -1,4 +1,4 @@
-//! Answers are the endpoint's own, whole, or a true failure of the box.
+//! Responses are the endpoint's, forwarded unchanged, or a failure that this box reports itself.
 
 use {
   super::{EndpointStandIn, GatewayTest, Reply, Seen},
@@ -7,7 +7,7 @@
   std::time::Duration,
 };
 
-fn spoiled(seen: &Seen, how: &str) -> Reply {
+fn invalid_response(seen: &Seen, how: &str) -> Reply {
   let id = seen.id();
   let head =
     |status: &str, extra: &str| format!("HTTP/1.1 {status}\r\nx-request-id: {id}\r\n{extra}");
@@ -27,30 +27,32 @@
     )),
     "cut before the head" => Reply::WriteAndClose(String::new()),
     "no HTTP" => Reply::WriteAndClose("garbage\r\n\r\n".into()),
-    "503 without a word on running" => {
+    "503 without stating whether it ran" => {
       Reply::Write(head("503 Unavailable", "content-length: 0\r\n\r\n"))
     }
-    "429 without a word on running" => Reply::Write(head("429 Busy", "content-length: 0\r\n\r\n")),
+    "429 without stating whether it ran" => {
+      Reply::Write(head("429 Busy", "content-length: 0\r\n\r\n"))
+    }
     other => panic!("{other}"),
   }
 }
 
-const SPOILED: [&str; 8] = [
+const INVALID_RESPONSES: [&str; 8] = [
   "another request's id",
   "no receipt",
   "an encoding",
   "cut in the body",
   "cut before the head",
   "no HTTP",
-  "503 without a word on running",
-  "429 without a word on running",
+  "503 without stating whether it ran",
+  "429 without stating whether it ran",
 ];
 
 #[tokio::test]
-async fn spoiled_answer_to_an_unrepeatable_request_is_unknown_and_runs_once() {
-  for how in SPOILED {
-    let one = EndpointStandIn::start(move |seen| spoiled(seen, how)).await;
-    let other = EndpointStandIn::start(move |seen| spoiled(seen, how)).await;
+async fn invalid_response_to_a_non_retryable_request_is_502_and_runs_once() {
+  for how in INVALID_RESPONSES {
+    let one = EndpointStandIn::start(move |seen| invalid_response(seen, how)).await;
+    let other = EndpointStandIn::start(move |seen| invalid_response(seen, how)).await;
     let gateway = GatewayTest::new().await.with_portals(&one, &other).await;
     let asked = gateway.ask("/unsafe/a", "r1").await;
     assert_eq!(asked.status, StatusCode::BAD_GATEWAY, "{how}");
@@ -60,9 +62,9 @@
 }
 
 #[tokio::test]
-async fn spoiled_answer_to_a_repeatable_request_is_asked_for_elsewhere() {
-  for how in SPOILED {
-    let one = EndpointStandIn::start(move |seen| spoiled(seen, how)).await;
+async fn invalid_response_to_a_retryable_request_is_retried_elsewhere() {
+  for how in INVALID_RESPONSES {
+    let one = EndpointStandIn::start(move |seen| invalid_response(seen, how)).await;
     let other = EndpointStandIn::start(|seen| Reply::ok(seen, "fine")).await;
     let gateway = GatewayTest::new().await.with_portals(&one, &other).await;
     for number in 0..4 {
@@ -74,7 +76,7 @@
 }
 
 #[tokio::test]
-async fn second_answer_on_a_connection_never_reaches_the_next_caller() {
+async fn second_response_on_a_connection_never_reaches_the_next_caller() {
   let twice = |seen: &Seen| match Reply::ok(seen, "mine") {
     Reply::Write(text) => Reply::Write(format!("{text}{text}")),
     other => other,
@@ -89,7 +91,7 @@
 }
 
 #[tokio::test]
-async fn answer_is_passed_on_unchanged() {
+async fn response_is_forwarded_unchanged() {
   let answer = |seen: &Seen| {
     Reply::Write(format!(
       "HTTP/1.1 404 Not Found\r\nx-request-id: {}\r\nx-response-seal: s9\r\nx-own: a b\r\nconnection: x-hop\r\n\
@@ -112,9 +114,9 @@
 #[case("/safe/a", 1)]
 #[case("/unsafe/a", 0)]
 #[tokio::test]
-async fn endpoints_own_failure_is_asked_for_elsewhere_only_where_it_may_be(
+async fn endpoint_error_is_retried_elsewhere_only_on_retryable_routes(
   #[case] path: &str,
-  #[case] repeats: usize,
+  #[case] retries: usize,
 ) {
   let failing = |seen: &Seen| Reply::status(seen, "500 Internal Server Error", "broken");
   let one = EndpointStandIn::start(failing).await;
@@ -123,11 +125,11 @@
   let asked = gateway.ask(path, "r1").await;
   assert_eq!(asked.status, StatusCode::INTERNAL_SERVER_ERROR);
   assert_eq!(asked.headers["x-response-seal"], "s");
-  assert_eq!(one.requests().len() + other.requests().len(), 1 + repeats);
+  assert_eq!(one.requests().len() + other.requests().len(), 1 + retries);
 }
 
 #[tokio::test]
-async fn request_is_refused_with_a_time_to_come_back_when_all_say_that_it_did_not_run() {
+async fn request_is_rejected_with_retry_after_when_no_endpoint_ran_it() {
   let one = EndpointStandIn::start(Reply::not_run).await;
   let other = EndpointStandIn::start(Reply::not_run).await;
   let gateway = GatewayTest::new().await.with_portals(&one, &other).await;
@@ -142,7 +144,7 @@
 }
 
 #[tokio::test]
-async fn final_answer_comes_when_the_routes_time_is_over() {
+async fn request_times_out_after_the_routes_timeout() {
   let one = EndpointStandIn::start(|_| Reply::Silence).await;
   let other = EndpointStandIn::start(|_| Reply::Silence).await;
   let test = GatewayTest::new().await.configure(|configuration| {
@@ -155,7 +157,7 @@
 }
 
 #[tokio::test]
-async fn endpoint_gets_the_callers_request_with_the_routers_own_marks() {
+async fn endpoint_gets_the_callers_request_with_the_proxy_headers() {
   let one = EndpointStandIn::start(|seen| Reply::ok(seen, "")).await;
   let gateway = GatewayTest::new().await;
   gateway.enter("p-1", "portal", None, &one);
@@ -183,13 +185,13 @@
   for name in ["x-serving-stage", "x-kv-source", "x-hold"] {
     assert!(!seen.headers.contains_key(name), "{name}");
   }
-  // The route's time, which is shorter than the caller's.
+  // The route's timeout, which is shorter than the caller's.
   let deadline_ms: u64 = seen.header("x-deadline-ms").parse().unwrap();
   assert!(deadline_ms <= 4_000);
 }
 
 #[tokio::test]
-async fn slow_repeatable_request_goes_to_a_second_endpoint_only_within_its_attempts() {
+async fn slow_retryable_request_is_hedged_only_within_its_attempts() {
   for (attempts, sends) in [(2, 2), (1, 1)] {
     let slow = |seen: &Seen| match Reply::ok(seen, "late") {
       Reply::Write(text) => Reply::WriteLater(Duration::from_millis(1_500), text),
@@ -207,9 +209,9 @@
   }
 }
 
-/// Before, an endpoint that never answers was asked again and again: giving up on it was not held against it.
+/// Guards against requests being sent again and again to an endpoint that never responds.
 #[tokio::test]
-async fn silent_endpoint_is_left_alone_after_its_first_request() {
+async fn silent_endpoint_gets_no_more_requests_after_its_first_timeout() {
   let one = EndpointStandIn::start(|_| Reply::Silence).await;
   let other = EndpointStandIn::start(|seen| Reply::ok(seen, "fine")).await;
   let test = GatewayTest::new().await.configure(|configuration| {
--- a/tests/gateway/budget.rs
+++ b/tests/gateway/budget.rs
@@ -1,4 +1,4 @@
-//! Repeats are paid for from a budget that all boxes share.
+//! Retries are charged to a budget that all boxes share.
 
 use {
   super::{EndpointStandIn, GatewayTest, Reply, Seen},
@@ -12,13 +12,16 @@
   window_ms: 10_000,
 };
 
-/// Draws times and repeats, and counts every window of all boxes as the users do.
+/// Random requests and retries, counted in every window over all boxes.
 #[rstest]
 #[case(8, 1)]
 #[case(8, 2)]
 #[case(61, 3)]
 #[case(1, 4)]
-fn no_window_of_all_boxes_exceeds_the_allowance(#[case] boxes: usize, #[case] seed: u64) {
+fn retries_of_all_boxes_stay_within_the_allowance_in_every_window(
+  #[case] boxes: usize,
+  #[case] seed: u64,
+) {
   let mut state = seed;
   let mut draw = move || {
     state = state
@@ -28,7 +31,7 @@
   };
   let mut windows = vec![RetryWindow::default(); boxes];
   let mut requests = Vec::new();
-  let mut repeats = Vec::new();
+  let mut retries = Vec::new();
   for now_ms in (0..60_000).step_by(7) {
     let window = &mut windows[draw() as usize % boxes];
     if draw() % 3 == 0 {
@@ -36,7 +39,7 @@
       requests.push(now_ms);
     }
     if window.take(ALLOWANCE, boxes, now_ms) {
-      repeats.push(now_ms);
+      retries.push(now_ms);
     }
   }
   for from_ms in (0..50_000).step_by(100) {
@@ -48,15 +51,15 @@
     };
     let allowed = 0.2 * within(&requests) as f64 + 56.0;
     assert!(
-      within(&repeats) as f64 <= allowed,
+      within(&retries) as f64 <= allowed,
       "{} for {allowed} from {from_ms} ms",
-      within(&repeats)
+      within(&retries)
     );
   }
 }
 
 #[tokio::test]
-async fn repeats_end_when_the_budget_does() {
+async fn retries_stop_when_the_budget_is_spent() {
   let failing = |seen: &Seen| Reply::status(seen, "500 Internal Server Error", "");
   let one = EndpointStandIn::start(failing).await;
   let other = EndpointStandIn::start(failing).await;
@@ -65,11 +68,11 @@
   for number in 0..asked {
     gateway.ask("/safe/a", &format!("r{number}")).await;
   }
-  let repeats = one.requests().len() + other.requests().len() - asked;
-  // The ratio, and a sixth of the slack: fewer boxes are never assumed.
-  assert!(repeats > 0);
+  let retries = one.requests().len() + other.requests().len() - asked;
+  // The ratio, and a sixth of the slack: at least six boxes are assumed.
+  assert!(retries > 0);
   assert!(
-    repeats as f64 <= 0.2 * asked as f64 + 60.0 / 6.0,
-    "{repeats}"
+    retries as f64 <= 0.2 * asked as f64 + 60.0 / 6.0,
+    "{retries}"
   );
 }
--- a/tests/gateway/callers.rs
+++ b/tests/gateway/callers.rs
@@ -1,4 +1,4 @@
-//! What callers may send.
+//! Limits on callers' requests, and the status pages.
 
 use {
   super::{EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply},
@@ -45,8 +45,8 @@
   assert!(one.requests().is_empty());
 }
 
-/// The HTTP library reads such a request by its chunks and ends the connection (RFC 9112, 6.3): what a caller
-/// put behind it is no request of its own.
+/// Guards against request smuggling: the HTTP library reads such a request by its chunks and closes the connection (RFC 9112,
+/// 6.3), so that the bytes after it are not taken for a request.
 #[tokio::test]
 async fn request_with_both_framings_hides_no_second_one() {
   let (one, gateway) = portal().await;
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test]
-async fn overlong_parts_are_refused() {
+async fn overlong_head_or_body_is_rejected() {
   let (one, gateway) = portal().await;
   let mut request = gateway.request("/unsafe/a", "r1");
   *request.body_mut() = Full::new(Bytes::from(vec![b'a'; 70_000]));
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test]
-async fn path_outside_all_routes_is_not_found() {
+async fn path_without_a_route_is_not_found() {
   let (_, gateway) = portal().await;
   assert_eq!(
     gateway.ask("/none/a", "r1").await.status,
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test]
-async fn box_that_knows_no_configuration_says_that_nothing_ran() {
+async fn box_without_a_configuration_rejects_with_retry_after() {
   let gateway = GatewayTest::new().await.start_unready();
   let answered = async || TcpStream::connect(gateway.callers).await.is_ok();
   assert!(eventually(PATIENCE, answered).await);
@@ -100,7 +100,7 @@
 }
 
 #[tokio::test]
-async fn figures_are_read_as_text() {
+async fn metrics_are_served_as_text() {
   let (_, gateway) = portal().await;
   gateway.ask("/unsafe/a", "r1").await;
   let request = http::Request::get(format!("http://{}/metrics", gateway.metrics))
@@ -112,7 +112,7 @@
 }
 
 #[tokio::test]
-async fn box_serves_without_figures_when_their_address_is_taken() {
+async fn box_serves_without_metrics_when_their_address_is_taken() {
   let one = EndpointStandIn::start(|seen| Reply::ok(seen, "fine")).await;
   let mut test = GatewayTest::new().await;
   test.is_metrics_taken = true;
--- a/tests/gateway/configuration.rs
+++ b/tests/gateway/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations and endpoint entries as the store tells them.
+//! Configurations and endpoint entries from the store, and the box's settings.
 
 use {
   super::{EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply},
@@ -16,7 +16,7 @@
   (one, gateway)
 }
 
-/// Puts a configuration whose only difference is the path of the first route.
+/// Writes a configuration that differs only in the path of the first route.
 fn put(gateway: &GatewayBox, version: u64, path: &str) {
   let mut configuration = gateway.test.configuration.clone();
   configuration["version"] = version.into();
@@ -32,7 +32,7 @@
 }
 
 #[tokio::test]
-async fn newer_configuration_replaces_and_older_never_comes_back() {
+async fn only_a_newer_configuration_replaces_the_current_one() {
   let (_, gateway) = portal().await;
   put(&gateway, 9, "/newer/");
   assert!(eventually(PATIENCE, async || is_found(&gateway, "/newer/a").await).await);
@@ -40,7 +40,7 @@
   put(&gateway, 10, "/newest/");
   assert!(eventually(PATIENCE, async || is_found(&gateway, "/newest/a").await).await);
   put(&gateway, 8, "/older/");
-  // What is entered after it shows that the box has seen it.
+  // The box has seen the configuration once it knows an endpoint that was listed later.
   let other = EndpointStandIn::start(|seen| Reply::ok(seen, "other")).await;
   gateway.test.enter("p-2", "portal", None, &other);
   let seen_by_other = async || {
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test]
-async fn endpoint_that_leaves_or_is_gone_gets_no_more_requests() {
+async fn leaving_or_removed_endpoint_gets_no_more_requests() {
   let (one, gateway) = portal().await;
   let other = EndpointStandIn::start(|seen| Reply::ok(seen, "other")).await;
   gateway
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test]
-async fn lost_history_is_made_up_for_by_a_listing() {
+async fn compacted_history_is_replaced_by_a_listing() {
   let (_, gateway) = portal().await;
   let other = EndpointStandIn::start(|seen| Reply::ok(seen, "other")).await;
   gateway.test.store.remove("servers/p-1");
@@ -92,7 +92,7 @@
 }
 
 #[tokio::test]
-async fn box_serves_on_while_the_store_is_away_and_catches_up() {
+async fn box_serves_during_a_store_outage_and_catches_up() {
   let (_, gateway) = portal().await;
   gateway.test.store.set_down(true);
   for _ in 0..5 {
@@ -104,11 +104,11 @@
 }
 
 #[tokio::test]
-async fn entry_that_lapsed_while_the_store_was_away_is_used_until_it_is_back() {
+async fn entry_that_expired_during_a_store_outage_is_used_until_the_store_is_back() {
   let (_, gateway) = portal().await;
   gateway.test.store.set_down(true);
   assert!(eventually(PATIENCE, async || is_found(&gateway, "/safe/a").await).await);
-  // Longer than the pause after a failed call, so that the box has noticed.
+  // Longer than the delay after a failed call, so that the box has noticed the outage.
   sleep(Duration::from_millis(800)).await;
   gateway.test.store.remove("servers/p-1");
   gateway.test.store.forget_history();
@@ -116,8 +116,8 @@
   gateway.test.store.set_down(false);
   assert!(eventually(PATIENCE, async || gateway.test.store.listings() > listings).await);
   assert!(is_found(&gateway, "/safe/a").await);
-  let forgotten = async || !is_found(&gateway, "/safe/a").await;
-  assert!(eventually(PATIENCE, forgotten).await);
+  let removed = async || !is_found(&gateway, "/safe/a").await;
+  assert!(eventually(PATIENCE, removed).await);
 }
 
 const SETTINGS: &str = r#"[box]
@@ -154,10 +154,10 @@
   "unknown field `role_order`"
 )]
 #[case("[engines]", "[mechanisms]\nrole_orders = 0\n[engines]", "box.toml:")]
-fn wrong_settings_are_told_with_file_and_key(
+fn invalid_settings_are_reported_with_file_and_key(
   #[case] from: &str,
   #[case] to: &str,
-  #[case] told: &str,
+  #[case] reported: &str,
 ) {
   assert!(GatewaySettings::parse("box.toml".as_ref(), SETTINGS).is_ok());
   let text = SETTINGS.replace(from, to);
@@ -166,15 +166,14 @@
     .unwrap_err()
     .to_string();
   assert!(
-    error.contains("box.toml") && error.contains(told),
+    error.contains("box.toml") && error.contains(reported),
     "{error}"
   );
 }
 
-/// Seen once as a test that failed: a box that had read the first page of the list said that it was ready and
-/// refused streams, since it knew no engine yet.
+/// Guards against a box that reports ready after the first page of a listing, before it knows all endpoints.
 #[tokio::test]
-async fn box_is_ready_only_when_it_has_read_the_whole_list() {
+async fn box_is_ready_only_after_a_complete_listing() {
   let one = EndpointStandIn::start(|seen| Reply::ok(seen, "one")).await;
   let test = GatewayTest::new().await;
   test.put_configuration();
@@ -191,7 +190,7 @@
 }
 
 #[tokio::test]
-async fn listing_goes_on_after_a_page_that_was_refused() {
+async fn listing_continues_after_a_rejected_page() {
   let endpoint = EndpointStandIn::start(|seen| Reply::ok(seen, "fine")).await;
   let test = GatewayTest::new().await;
   test.store.refuse_pages(3);
@@ -202,23 +201,23 @@
   assert_eq!(gateway.test.store.first_pages(), 1);
 }
 
-/// A store with an old page: after it one endpoint came, one left, and the configuration changed.
-async fn store_that_lags(
+/// A store that lists stale pages: one endpoint was added and one removed since.
+async fn store_with_stale_pages(
   first: &EndpointStandIn,
-  left: &EndpointStandIn,
-  came: &EndpointStandIn,
+  removed: &EndpointStandIn,
+  added: &EndpointStandIn,
 ) -> GatewayTest {
   let test = GatewayTest::new().await;
   test.put_configuration();
   test.enter("p-1", "portal", None, first);
-  test.enter("p-2", "portal", None, left);
+  test.enter("p-2", "portal", None, removed);
   test.store.lag();
   test.store.remove("servers/p-2");
-  test.enter("p-3", "portal", None, came);
+  test.enter("p-3", "portal", None, added);
   test
 }
 
-/// Asks until an endpoint has been seen, and then some more.
+/// Sends requests until one reaches an endpoint.
 async fn is_reached(gateway: &GatewayBox, endpoint: &EndpointStandIn) -> bool {
   let reached = async || {
     gateway.ask("/unsafe/a", "r").await;
@@ -231,35 +230,35 @@
 #[case::history_is_there(false)]
 #[case::history_is_lost(true)]
 #[tokio::test]
-async fn first_listing_reads_old_pages_and_makes_up_for_them(#[case] history_is_lost: bool) {
+async fn first_listing_reads_stale_pages_and_catches_up(#[case] history_is_lost: bool) {
   let first = EndpointStandIn::start(|seen| Reply::ok(seen, "first")).await;
-  let left = EndpointStandIn::start(|seen| Reply::ok(seen, "left")).await;
-  let came = EndpointStandIn::start(|seen| Reply::ok(seen, "came")).await;
-  let test = store_that_lags(&first, &left, &came).await;
+  let removed = EndpointStandIn::start(|seen| Reply::ok(seen, "removed")).await;
+  let added = EndpointStandIn::start(|seen| Reply::ok(seen, "added")).await;
+  let test = store_with_stale_pages(&first, &removed, &added).await;
   if history_is_lost {
     test.store.forget_history();
   }
   let gateway = test.start().await;
   assert!(gateway.test.store.old_pages() > 0);
-  assert!(is_reached(&gateway, &came).await);
-  let before = left.requests().len();
+  assert!(is_reached(&gateway, &added).await);
+  let before = removed.requests().len();
   for _ in 0..10 {
     gateway.ask("/unsafe/a", "r").await;
   }
-  assert_eq!(left.requests().len(), before);
+  assert_eq!(removed.requests().len(), before);
 }
 
 #[tokio::test]
-async fn later_listing_takes_nothing_back_by_an_old_page() {
+async fn later_listing_reads_no_stale_pages() {
   let first = EndpointStandIn::start(|seen| Reply::ok(seen, "first")).await;
-  let came = EndpointStandIn::start(|seen| Reply::ok(seen, "came")).await;
+  let added = EndpointStandIn::start(|seen| Reply::ok(seen, "added")).await;
   let test = GatewayTest::new().await;
   test.enter("p-1", "portal", None, &first);
   let gateway = test.start().await;
   gateway.test.store.lag();
   gateway.test.store.remove("servers/p-1");
-  gateway.test.enter("p-2", "portal", None, &came);
-  assert!(is_reached(&gateway, &came).await);
+  gateway.test.enter("p-2", "portal", None, &added);
+  assert!(is_reached(&gateway, &added).await);
   let (listings, old_pages) = (
     gateway.test.store.listings(),
     gateway.test.store.old_pages(),
@@ -268,7 +267,7 @@
   assert!(eventually(PATIENCE, async || gateway.test.store.listings() > listings).await);
   assert_eq!(
     gateway.ask("/safe/a", "r").await.body.as_deref(),
-    Ok("came")
+    Ok("added")
   );
   assert_eq!(gateway.test.store.old_pages(), old_pages);
 }
--- a/tests/gateway/harness.rs
+++ b/tests/gateway/harness.rs
@@ -1,4 +1,4 @@
-//! One gateway box with its store and endpoints.
+//! Starts a gateway box with a store and endpoints.
 
 use {
   super::EndpointStandIn,
@@ -17,17 +17,17 @@
   tokio::task::JoinHandle,
 };
 
-/// Bound on all waiting; far above what is expected, so that a slow machine changes no verdict.
+/// Timeout of all waiting; long enough for a slow machine.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
 
 pub(crate) const HOST: &str = "lectures.example";
 
-/// What a caller got.
+/// A response as the caller received it.
 #[derive(Debug)]
 pub(crate) struct Asked {
   pub(crate) status: StatusCode,
   pub(crate) headers: HeaderMap,
-  /// The body; an error when it broke off.
+  /// The body, or an error when it was truncated.
   pub(crate) body: Result<String, String>,
 }
 
@@ -35,13 +35,13 @@
 pub(crate) struct GatewayTest {
   pub(crate) store: PlatformStore,
   pub(crate) configuration: Value,
-  /// Whether the address for figures is one that the box has already.
+  /// Whether the address for metrics is already in use.
   pub(crate) is_metrics_taken: bool,
-  /// Whose priority engines are told.
+  /// Which priority is sent to engines.
   pub(crate) engine_marks: &'static str,
   name: String,
   stop_s: f64,
-  /// Where the box reaches the store.
+  /// The address by which the box reaches the store.
   store_address: SocketAddr,
 }
 
@@ -80,7 +80,7 @@
     }
   }
 
-  /// Another box on the same store, which it reaches at an address of its own.
+  /// Another box on the same store, which it reaches by another address.
   pub(crate) fn beside(&self, name: &str, store_address: SocketAddr) -> Self {
     Self {
       configuration: self.configuration.clone(),
@@ -104,7 +104,7 @@
       .put("op/config", self.configuration.to_string().as_bytes());
   }
 
-  /// Enters an endpoint; engines have a stage.
+  /// Lists an endpoint in the store; engines have a stage.
   pub(crate) fn enter(
     &self,
     id: &str,
@@ -128,7 +128,7 @@
     });
   }
 
-  /// Enters an endpoint of a hall.
+  /// Lists an endpoint of a hall.
   pub(crate) fn enter_in_hall(
     &self,
     id: &str,
@@ -142,7 +142,7 @@
     });
   }
 
-  /// Enters an endpoint that says for how long it is cold.
+  /// Lists an endpoint with a remaining cold start.
   pub(crate) fn enter_cold(
     &self,
     id: &str,
@@ -177,7 +177,7 @@
       .put(&format!("servers/{id}"), entry.to_string().as_bytes());
   }
 
-  /// Enters a life of an engine, which may start again under its id.
+  /// Lists an incarnation of an engine, which may restart under the same id.
   pub(crate) fn enter_life(
     store: &PlatformStore,
     id: &str,
@@ -192,7 +192,7 @@
     store.put(&format!("servers/{id}"), entry.to_string().as_bytes());
   }
 
-  /// Enters a life of a plain endpoint.
+  /// Lists an incarnation of a plain endpoint.
   pub(crate) fn enter_plain_life(store: &PlatformStore, id: &str, address: SocketAddr, born: u64) {
     let entry = json!({
       "service": "portal", "address": address, "zone": "north", "version": "v1", "slots": 8, "state": "ready",
@@ -201,13 +201,13 @@
     store.put(&format!("servers/{id}"), entry.to_string().as_bytes());
   }
 
-  /// A box with one plain endpoint.
+  /// Starts a box with one plain endpoint.
   pub(crate) async fn with_portal(self, one: &EndpointStandIn) -> GatewayBox {
     self.enter("p-1", "portal", None, one);
     self.start().await
   }
 
-  /// A box with both plain endpoints.
+  /// Starts a box with two plain endpoints.
   pub(crate) async fn with_portals(
     self,
     one: &EndpointStandIn,
@@ -218,7 +218,7 @@
     self.start().await
   }
 
-  /// A box with a prefill and a decode engine.
+  /// Starts a box with a prefill and a decode engine.
   pub(crate) async fn with_engines(
     self,
     prefill: &EndpointStandIn,
@@ -271,7 +271,7 @@
     )
   }
 
-  /// Starts the box without waiting for anything.
+  /// Starts the box without waiting until it is ready.
   pub(crate) fn start_unready(self) -> GatewayBox {
     let mut addresses = own_addresses();
     if self.is_metrics_taken {
@@ -357,7 +357,7 @@
     self.send(self.request(path, id)).await
   }
 
-  /// Asks on a connection of its own, without waiting for the answer.
+  /// Sends a request on its own connection, without waiting for the response.
   pub(crate) fn ask_in_background(
     &self,
     path: &str,
@@ -381,7 +381,7 @@
     }
   }
 
-  /// What `rillford limits` shows of the box.
+  /// The output of `rillford limits` for the box.
   pub(crate) fn shown_limits(&self) -> String {
     let shown = Command::new(env!("CARGO_BIN_EXE_rillford"))
       .args(["limits", "--metrics"])
@@ -391,7 +391,7 @@
     String::from_utf8(shown.stdout).unwrap()
   }
 
-  /// A figure of the box's metrics by its name; 0 where there is none.
+  /// A metric of the box by name; 0 when it is missing.
   pub(crate) async fn figure(&self, name: &str) -> f64 {
     let request = Request::get(format!("http://{}/metrics", self.metrics))
       .body(Full::default())
--- a/tests/gateway/leaving.rs
+++ b/tests/gateway/leaving.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts nothing.
+//! A graceful shutdown interrupts no request.
 
 use {
   super::{EndpointStandIn, GatewayTest, PATIENCE, Reply, Seen, endpoint::engine_reply},
@@ -8,7 +8,7 @@
 };
 
 #[tokio::test]
-async fn planned_stop_finishes_requests_and_takes_back_the_entry() {
+async fn graceful_shutdown_completes_requests_and_removes_the_entry() {
   let slow = |seen: &Seen| match Reply::ok(seen, "late") {
     Reply::Write(text) => Reply::WriteLater(Duration::from_millis(1_000), text),
     other => other,
@@ -37,7 +37,7 @@
     .await
   );
   assert_eq!(asking.await.unwrap().unwrap(), StatusCode::OK);
-  // It still serves what comes, and asks the caller to go elsewhere.
+  // The box still serves requests, and asks the caller to close the connection.
   let asked = gateway.ask("/unsafe/a", "r2").await;
   assert_eq!(asked.status, StatusCode::OK);
   assert_eq!(asked.headers["connection"], "close");
@@ -53,9 +53,9 @@
 }
 
 #[tokio::test]
-async fn stream_that_would_outlast_the_process_is_refused() {
+async fn stream_that_would_outlast_the_process_is_rejected() {
   let prefill = EndpointStandIn::engine("id: 1\ndata: a\n\n").await;
-  // Another request holds the process until its end.
+  // Another request keeps the process running.
   let decode = EndpointStandIn::start(|seen| {
     if seen.path.starts_with("/stream/") {
       Reply::Silence
@@ -72,18 +72,18 @@
   assert!(eventually(PATIENCE, async || decode.requests().len() == 1).await);
   gateway.signal(libc::SIGTERM);
   let mut number = 1;
-  let refused = async || {
+  let rejected = async || {
     number += 1;
     let request = gateway.request("/resumable/a", &format!("r{number}"));
     let asked = rillford::HttpClient::default().send(request).await;
     asked.is_ok_and(|response| response.status() == StatusCode::SERVICE_UNAVAILABLE)
   };
-  assert!(eventually(PATIENCE, refused).await);
+  assert!(eventually(PATIENCE, rejected).await);
   holding.abort();
 }
 
 #[tokio::test]
-async fn changed_settings_disturb_nothing() {
+async fn reload_signal_interrupts_nothing() {
   let one = EndpointStandIn::start(|seen| Reply::ok(seen, "fine")).await;
   let gateway = GatewayTest::new().await.with_portal(&one).await;
   gateway.signal(libc::SIGHUP);
@@ -95,10 +95,10 @@
   }
 }
 
-/// Found by a hunt (sariwa-ops, mix --seed 620364099144): a request that came in the last moments, when none
-/// was in progress, was taken and then cut by the end of the process.
+/// Guards against accepting a request in the last moments and then interrupting it by the exit (sariwa-ops, mix --seed
+/// 620364099144).
 #[tokio::test]
-async fn no_request_is_taken_and_then_cut_by_the_end() {
+async fn no_accepted_request_is_interrupted_by_the_exit() {
   let slow = |seen: &Seen| match Reply::ok(seen, "late") {
     Reply::Write(text) => Reply::WriteLater(Duration::from_millis(100), text),
     other => other,
@@ -107,7 +107,7 @@
   let mut gateway = GatewayTest::new().await.with_portal(&one).await;
   gateway.signal(libc::SIGTERM);
   let mut number = 0;
-  let mut cut = Vec::new();
+  let mut interrupted = Vec::new();
   while gateway.process.try_wait().unwrap().is_none() {
     number += 1;
     let id = format!("r{number}");
@@ -116,15 +116,15 @@
       .await;
     let reached = one.requests().iter().any(|seen| seen.id() == id);
     if reached && asked.is_err() {
-      cut.push(id);
+      interrupted.push(id);
     }
   }
   assert!(number > 0);
-  assert!(cut.is_empty(), "{cut:?}");
+  assert!(interrupted.is_empty(), "{interrupted:?}");
 }
 
 #[tokio::test]
-async fn engine_that_leaves_while_the_prompt_is_read_is_not_sent_the_request() {
+async fn engine_that_starts_leaving_during_prefill_is_not_sent_the_request() {
   let events = "id: 1\ndata: a\n\n";
   let prefill = EndpointStandIn::start(move |seen| match engine_reply(seen, events) {
     Reply::Write(text) if seen.is_prompt() && seen.id() == "r2" => {
@@ -133,7 +133,7 @@
     reply => reply,
   })
   .await;
-  // The first stream ends after the engine has said that it leaves: its connection could rest.
+  // The first stream ends after the engine has started leaving: its connection could return to the pool.
   let decode = EndpointStandIn::start(move |seen| {
     if seen.id() == "r1" {
       let head = Reply::stream_part(seen, events);
@@ -147,11 +147,11 @@
     .await
     .with_engines(&prefill, &decode)
     .await;
-  let reads_second = async || prefill.requests().iter().any(|seen| seen.id() == "r2");
+  let prefills_second = async || prefill.requests().iter().any(|seen| seen.id() == "r2");
   let leaving = async {
     assert!(eventually(PATIENCE, async || !decode.requests().is_empty()).await);
     let second = gateway.ask_in_background("/stream/a", "r2");
-    assert!(eventually(PATIENCE, reads_second).await);
+    assert!(eventually(PATIENCE, prefills_second).await);
     gateway.test.enter("e-3", "llm", Some("decode"), &other);
     gateway
       .test
@@ -162,15 +162,15 @@
   assert_eq!(first.body.unwrap(), events);
   assert_eq!(second, StatusCode::OK);
   assert_eq!(decode.requests().len(), 1);
-  // The engine gets its seat back, although it leaves.
-  let is_given_back = async || {
+  // The reservation is released, although the engine is leaving.
+  let is_released = async || {
     let calls = decode.seen();
     calls
       .iter()
       .any(|seen| seen.path.starts_with("/hold-drop/"))
   };
-  assert!(eventually(PATIENCE, is_given_back).await);
-  // The prompt that was read goes along: it is not read again.
+  assert!(eventually(PATIENCE, is_released).await);
+  // The export is reused: the prompt is not prefilled again.
   let is_second = |seen: &&Seen| seen.id() == "r2";
   assert_eq!(prefill.requests().iter().filter(is_second).count(), 1);
 }
--- a/tests/gateway/mod.rs
+++ b/tests/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! Gateway boxes as processes, against stand-ins that speak the platform's published protocol.
+//! Tests of gateway boxes: processes against stand-ins that implement the platform's published protocol, and unit tests.
 
 mod allowed_regions;
 mod answers;
--- a/tests/gateway/organisations.rs
+++ b/tests/gateway/organisations.rs
@@ -1,4 +1,4 @@
-//! Whose request it is: keys, organisations, and what endpoints are told of them.
+//! Authentication: API keys, organisations, and what endpoints receive of them.
 
 use {
   super::{EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply, Seen, store_path::StorePath},
@@ -8,7 +8,7 @@
   serde_json::{Value, json},
 };
 
-/// A configuration with two organisations, and `/unsafe/` open to callers without a key.
+/// A configuration with two organisations; `/unsafe/` allows anonymous callers.
 fn with_organisations(configuration: &mut Value) {
   configuration["tenants"] = json!([
     {"name": "captions", "apiKeys": ["key-a", "key-b"], "priority": 3, "unit": "token_stream", "plainTokens": 200},
@@ -24,7 +24,7 @@
   (one, gateway)
 }
 
-/// Asks with `Authorization` fields and an organisation's name that the caller claims.
+/// Sends a request with `Authorization` headers and an organisation's name that the caller claims.
 async fn ask(gateway: &GatewayBox, path: &str, authorization: &[&str]) -> StatusCode {
   let mut request = gateway.request(path, "r");
   for value in authorization {
@@ -55,7 +55,7 @@
 #[case::several("/safe/a", &["Bearer key-a", "Bearer key-c"], StatusCode::BAD_REQUEST)]
 #[case::several_on_an_open_route("/unsafe/a", &["Bearer key-a", "Bearer key-a"], StatusCode::BAD_REQUEST)]
 #[tokio::test]
-async fn request_of_nobody_reaches_no_endpoint(
+async fn unauthenticated_request_reaches_no_endpoint(
   #[case] path: &str,
   #[case] authorization: &[&str],
   #[case] status: StatusCode,
@@ -71,7 +71,7 @@
 #[case::key_on_an_open_route("/unsafe/a", &["Bearer key-a"], "captions")]
 #[case::open_route("/unsafe/a", &[], "")]
 #[tokio::test]
-async fn endpoint_is_told_the_holder_and_never_the_key(
+async fn endpoint_receives_the_organisation_and_never_the_key(
   #[case] path: &str,
   #[case] authorization: &[&str],
   #[case] organisation: &str,
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn key_is_passed_on_where_there_are_no_organisations() {
+async fn key_is_forwarded_without_organisations() {
   let one = EndpointStandIn::start(|seen| Reply::ok(seen, "one")).await;
   let gateway = GatewayTest::new().await.with_portal(&one).await;
   assert_eq!(
@@ -98,7 +98,7 @@
 #[case::of_the_route("route", "1")]
 #[case::of_the_organisation("organisation", "3")]
 #[tokio::test]
-async fn each_part_of_a_stream_names_the_organisation_and_a_priority(
+async fn each_stage_of_a_stream_carries_the_organisation_and_a_priority(
   #[case] engine_marks: &'static str,
   #[case] priority: &str,
 ) {
@@ -122,18 +122,18 @@
     ask(&gateway, "/stream/a", &["Bearer key-a"]).await,
     StatusCode::OK
   );
-  let parts = [&prefill, &decode].map(|engine| {
+  let stages = [&prefill, &decode].map(|engine| {
     let of_caller = |seen: &Seen| seen.path.starts_with("/stream/");
     engine.requests().into_iter().find(of_caller).unwrap()
   });
-  for part in parts {
-    assert_eq!(part.header("x-tenant"), "captions");
-    assert_eq!(part.header("x-request-priority"), priority);
-    assert_eq!(part.header("authorization"), "");
+  for stage in stages {
+    assert_eq!(stage.header("x-tenant"), "captions");
+    assert_eq!(stage.header("x-request-priority"), priority);
+    assert_eq!(stage.header("authorization"), "");
   }
 }
 
-/// Puts a newer version with other organisations.
+/// Writes a configuration with other organisations.
 fn put(gateway: &GatewayBox, version: u64, organisations: Value) {
   let mut configuration = gateway.test.configuration.clone();
   configuration["version"] = version.into();
@@ -145,7 +145,7 @@
 }
 
 #[tokio::test]
-async fn keys_are_added_passed_on_and_taken_away_with_the_configuration() {
+async fn keys_are_added_moved_and_removed_with_the_configuration() {
   let (one, gateway) = portal().await;
   let organisations = json!([
     {"name": "captions", "apiKeys": ["key-a"]},
@@ -157,7 +157,7 @@
   assert!(!is_served(&gateway, "key-c").await);
   assert!(is_served(&gateway, "key-b").await);
   assert_eq!(last(&one).header("x-tenant"), "lectures");
-  // An older list of keys never comes back.
+  // An older version is ignored.
   put(
     &gateway,
     8,
@@ -179,10 +179,10 @@
 #[case::name_no_header(json!([{"name": "a\nb", "apiKeys": ["key-c"]}]))]
 #[case::no_name(json!([{"name": " ", "apiKeys": ["key-c"]}]))]
 #[tokio::test]
-async fn document_with_a_mistake_leaves_the_former_one_in_force(#[case] organisations: Value) {
+async fn invalid_configuration_leaves_the_previous_one_in_force(#[case] organisations: Value) {
   let (_, gateway) = portal().await;
   put(&gateway, 9, organisations);
-  // What is entered after it shows that the box has seen it.
+  // The box has seen the configuration once it knows an endpoint that was listed later.
   let other = EndpointStandIn::start(|seen| Reply::ok(seen, "other")).await;
   gateway.test.enter("p-2", "portal", None, &other);
   let seen_by_other = async || {
@@ -193,9 +193,9 @@
   assert!(is_served(&gateway, "key-a").await);
 }
 
-/// A box that the store turns away hears of a key that was taken away from any box that it reaches.
+/// Guards against a removed key staying valid at a box that is cut off from the store but reaches another box.
 #[tokio::test]
-async fn box_cut_off_from_the_store_hears_of_keys_from_another() {
+async fn box_cut_off_from_the_store_receives_keys_from_another_box() {
   let one = EndpointStandIn::start(|seen| Reply::ok(seen, "one")).await;
   let test = GatewayTest::new().await.configure(with_organisations);
   let path = StorePath::to(test.store.address).await;
@@ -214,7 +214,7 @@
       >= 2
   };
   assert!(eventually(PATIENCE, know_each_other).await);
-  // What is entered now is seen after the boxes' entries.
+  // An endpoint that is listed now is seen after the boxes' entries.
   let other = EndpointStandIn::start(|seen| Reply::ok(seen, "other")).await;
   sound.test.enter("p-2", "portal", None, &other);
   let has_seen_it = async || {
@@ -234,9 +234,9 @@
   assert!(is_served(&cut_off, "key-b").await);
 }
 
-/// A box that hears nothing does not know that a key is wrong: a newer configuration may have it.
+/// A newer configuration may contain the key, which a box without store contact can't know.
 #[tokio::test]
-async fn unknown_key_is_no_mistake_while_the_store_is_silent() {
+async fn unknown_key_is_rejected_with_retry_after_while_the_store_is_silent() {
   let (one, gateway) = portal().await;
   gateway.test.store.set_down(true);
   let not_run = async || {
--- a/tests/gateway/policy.rs
+++ b/tests/gateway/policy.rs
@@ -1,4 +1,4 @@
-//! Policy programs steer the gateway too.
+//! Policy programs in the gateway.
 
 use {
   super::{EndpointStandIn, GatewayTest, Reply},
@@ -35,34 +35,34 @@
 }
 
 fn rank(policy: &RoutePolicy, prompt_tokens: u64) -> RouteRank {
-  let facts = CallerAttributes {
+  let attributes = CallerAttributes {
     prompt_tokens,
     ..CallerAttributes::default()
   };
   policy.rank(
     &route(RouteKind::Stream { resumable: false }),
     &"llm".into(),
-    &facts,
+    &attributes,
     None,
   )
 }
 
 #[test]
-fn routes_own_words_hold_without_a_program_and_when_it_fails() {
-  let own = RouteRank {
+fn routes_rank_applies_without_a_program_and_when_it_fails() {
+  let default = RouteRank {
     engine_priority: 2,
     priority: 2,
     target_ms: 900,
   };
-  assert_eq!(rank(&RoutePolicy::default(), 100), own);
+  assert_eq!(rank(&RoutePolicy::default(), 100), default);
   assert_eq!(
     rank(&policy("fn rank(request, now) { throw \"broken\" }"), 100),
-    own
+    default
   );
 }
 
 #[test]
-fn program_ranks_by_the_requests_facts() {
+fn program_ranks_by_the_requests_attributes() {
   let policy = policy(
     "fn rank(request, now) { #{ class: \"a\", priority: if request.prompt_tokens < 1000 { 9 } else { 20 - 14 }, first_token_ms: 500 } }",
   );
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn program_shares_out_the_engines() {
+fn program_divides_the_engines() {
   let pool = PoolFacts {
     decode_engines: 6,
     model: "llm".into(),
@@ -113,7 +113,7 @@
 }
 
 #[tokio::test]
-async fn engines_see_the_routes_priority() {
+async fn endpoints_receive_the_routes_priority() {
   let one = EndpointStandIn::start(|seen| Reply::ok(seen, "")).await;
   let test = GatewayTest::new().await.configure(|configuration| {
     configuration["routes"][0]["priority"] = 7.into();
--- a/tests/gateway/streams.rs
+++ b/tests/gateway/streams.rs
@@ -1,4 +1,4 @@
-//! Streams: a seat, the prompt, the events; resumed where that is allowed, broken off visibly where not.
+//! Streams: the slot, the prefill and the events; an interrupted stream is resumed if its route allows, otherwise aborted.
 
 use {
   super::{
@@ -17,8 +17,8 @@
   seen.path.starts_with("/stream/") || seen.path.starts_with("/resumable/")
 }
 
-/// An engine that grants seats and then says that the stream did not run.
-fn refusing(seen: &Seen) -> Reply {
+/// An engine that grants slots and then states that the stream did not run.
+fn rejecting(seen: &Seen) -> Reply {
   if is_stream(seen) {
     Reply::not_run(seen)
   } else {
@@ -27,7 +27,7 @@
 }
 
 async fn serve(prefill: &EndpointStandIn, decode: &EndpointStandIn) -> GatewayBox {
-  // Longer than a test waits: nothing ends because the route's time is over.
+  // Longer than a test waits, so that nothing ends by the route's timeout.
   let test = GatewayTest::new().await.configure(|configuration| {
     configuration["routes"][2]["timeoutMs"] = 120_000.into();
   });
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test]
-async fn prompt_is_read_for_a_reserved_seat_and_handed_over() {
+async fn prompt_is_prefilled_for_a_reserved_slot_and_transferred() {
   let prefill = EndpointStandIn::engine(EVENTS).await;
   let decode = EndpointStandIn::engine(EVENTS).await;
   let gateway = serve(&prefill, &decode).await;
@@ -43,8 +43,8 @@
   assert_eq!(asked.status, StatusCode::OK);
   assert_eq!(asked.headers["x-response-seal"], "s");
   assert_eq!(asked.body.unwrap(), EVENTS);
-  let read = &prefill.requests()[0];
-  assert!(read.is_prompt());
+  let prefilled = &prefill.requests()[0];
+  assert!(prefilled.is_prompt());
   let seen = decode.seen();
   assert_eq!(seen[0].path, "/hold-take");
   assert!(String::from_utf8_lossy(&seen[0].body).contains("\"tokens\":125"));
@@ -57,7 +57,7 @@
 }
 
 #[tokio::test]
-async fn no_prompt_is_read_without_a_seat() {
+async fn no_prompt_is_prefilled_without_a_slot() {
   let prefill = EndpointStandIn::engine(EVENTS).await;
   let decode = EndpointStandIn::start(Reply::not_run).await;
   let gateway = serve(&prefill, &decode).await;
@@ -68,7 +68,7 @@
 }
 
 #[tokio::test]
-async fn engine_reads_the_prompt_itself_when_no_other_can() {
+async fn decode_engine_prefills_when_no_prefill_engine_can() {
   let prefill = EndpointStandIn::start(|_| Reply::WriteAndClose(String::new())).await;
   let decode = EndpointStandIn::engine(EVENTS).await;
   let gateway = serve(&prefill, &decode).await;
@@ -81,7 +81,7 @@
 #[case("/resumable/a", true)]
 #[case("/stream/a", false)]
 #[tokio::test]
-async fn stream_that_breaks_within_an_event(#[case] path: &str, #[case] resumes: bool) {
+async fn stream_interrupted_within_an_event(#[case] path: &str, #[case] resumes: bool) {
   let prefill = EndpointStandIn::engine(EVENTS).await;
   let script = |seen: &Seen| match seen.header("last-event-id") {
     "" if is_stream(seen) => Reply::WriteAndClose(Reply::stream_part(seen, BEGINNING)),
@@ -99,14 +99,14 @@
     assert_eq!(asked.body.unwrap(), EVENTS);
     assert_eq!(sends, 2);
   } else {
-    // The caller sees that the end is missing.
+    // The caller sees that the stream is incomplete.
     assert!(asked.body.is_err());
     assert_eq!(sends, 1);
   }
 }
 
 #[tokio::test]
-async fn repeated_events_are_left_out_when_a_stream_is_resumed() {
+async fn duplicate_events_are_dropped_when_a_stream_is_resumed() {
   let prefill = EndpointStandIn::engine(EVENTS).await;
   let script = |seen: &Seen| match seen.header("last-event-id") {
     "" if is_stream(seen) => Reply::WriteAndClose(Reply::stream_part(seen, BEGINNING)),
@@ -124,10 +124,10 @@
 }
 
 #[tokio::test]
-async fn refused_prompt_is_offered_to_another_engine_without_reading_it_again() {
+async fn export_is_reused_at_another_engine_after_a_rejection() {
   let prefill = EndpointStandIn::engine(EVENTS).await;
-  let one = EndpointStandIn::start(refusing).await;
-  let other = EndpointStandIn::start(refusing).await;
+  let one = EndpointStandIn::start(rejecting).await;
+  let other = EndpointStandIn::start(rejecting).await;
   let third = EndpointStandIn::engine(EVENTS).await;
   let test = GatewayTest::new().await;
   test.enter("e-3", "llm", Some("decode"), &other);
@@ -148,20 +148,20 @@
 }
 
 #[tokio::test]
-async fn what_was_kept_for_a_request_is_freed_when_it_is_refused() {
+async fn export_and_reservation_are_released_when_the_request_is_rejected() {
   let prefill = EndpointStandIn::engine(EVENTS).await;
-  let decode = EndpointStandIn::start(refusing).await;
+  let decode = EndpointStandIn::start(rejecting).await;
   let gateway = serve(&prefill, &decode).await;
   let asked = gateway.ask("/stream/a", "r1").await;
   assert_eq!(asked.status, StatusCode::SERVICE_UNAVAILABLE);
-  let freed =
+  let released =
     |endpoint: &EndpointStandIn, path: &str| endpoint.seen().iter().any(|seen| seen.path == path);
-  assert!(eventually(PATIENCE, async || freed(&prefill, "/kv-handle/e1")).await);
-  assert!(eventually(PATIENCE, async || freed(&decode, "/hold-drop/h1")).await);
+  assert!(eventually(PATIENCE, async || released(&prefill, "/kv-handle/e1")).await);
+  assert!(eventually(PATIENCE, async || released(&decode, "/hold-drop/h1")).await);
 }
 
 #[tokio::test]
-async fn engine_hears_of_a_caller_who_leaves() {
+async fn connection_to_the_engine_closes_when_the_caller_disconnects() {
   let prefill = EndpointStandIn::engine(EVENTS).await;
   let silent = |seen: &Seen| {
     if is_stream(seen) {
@@ -179,7 +179,7 @@
 }
 
 #[tokio::test]
-async fn prompt_is_not_kept_for_a_caller_who_leaves_while_it_is_read() {
+async fn reservation_is_released_when_the_caller_disconnects_during_prefill() {
   let prefill = EndpointStandIn::start(|_| Reply::Silence).await;
   let decode = EndpointStandIn::engine(EVENTS).await;
   let gateway = serve(&prefill, &decode).await;
@@ -196,13 +196,12 @@
   assert!(eventually(PATIENCE, dropped).await);
 }
 
-/// Found by a hunt (sariwa-ops, mix --seed 135855253762): a stream that paused for longer than the router's
-/// patience was given up before it was known that anyone could go on.
+/// Guards against a paused stream being abandoned before another engine has a slot (sariwa-ops, mix --seed 135855253762).
 #[rstest]
 #[case::no_other_engine(false)]
 #[case::the_other_is_full(true)]
 #[tokio::test]
-async fn stream_that_pauses_is_waited_for_when_nobody_can_go_on(#[case] has_other: bool) {
+async fn paused_stream_continues_when_no_other_engine_can_resume_it(#[case] has_other: bool) {
   let prefill = EndpointStandIn::engine(EVENTS).await;
   let pausing = |seen: &Seen| {
     if is_stream(seen) {
