--- a/src/gateway/requests/event_relay.rs
+++ b/src/gateway/requests/event_relay.rs
@@ -26,7 +26,7 @@
   stream: StreamRequest,
   head: Option<ResponseHead>,
   splitter: EventSplitter,
-  ended: bool,
+  is_finished: bool,
   first_event_recorded: bool,
   /// When the last event was forwarded.
   last_event_ms: Option<u64>,
@@ -39,14 +39,14 @@
 impl EventRelay {
   pub(crate) fn new(stream: StreamRequest, head: ResponseHead, in_flight: InFlight) -> Self {
     Self {
-      splitter: EventSplitter::default(),
-      ended: false,
       first_event_recorded: false,
+      head: Some(head),
+      _in_flight: in_flight,
+      is_finished: false,
       last_event_ms: None,
       longest_pause_ms: 0,
-      head: Some(head),
+      splitter: EventSplitter::default(),
       stream,
-      _in_flight: in_flight,
     }
   }
 
@@ -62,7 +62,7 @@
   /// The next bytes for the caller; `None` after the stream's end.
   async fn next(&mut self) -> Option<Result<Bytes, StreamAborted>> {
     loop {
-      if self.ended {
+      if self.is_finished {
         return None;
       }
       if let Some(event) = self.splitter.next_event() {
@@ -159,7 +159,7 @@
         Ok(true)
       }
       Some(Err(error)) => Err(error.to_string()),
-      None if self.splitter.has_rest() && !self.is_framed() => {
+      None if self.splitter.has_partial_event() && !self.is_framed() => {
         Err("stream ended within an event".into())
       }
       None => Ok(false),
@@ -172,7 +172,7 @@
 
   /// Completes the stream; returns the remaining bytes, if any.
   fn finish(&mut self) -> Option<Result<Bytes, StreamAborted>> {
-    self.ended = true;
+    self.is_finished = true;
     let gateway = self.stream.gateway.clone();
     log::info!(
       "E515 stream complete: {} to event {:?}, {} ms after arrival, tried {}, longest pause {} ms",
@@ -189,8 +189,8 @@
       head.load_guard.answered();
       gateway.rest(head.connection, &head.raw_headers);
     }
-    let rest = self.splitter.take_rest();
-    (!rest.is_empty()).then_some(Ok(rest))
+    let remaining = self.splitter.take_partial_event();
+    (!remaining.is_empty()).then_some(Ok(remaining))
   }
 
   /// Resumes the stream at another engine, after the last complete event.
@@ -234,7 +234,7 @@
 
   /// Aborts the stream, so that the caller sees that it is incomplete.
   fn abort(&mut self, error: String) -> StreamAborted {
-    self.ended = true;
+    self.is_finished = true;
     self.stream.gateway.counters.broken_streams.inc();
     log::info!("E507 stream aborted: {}: {error}", self.stream.request.id());
     StreamAborted(error)
@@ -243,7 +243,7 @@
 
 impl Drop for EventRelay {
   fn drop(&mut self) {
-    if !self.ended {
+    if !self.is_finished {
       self.stream.gateway.counters.callers_gone.inc();
       log::info!(
         "E516 caller disconnected: {} after event {:?}",
--- a/src/gateway/requests/event_splitter.rs
+++ b/src/gateway/requests/event_splitter.rs
@@ -25,43 +25,43 @@
 /// let event = splitter.next_event().unwrap();
 /// assert_eq!(event.id, Some(7));
 /// assert!(splitter.next_event().is_none());
-/// assert!(splitter.has_rest());
+/// assert!(splitter.has_partial_event());
 /// ```
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-  rest: BytesMut,
+  buffer: BytesMut,
 }
 
 impl EventSplitter {
   /// Appends received bytes.
   pub fn push(&mut self, bytes: &[u8]) {
-    self.rest.extend_from_slice(bytes);
+    self.buffer.extend_from_slice(bytes);
   }
 
   /// Removes and returns the next complete event.
   pub fn next_event(&mut self) -> Option<SseEvent> {
     let end = self
-      .rest
+      .buffer
       .windows(EVENT_END.len())
       .position(|window| window == EVENT_END)?;
-    let bytes = self.rest.split_to(end + EVENT_END.len()).freeze();
+    let bytes = self.buffer.split_to(end + EVENT_END.len()).freeze();
     let id = event_id(&bytes);
     Some(SseEvent { bytes, id })
   }
 
   /// Whether an incomplete event is buffered.
-  pub fn has_rest(&self) -> bool {
-    !self.rest.is_empty()
+  pub fn has_partial_event(&self) -> bool {
+    !self.buffer.is_empty()
   }
 
   /// Whether the incomplete event exceeds the longest event.
   pub fn is_overlong(&self) -> bool {
-    self.rest.len() > MAX_EVENT_BYTES
+    self.buffer.len() > MAX_EVENT_BYTES
   }
 
   /// Removes and returns the incomplete event.
-  pub fn take_rest(&mut self) -> Bytes {
-    self.rest.split().freeze()
+  pub fn take_partial_event(&mut self) -> Bytes {
+    self.buffer.split().freeze()
   }
 }
 
--- a/src/gateway/requests/frontend.rs
+++ b/src/gateway/requests/frontend.rs
@@ -240,11 +240,11 @@
   if !gateway.settings.mechanisms.slot_by_estimate {
     attributes.answer_estimate = None;
   }
-  let ends_ms = gateway.ends_ms.get().unwrap_or(u64::MAX);
+  let exit_ms = gateway.ends_ms.get().unwrap_or(u64::MAX);
   let timeout_ms = route
     .timeout_ms
     .min(attributes.deadline_ms.unwrap_or(u64::MAX))
-    .min(ends_ms.saturating_sub(arrived_ms));
+    .min(exit_ms.saturating_sub(arrived_ms));
   let body = read_body(body, table.limits().body_bytes, timeout_ms).await?;
   let service = route
     .service(gateway.draw())
@@ -269,8 +269,9 @@
   Ok(RoutedRequest {
     allowed_halls,
     arrived_ms,
-    body,
     attributes,
+    body,
+    deadline_ms: arrived_ms + timeout_ms,
     fingerprint: OnceCell::new(),
     headers,
     method: head.method,
@@ -279,7 +280,6 @@
     route,
     send_mode: Cell::default(),
     service,
-    deadline_ms: arrived_ms + timeout_ms,
     uri: head.uri,
   })
 }
--- a/src/gateway/requests/stream_request.rs
+++ b/src/gateway/requests/stream_request.rs
@@ -65,20 +65,20 @@
 impl StreamRequest {
   pub(crate) fn new(gateway: Rc<Gateway>, request: Rc<RoutedRequest>) -> Self {
     Self {
-      sends: 0,
       attempts: 0,
       export: None,
       gateway,
-      searched_cached: false,
+      interrupted_at: None,
       last_event_id: request.attributes.last_event_id,
-      was_prefilled: false,
-      skips_prefill: false,
-      rejections: 0,
       rejected_by: None,
+      rejections: 0,
       request,
+      searched_cached: false,
+      sends: 0,
+      skips_prefill: false,
       slot: None,
       tried: Vec::new(),
-      interrupted_at: None,
+      was_prefilled: false,
     }
   }
 
--- a/src/gateway/requests/unary.rs
+++ b/src/gateway/requests/unary.rs
@@ -25,7 +25,7 @@
 /// Endpoints that may turn out to be unreachable before a request is rejected.
 const MAX_UNSENT: u32 = 4;
 
-type Try = LocalBoxFuture<'static, (Name, Result<BufferedResponse, StageError>)>;
+type Attempt = LocalBoxFuture<'static, (Name, Result<BufferedResponse, StageError>)>;
 
 /// The state of one unary request.
 struct UnaryRequest {
@@ -38,7 +38,7 @@
   without_permit: u32,
   /// Whether a retry was taken from the budget for a request that no endpoint has received yet.
   has_unused_retry: bool,
-  running: FuturesUnordered<Try>,
+  running: FuturesUnordered<Attempt>,
   /// The endpoints that have not responded yet.
   awaited: Vec<Name>,
   /// An endpoint's error response, forwarded when there is no better one.
--- a/src/gateway/stages/notice.rs
+++ b/src/gateway/stages/notice.rs
@@ -55,10 +55,7 @@
   if let Some(unreadable) = &notice.unreadable
     && gateway.unreadable_lines.is_over(now_ms)
   {
-    log::warn!(
-      "E538 notice not understood: {} sent an {unreadable}",
-      entry.id
-    );
+    log::warn!("E538 notice not understood: {}: {unreadable}", entry.id);
   }
   let change = gateway
     .book
--- a/src/gateway/stages/stage.rs
+++ b/src/gateway/stages/stage.rs
@@ -100,9 +100,9 @@
   pub(crate) fn new(gateway: &Rc<Gateway>, endpoint: &Name, size: u64, units: u64) -> Self {
     gateway.book.borrow_mut().sent(endpoint, size);
     Self {
-      outcome: PartEnd::Dropped,
       endpoint: endpoint.clone(),
       gateway: gateway.clone(),
+      outcome: PartEnd::Dropped,
       sent_ms: gateway.now_ms(),
       size,
       units,
@@ -283,11 +283,11 @@
     });
   match response {
     Ok((connection, head, body, attributes)) => Ok(ResponseHead {
+      attributes,
       body,
-      load_guard,
       connection,
       entry: entry.clone(),
-      attributes,
+      load_guard,
       raw_headers: head.headers,
       sent_ms,
       status: head.status,
@@ -353,11 +353,11 @@
   let mut book = gateway.book.borrow_mut();
   match (book.check(entry, now_ms), purpose) {
     (Ok(()), Purpose::Request | Purpose::Call) => {
-      if let Some(asked_ms) = book.sent_after_pause(&entry.id, now_ms) {
+      if let Some(requested_ms) = book.sent_after_pause(&entry.id, now_ms) {
         log::info!(
           "E537 first request after its backoff: {}, requested {} ms ago",
           entry.id,
-          now_ms - asked_ms
+          now_ms - requested_ms
         );
       }
       Ok(())
