--- a/tests/gateway/allowed_regions.rs
+++ b/tests/gateway/allowed_regions.rs
@@ -42,8 +42,8 @@
   let mut request = gateway.request("/unsafe/a", "r");
   let value = HeaderValue::from_str(&format!("Bearer {key}")).unwrap();
   request.headers_mut().insert(AUTHORIZATION, value);
-  let asked = gateway.send(request).await;
-  (asked.status, asked.body.unwrap())
+  let response = gateway.send(request).await;
+  (response.status, response.body.unwrap())
 }
 
 #[rstest]
@@ -61,8 +61,8 @@
   let _endpoints = two_halls(&test).await;
   let gateway = test.start().await;
   for number in 0..ASKS {
-    let asked = gateway.ask("/unsafe/a", &format!("r{number}")).await;
-    assert_eq!(asked.body.as_deref(), Ok(hall));
+    let response = gateway.ask("/unsafe/a", &format!("r{number}")).await;
+    assert_eq!(response.body.as_deref(), Ok(hall));
   }
 }
 
@@ -77,9 +77,9 @@
   test.enter_in_hall("e-2", "llm", Some("decode"), &one, OWN_HALL);
   let gateway = test.start().await;
   for path in ["/safe/a", "/unsafe/a", "/stream/a", "/resumable/a"] {
-    let asked = gateway.ask(path, "r").await;
-    assert_eq!(asked.status, StatusCode::SERVICE_UNAVAILABLE, "{path}");
-    assert!(asked.headers.contains_key("retry-after"), "{path}");
+    let response = gateway.ask(path, "r").await;
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE, "{path}");
+    assert!(response.headers.contains_key("retry-after"), "{path}");
   }
   assert!(one.seen().is_empty());
 }
--- a/tests/gateway/budget.rs
+++ b/tests/gateway/budget.rs
@@ -64,15 +64,15 @@
   let one = EndpointStandIn::start(failing).await;
   let other = EndpointStandIn::start(failing).await;
   let gateway = GatewayTest::new().await.with_portals(&one, &other).await;
-  let asked = 40;
-  for number in 0..asked {
+  let sent = 40;
+  for number in 0..sent {
     gateway.ask("/safe/a", &format!("r{number}")).await;
   }
-  let retries = one.requests().len() + other.requests().len() - asked;
+  let retries = one.requests().len() + other.requests().len() - sent;
   // The ratio, and a sixth of the slack: at least six boxes are assumed.
   assert!(retries > 0);
   assert!(
-    retries as f64 <= 0.2 * asked as f64 + 60.0 / 6.0,
+    retries as f64 <= 0.2 * sent as f64 + 60.0 / 6.0,
     "{retries}"
   );
 }
--- a/tests/gateway/callers.rs
+++ b/tests/gateway/callers.rs
@@ -93,9 +93,9 @@
   let gateway = GatewayTest::new().await.start_unready();
   let answered = async || TcpStream::connect(gateway.callers).await.is_ok();
   assert!(eventually(PATIENCE, answered).await);
-  let asked = gateway.ask("/unsafe/a", "r1").await;
-  assert_eq!(asked.status, StatusCode::SERVICE_UNAVAILABLE);
-  assert!(asked.headers.contains_key("retry-after"));
+  let response = gateway.ask("/unsafe/a", "r1").await;
+  assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+  assert!(response.headers.contains_key("retry-after"));
   assert!(!gateway.is_ready().await);
 }
 
--- a/tests/gateway/configuration.rs
+++ b/tests/gateway/configuration.rs
@@ -74,9 +74,9 @@
   }
   assert_eq!(one.requests().len(), before);
   gateway.test.store.remove("servers/p-2");
-  let refused =
+  let rejected =
     async || gateway.ask("/unsafe/a", "r").await.status == StatusCode::SERVICE_UNAVAILABLE;
-  assert!(eventually(PATIENCE, refused).await);
+  assert!(eventually(PATIENCE, rejected).await);
 }
 
 #[tokio::test]
--- a/tests/gateway/leaving.rs
+++ b/tests/gateway/leaving.rs
@@ -24,7 +24,7 @@
       .contains(&entry))
     .await
   );
-  let asking = gateway.ask_in_background("/unsafe/a", "r1");
+  let pending = gateway.ask_in_background("/unsafe/a", "r1");
   assert!(eventually(PATIENCE, async || one.requests().len() == 1).await);
   gateway.signal(libc::SIGTERM);
   assert!(eventually(PATIENCE, async || !gateway.is_ready().await).await);
@@ -36,11 +36,11 @@
       .contains(&entry))
     .await
   );
-  assert_eq!(asking.await.unwrap().unwrap(), StatusCode::OK);
+  assert_eq!(pending.await.unwrap().unwrap(), StatusCode::OK);
   // The box still serves requests, and asks the caller to close the connection.
-  let asked = gateway.ask("/unsafe/a", "r2").await;
-  assert_eq!(asked.status, StatusCode::OK);
-  assert_eq!(asked.headers["connection"], "close");
+  let response = gateway.ask("/unsafe/a", "r2").await;
+  assert_eq!(response.status, StatusCode::OK);
+  assert_eq!(response.headers["connection"], "close");
   assert!(
     eventually(PATIENCE, async || gateway
       .process
@@ -75,8 +75,8 @@
   let rejected = async || {
     number += 1;
     let request = gateway.request("/resumable/a", &format!("r{number}"));
-    let asked = rillford::HttpClient::default().send(request).await;
-    asked.is_ok_and(|response| response.status() == StatusCode::SERVICE_UNAVAILABLE)
+    let result = rillford::HttpClient::default().send(request).await;
+    result.is_ok_and(|response| response.status() == StatusCode::SERVICE_UNAVAILABLE)
   };
   assert!(eventually(PATIENCE, rejected).await);
   holding.abort();
@@ -111,11 +111,11 @@
   while gateway.process.try_wait().unwrap().is_none() {
     number += 1;
     let id = format!("r{number}");
-    let asked = rillford::HttpClient::default()
+    let result = rillford::HttpClient::default()
       .send(gateway.request("/unsafe/a", &id))
       .await;
     let reached = one.requests().iter().any(|seen| seen.id() == id);
-    if reached && asked.is_err() {
+    if reached && result.is_err() {
       interrupted.push(id);
     }
   }
--- a/tests/gateway/mod.rs
+++ b/tests/gateway/mod.rs
@@ -1,7 +1,6 @@
 //! Tests of gateway boxes: processes against stand-ins that implement the platform's published protocol, and unit tests.
 
 mod allowed_regions;
-mod answers;
 mod budget;
 mod callers;
 mod choice;
@@ -22,6 +21,7 @@
 mod policy;
 mod quarantine;
 mod relay;
+mod responses;
 mod resume;
 mod role_plan;
 mod roles;
--- a/tests/gateway/answers.rs
+++ b/tests/gateway/responses.rs
@@ -54,9 +54,9 @@
     let one = EndpointStandIn::start(move |seen| invalid_response(seen, how)).await;
     let other = EndpointStandIn::start(move |seen| invalid_response(seen, how)).await;
     let gateway = GatewayTest::new().await.with_portals(&one, &other).await;
-    let asked = gateway.ask("/unsafe/a", "r1").await;
-    assert_eq!(asked.status, StatusCode::BAD_GATEWAY, "{how}");
-    assert!(!asked.headers.contains_key("x-response-seal"), "{how}");
+    let response = gateway.ask("/unsafe/a", "r1").await;
+    assert_eq!(response.status, StatusCode::BAD_GATEWAY, "{how}");
+    assert!(!response.headers.contains_key("x-response-seal"), "{how}");
     assert_eq!(one.requests().len() + other.requests().len(), 1, "{how}");
   }
 }
@@ -68,9 +68,9 @@
     let other = EndpointStandIn::start(|seen| Reply::ok(seen, "fine")).await;
     let gateway = GatewayTest::new().await.with_portals(&one, &other).await;
     for number in 0..4 {
-      let asked = gateway.ask("/safe/a", &format!("r{number}")).await;
-      assert_eq!(asked.status, StatusCode::OK, "{how}");
-      assert_eq!(asked.body.unwrap(), "fine", "{how}");
+      let response = gateway.ask("/safe/a", &format!("r{number}")).await;
+      assert_eq!(response.status, StatusCode::OK, "{how}");
+      assert_eq!(response.body.unwrap(), "fine", "{how}");
     }
   }
 }
@@ -85,8 +85,11 @@
   let other = EndpointStandIn::start(twice).await;
   let gateway = GatewayTest::new().await.with_portals(&one, &other).await;
   for number in 0..20 {
-    let asked = gateway.ask("/safe/a", &format!("r{number}")).await;
-    assert_eq!(asked.headers["x-request-id"], format!("r{number}").as_str());
+    let response = gateway.ask("/safe/a", &format!("r{number}")).await;
+    assert_eq!(
+      response.headers["x-request-id"],
+      format!("r{number}").as_str()
+    );
   }
 }
 
@@ -102,12 +105,12 @@
   let one = EndpointStandIn::start(answer).await;
   let other = EndpointStandIn::start(answer).await;
   let gateway = GatewayTest::new().await.with_portals(&one, &other).await;
-  let asked = gateway.ask("/unsafe/a?b=c", "r1").await;
-  assert_eq!(asked.status, StatusCode::NOT_FOUND);
-  assert_eq!(asked.headers["x-response-seal"], "s9");
-  assert_eq!(asked.headers["x-own"], "a b");
-  assert!(!asked.headers.contains_key("x-hop"));
-  assert_eq!(asked.body.unwrap(), "no\r\n!");
+  let response = gateway.ask("/unsafe/a?b=c", "r1").await;
+  assert_eq!(response.status, StatusCode::NOT_FOUND);
+  assert_eq!(response.headers["x-response-seal"], "s9");
+  assert_eq!(response.headers["x-own"], "a b");
+  assert!(!response.headers.contains_key("x-hop"));
+  assert_eq!(response.body.unwrap(), "no\r\n!");
 }
 
 #[rstest]
@@ -122,9 +125,9 @@
   let one = EndpointStandIn::start(failing).await;
   let other = EndpointStandIn::start(failing).await;
   let gateway = GatewayTest::new().await.with_portals(&one, &other).await;
-  let asked = gateway.ask(path, "r1").await;
-  assert_eq!(asked.status, StatusCode::INTERNAL_SERVER_ERROR);
-  assert_eq!(asked.headers["x-response-seal"], "s");
+  let response = gateway.ask(path, "r1").await;
+  assert_eq!(response.status, StatusCode::INTERNAL_SERVER_ERROR);
+  assert_eq!(response.headers["x-response-seal"], "s");
   assert_eq!(one.requests().len() + other.requests().len(), 1 + retries);
 }
 
@@ -133,9 +136,9 @@
   let one = EndpointStandIn::start(Reply::not_run).await;
   let other = EndpointStandIn::start(Reply::not_run).await;
   let gateway = GatewayTest::new().await.with_portals(&one, &other).await;
-  let asked = gateway.ask("/unsafe/a", "r1").await;
-  assert_eq!(asked.status, StatusCode::SERVICE_UNAVAILABLE);
-  let seconds: f64 = asked.headers["retry-after"]
+  let response = gateway.ask("/unsafe/a", "r1").await;
+  assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+  let seconds: f64 = response.headers["retry-after"]
     .to_str()
     .unwrap()
     .parse()
@@ -151,8 +154,8 @@
     configuration["routes"][1]["timeoutMs"] = 300.into();
   });
   let gateway = test.with_portals(&one, &other).await;
-  let asked = gateway.ask("/unsafe/a", "r1").await;
-  assert_eq!(asked.status, StatusCode::GATEWAY_TIMEOUT);
+  let response = gateway.ask("/unsafe/a", "r1").await;
+  assert_eq!(response.status, StatusCode::GATEWAY_TIMEOUT);
   assert_eq!(one.requests().len() + other.requests().len(), 1);
 }
 
@@ -220,8 +223,8 @@
   let gateway = test.with_portals(&one, &other).await;
   let mut timed_out = 0;
   for number in 0..40 {
-    let asked = gateway.ask("/unsafe/a", &format!("r{number}")).await;
-    timed_out += usize::from(asked.status == StatusCode::GATEWAY_TIMEOUT);
+    let response = gateway.ask("/unsafe/a", &format!("r{number}")).await;
+    timed_out += usize::from(response.status == StatusCode::GATEWAY_TIMEOUT);
   }
   assert_eq!(timed_out, one.requests().len());
   assert!(timed_out <= 1, "{timed_out} requests waited for it");
--- a/tests/gateway/resume.rs
+++ b/tests/gateway/resume.rs
@@ -17,11 +17,11 @@
 }
 
 /// An engine that lists its cached segments.
-fn caching(seen: &Seen, held: &str) -> Reply {
+fn caching(seen: &Seen, segments: &str) -> Reply {
   match seen.path.as_str() {
     "/kv-list" => Reply::ok(
       seen,
-      &format!(r#"{{"epoch":1,"nextPageToken":3,"held":{held}}}"#),
+      &format!(r#"{{"epoch":1,"nextPageToken":3,"held":{segments}}}"#),
     ),
     _ if is_stream(seen) => Reply::stream(seen, REST),
     _ => engine_reply(seen, EVENTS),
@@ -56,9 +56,9 @@
   let headers = request.headers_mut();
   headers.insert("last-event-id", HeaderValue::from_static("1"));
   headers.insert("x-prompt-prefix", HeaderValue::from_static(SEGMENTS));
-  let asked = gateway.send(request).await;
-  assert_eq!(asked.status, StatusCode::OK);
-  assert_eq!(asked.body.unwrap(), REST);
+  let response = gateway.send(request).await;
+  assert_eq!(response.status, StatusCode::OK);
+  assert_eq!(response.body.unwrap(), REST);
   assert_eq!(prefill.requests().len(), prefills);
   if prefills == 0 {
     let run = &caching.requests()[0];
@@ -66,8 +66,8 @@
     assert_eq!(run.header("x-hold"), "h1");
     assert_eq!(run.header("x-kv-source"), "");
     // The prompt is cached: memory is reserved for the response only.
-    let asked = caching.seen();
-    let hold = asked.iter().find(|seen| seen.path == "/hold-take").unwrap();
+    let calls = caching.seen();
+    let hold = calls.iter().find(|seen| seen.path == "/hold-take").unwrap();
     assert!(String::from_utf8_lossy(&hold.body).contains("\"tokens\":25"));
   }
 }
@@ -85,8 +85,8 @@
   let test = GatewayTest::new().await;
   test.enter("e-3", "llm", Some("decode"), &other);
   let gateway = test.with_engines(&prefill, &one).await;
-  let asked = gateway.ask("/resumable/a", "r1").await;
-  assert_eq!(asked.body.unwrap(), EVENTS);
+  let response = gateway.ask("/resumable/a", "r1").await;
+  assert_eq!(response.body.unwrap(), EVENTS);
   assert_eq!(prefill.requests().len(), 1);
   let runs = [one.requests().len(), other.requests().len()];
   assert!(runs == [2, 0] || runs == [0, 2], "{runs:?}");
@@ -108,8 +108,8 @@
   let headers = request.headers_mut();
   headers.insert("last-event-id", HeaderValue::from_static("1"));
   headers.insert("x-prompt-prefix", HeaderValue::from_static(SEGMENTS));
-  let asked = gateway.send(request).await;
-  assert_eq!(asked.body.unwrap(), REST);
+  let response = gateway.send(request).await;
+  assert_eq!(response.body.unwrap(), REST);
   assert_eq!(prefill.requests().len(), 1);
   assert!(full.requests().is_empty());
 }
--- a/tests/gateway/streams.rs
+++ b/tests/gateway/streams.rs
@@ -39,10 +39,10 @@
   let prefill = EndpointStandIn::engine(EVENTS).await;
   let decode = EndpointStandIn::engine(EVENTS).await;
   let gateway = serve(&prefill, &decode).await;
-  let asked = gateway.ask("/stream/a", "r1").await;
-  assert_eq!(asked.status, StatusCode::OK);
-  assert_eq!(asked.headers["x-response-seal"], "s");
-  assert_eq!(asked.body.unwrap(), EVENTS);
+  let response = gateway.ask("/stream/a", "r1").await;
+  assert_eq!(response.status, StatusCode::OK);
+  assert_eq!(response.headers["x-response-seal"], "s");
+  assert_eq!(response.body.unwrap(), EVENTS);
   let prefilled = &prefill.requests()[0];
   assert!(prefilled.is_prompt());
   let seen = decode.seen();
@@ -61,9 +61,9 @@
   let prefill = EndpointStandIn::engine(EVENTS).await;
   let decode = EndpointStandIn::start(Reply::not_run).await;
   let gateway = serve(&prefill, &decode).await;
-  let asked = gateway.ask("/stream/a", "r1").await;
-  assert_eq!(asked.status, StatusCode::SERVICE_UNAVAILABLE);
-  assert!(asked.headers.contains_key("retry-after"));
+  let response = gateway.ask("/stream/a", "r1").await;
+  assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+  assert!(response.headers.contains_key("retry-after"));
   assert!(prefill.seen().is_empty());
 }
 
@@ -72,8 +72,8 @@
   let prefill = EndpointStandIn::start(|_| Reply::WriteAndClose(String::new())).await;
   let decode = EndpointStandIn::engine(EVENTS).await;
   let gateway = serve(&prefill, &decode).await;
-  let asked = gateway.ask("/stream/a", "r1").await;
-  assert_eq!(asked.body.unwrap(), EVENTS);
+  let response = gateway.ask("/stream/a", "r1").await;
+  assert_eq!(response.body.unwrap(), EVENTS);
   assert!(!decode.requests()[0].headers.contains_key("x-kv-source"));
 }
 
@@ -93,14 +93,14 @@
   let test = GatewayTest::new().await;
   test.enter("e-3", "llm", Some("decode"), &other);
   let gateway = test.with_engines(&prefill, &one).await;
-  let asked = gateway.ask(path, "r1").await;
+  let response = gateway.ask(path, "r1").await;
   let sends = one.requests().len() + other.requests().len();
   if resumes {
-    assert_eq!(asked.body.unwrap(), EVENTS);
+    assert_eq!(response.body.unwrap(), EVENTS);
     assert_eq!(sends, 2);
   } else {
     // The caller sees that the stream is incomplete.
-    assert!(asked.body.is_err());
+    assert!(response.body.is_err());
     assert_eq!(sends, 1);
   }
 }
@@ -132,8 +132,8 @@
   let test = GatewayTest::new().await;
   test.enter("e-3", "llm", Some("decode"), &other);
   let gateway = test.with_engines(&prefill, &one).await;
-  let asked = gateway.ask("/stream/a", "r1").await;
-  assert_eq!(asked.status, StatusCode::SERVICE_UNAVAILABLE);
+  let response = gateway.ask("/stream/a", "r1").await;
+  assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
   assert_eq!(prefill.requests().len(), 1);
   assert_eq!((one.requests().len(), other.requests().len()), (1, 1));
   gateway.test.enter("e-4", "llm", Some("decode"), &third);
@@ -152,8 +152,8 @@
   let prefill = EndpointStandIn::engine(EVENTS).await;
   let decode = EndpointStandIn::start(rejecting).await;
   let gateway = serve(&prefill, &decode).await;
-  let asked = gateway.ask("/stream/a", "r1").await;
-  assert_eq!(asked.status, StatusCode::SERVICE_UNAVAILABLE);
+  let response = gateway.ask("/stream/a", "r1").await;
+  assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
   let released =
     |endpoint: &EndpointStandIn, path: &str| endpoint.seen().iter().any(|seen| seen.path == path);
   assert!(eventually(PATIENCE, async || released(&prefill, "/kv-handle/e1")).await);
@@ -172,9 +172,9 @@
   };
   let decode = EndpointStandIn::start(silent).await;
   let gateway = serve(&prefill, &decode).await;
-  let asking = gateway.ask_in_background("/stream/a", "r1");
+  let pending = gateway.ask_in_background("/stream/a", "r1");
   assert!(eventually(PATIENCE, async || decode.requests().len() == 1).await);
-  asking.abort();
+  pending.abort();
   assert!(eventually(PATIENCE, async || decode.closed().len() == 1).await);
 }
 
@@ -183,9 +183,9 @@
   let prefill = EndpointStandIn::start(|_| Reply::Silence).await;
   let decode = EndpointStandIn::engine(EVENTS).await;
   let gateway = serve(&prefill, &decode).await;
-  let asking = gateway.ask_in_background("/stream/a", "r1");
+  let pending = gateway.ask_in_background("/stream/a", "r1");
   assert!(eventually(PATIENCE, async || prefill.requests().len() == 1).await);
-  asking.abort();
+  pending.abort();
   assert!(eventually(PATIENCE, async || prefill.closed().len() == 1).await);
   let dropped = async || {
     decode
@@ -223,7 +223,7 @@
     test.enter("e-3", "llm", Some("decode"), &full);
   }
   let gateway = test.with_engines(&prefill, &decode).await;
-  let asked = gateway.ask("/resumable/a", "r1").await;
-  assert_eq!(asked.body.unwrap(), EVENTS);
+  let response = gateway.ask("/resumable/a", "r1").await;
+  assert_eq!(response.body.unwrap(), EVENTS);
   assert_eq!(decode.requests().len(), 1);
 }
