--- a/emulator/src/places/place_box.rs
+++ b/emulator/src/places/place_box.rs
@@ -1,23 +1,23 @@
 //! A box in a replay of places.
 
 use {
-  rillford::gateway::{EndpointLimits, PermitBook, UseBook, UseBucket},
+  rillford::gateway::{EndpointLimits, PermitTable, TokenBucket, UsageTable},
   std::collections::HashSet,
 };
 
 /// A box.
 pub(super) struct PlaceBox {
   pub(super) limits: EndpointLimits,
-  pub(super) counted: PermitBook,
-  pub(super) alone: PermitBook,
+  pub(super) counted: PermitTable,
+  pub(super) alone: PermitTable,
   /// Until then the box that counts is not asked.
   pub(super) unheard_until_ms: u64,
   /// Questions that wait for an answer.
   pub(super) open: HashSet<u32>,
   /// Whether its list has the box that counts at first.
   pub(super) lists_counting: bool,
-  pub(super) even: Option<UseBucket>,
-  pub(super) sums: UseBook,
+  pub(super) even: Option<TokenBucket>,
+  pub(super) sums: UsageTable,
   /// When it was first told of the limit by the endpoint.
   pub(super) answered_ms: Option<u64>,
   pub(super) bytes: u64,
@@ -26,15 +26,15 @@
 impl Default for PlaceBox {
   fn default() -> Self {
     Self {
-      alone: PermitBook::default(),
+      alone: PermitTable::default(),
       answered_ms: None,
       bytes: 0,
-      counted: PermitBook::default(),
+      counted: PermitTable::default(),
       even: None,
       limits: EndpointLimits::default(),
       lists_counting: true,
       open: HashSet::new(),
-      sums: UseBook::default(),
+      sums: UsageTable::default(),
       unheard_until_ms: 0,
     }
   }
--- a/src/gateway/connections/accept.rs
+++ b/src/gateway/connections/accept.rs
@@ -1,7 +1,7 @@
 //! Accepts connections on the box's ports, and serves the internal ports for other boxes and tools.
 
 use {
-  crate::listener::ACCEPT_PAUSE,
+  crate::listener::ACCEPT_RETRY_DELAY,
   bytes::Bytes,
   http::{Request, Response},
   http_body_util::Full,
@@ -22,7 +22,7 @@
       Ok((stream, _)) => return stream,
       Err(error) => {
         log::warn!("E601 connection not accepted: {error}");
-        sleep(ACCEPT_PAUSE).await;
+        sleep(ACCEPT_RETRY_DELAY).await;
       }
     }
   }
--- a/src/gateway/decisions/endpoint_limits.rs
+++ b/src/gateway/decisions/endpoint_limits.rs
@@ -1,11 +1,11 @@
-//! What endpoints take of all boxes together, by their own word or while they are cold, and the permits that this box has there.
-//! Free of I/O.
+//! The request rates that endpoints accept over all boxes, advertised or while cold, and this box's permits there. Free of
+//! I/O.
 
 use {
   super::{
-    cold_endpoints::{ColdEndpoints, ColdSpan},
-    limit_book::{HeardLimit, LimitBook, LimitNews, LimitSource},
-    permit_ledger::PermitLedger,
+    advertised_limits::{AdvertisedLimit, AdvertisedLimits, LimitChange, LimitSource},
+    cold_endpoints::{ColdEndpoints, ColdPeriod},
+    local_permits::LocalPermits,
   },
   crate::{
     gateway::edge::{EndpointEntry, LimitHeader},
@@ -13,58 +13,66 @@
   },
 };
 
-/// From this figure on, in requests a second, it is no limit.
+/// A rate from here on, in requests per second, is no limit.
 const NO_LIMIT_PER_S: f64 = 1e6;
 
-/// Endpoints' words and this box's permits.
+/// The limits of endpoints, and this box's permits within them.
 #[derive(Debug, Default)]
 pub struct EndpointLimits {
-  words: LimitBook,
+  advertised: AdvertisedLimits,
   cold: ColdEndpoints,
-  permits: PermitLedger,
-  /// Whether limits decide nothing.
-  is_ignoring: bool,
+  permits: LocalPermits,
+  /// Whether limits are recorded and not enforced.
+  is_disabled: bool,
 }
 
 impl EndpointLimits {
-  /// Limits that are written down and decide nothing.
+  /// Limits that are recorded and not enforced.
   pub fn ignoring() -> Self {
     Self {
-      is_ignoring: true,
+      is_disabled: true,
       ..Self::default()
     }
   }
 
-  /// Whether any limit decides something.
-  pub fn are_heeded(&self) -> bool {
-    let has_any = !self.words.is_empty() || !self.cold.is_empty();
-    has_any && !self.is_ignoring
+  /// Whether any limit is enforced.
+  pub fn are_enforced(&self) -> bool {
+    let has_any = !self.advertised.is_empty() || !self.cold.is_empty();
+    has_any && !self.is_disabled
   }
 
-  /// The requests a second that a life of an endpoint takes of all boxes together, if any limit that is heeded is in force.
+  /// The requests per second that an incarnation of an endpoint accepts over all boxes, if an enforced limit is in force.
   pub fn per_s(&self, entry: &EndpointEntry, now_ms: u64) -> Option<f64> {
     self.in_force(entry, now_ms)?.per_s
   }
 
-  /// The same of a life that this box may not list.
+  /// The lowest rate of an incarnation that may be unlisted, whether limits are enforced or not.
   pub fn lowest_per_s(&self, id: &str, started_ms: Option<u64>, now_ms: u64) -> Option<f64> {
     self.lowest_limit(id, started_ms, now_ms)?.per_s
   }
 
-  /// The lower of the limits that are in force at a life of an endpoint: the one that it names, and what it carries while it
-  /// is cold.
-  pub fn in_force(&self, entry: &EndpointEntry, now_ms: u64) -> Option<HeardLimit> {
-    if self.is_ignoring {
+  /// The limit in force at an incarnation of an endpoint: the lower of the advertised one and the rate while it is cold.
+  pub fn in_force(&self, entry: &EndpointEntry, now_ms: u64) -> Option<AdvertisedLimit> {
+    if self.is_disabled {
       return None;
     }
     self.lowest_limit(&entry.id, entry.started_ms, now_ms)
   }
 
-  fn lowest_limit(&self, id: &str, started_ms: Option<u64>, now_ms: u64) -> Option<HeardLimit> {
-    let is_limit = |limit: &HeardLimit| limit.per_s.is_some_and(|per_s| per_s < NO_LIMIT_PER_S);
-    let named = self.words.heard_of(id, started_ms).filter(is_limit);
-    let cold = self.cold_span(id, started_ms, now_ms);
-    let cold = cold.map(HeardLimit::from);
+  fn lowest_limit(
+    &self,
+    id: &str,
+    started_ms: Option<u64>,
+    now_ms: u64,
+  ) -> Option<AdvertisedLimit> {
+    let is_limit =
+      |limit: &AdvertisedLimit| limit.per_s.is_some_and(|per_s| per_s < NO_LIMIT_PER_S);
+    let named = self
+      .advertised
+      .advertised_by(id, started_ms)
+      .filter(is_limit);
+    let cold = self.cold_period(id, started_ms, now_ms);
+    let cold = cold.map(AdvertisedLimit::from);
     [named, cold].into_iter().flatten().min_by(|one, other| {
       one
         .per_s_or_infinite()
@@ -72,85 +80,92 @@
     })
   }
 
-  /// The span in which a life of an endpoint is cold; nothing once it is warm.
-  pub fn cold_span(&self, id: &str, started_ms: Option<u64>, now_ms: u64) -> Option<ColdSpan> {
-    self.cold.span(id, started_ms, now_ms)
+  /// The period in which an incarnation of an endpoint is cold; `None` once it is warm.
+  pub fn cold_period(&self, id: &str, started_ms: Option<u64>, now_ms: u64) -> Option<ColdPeriod> {
+    self.cold.period(id, started_ms, now_ms)
   }
 
-  /// Takes over that a life of an endpoint is cold.
-  pub fn note_cold(&mut self, id: &Name, started_ms: Option<u64>, span: ColdSpan) {
-    if span.noted_ms < span.until_ms {
-      self.cold.note(id, started_ms, span);
+  /// Records that an incarnation of an endpoint is cold.
+  pub fn record_cold(&mut self, id: &Name, started_ms: Option<u64>, period: ColdPeriod) {
+    if period.recorded_ms < period.until_ms {
+      self.cold.record(id, started_ms, period);
     }
   }
 
-  /// A life's newest word, if it has named a limit.
-  pub fn heard(&self, entry: &EndpointEntry) -> Option<HeardLimit> {
-    self.words.heard(entry)
+  /// What an incarnation of an endpoint advertised last.
+  pub fn advertised(&self, entry: &EndpointEntry) -> Option<AdvertisedLimit> {
+    self.advertised.advertised(entry)
   }
 
-  /// The newest word of a life that this box may not list.
-  pub fn heard_of(&self, id: &str, started_ms: Option<u64>) -> Option<HeardLimit> {
-    self.words.heard_of(id, started_ms)
+  /// Like [`advertised`](Self::advertised), for an incarnation that may be unlisted.
+  pub fn advertised_by(&self, id: &str, started_ms: Option<u64>) -> Option<AdvertisedLimit> {
+    self.advertised.advertised_by(id, started_ms)
   }
 
-  /// How long there is no permit for this box at an endpoint; 0 when there may be one.
-  pub fn closed_for_ms(&self, entry: &EndpointEntry, now_ms: u64) -> u64 {
+  /// How long this box gets no permit at an endpoint; 0 when it may get one.
+  pub fn blocked_for_ms(&self, entry: &EndpointEntry, now_ms: u64) -> u64 {
     match self.per_s(entry, now_ms) {
-      Some(_) => self.permits.closed_for_ms(&entry.id, now_ms),
+      Some(_) => self.permits.blocked_for_ms(&entry.id, now_ms),
       None => 0,
     }
   }
 
-  /// Takes over what an answer says, to something that was sent at a time.
-  pub fn note_answer(
+  /// Applies the limit in a response to a request that was sent at `sent_ms`.
+  pub fn record_response(
     &mut self,
     entry: &EndpointEntry,
-    said: LimitHeader,
+    limit: LimitHeader,
     sent_ms: u64,
     now_ms: u64,
-  ) -> LimitNews {
-    let news = self.words.note_answer(entry, said, sent_ms, now_ms);
-    self.note_news(&entry.id, news)
+  ) -> LimitChange {
+    let change = self
+      .advertised
+      .record_response(entry, limit, sent_ms, now_ms);
+    self.apply_change(&entry.id, change)
   }
 
-  /// Takes over a word that another box heard, if it is newer.
-  pub fn note_told(&mut self, id: &Name, started_ms: Option<u64>, limit: HeardLimit) -> LimitNews {
-    let news = self.words.note_told(id, started_ms, limit);
-    self.note_news(id, news)
+  /// Applies a limit that another box reported, if it is newer.
+  pub fn record_reported(
+    &mut self,
+    id: &Name,
+    started_ms: Option<u64>,
+    limit: AdvertisedLimit,
+  ) -> LimitChange {
+    let change = self.advertised.record_reported(id, started_ms, limit);
+    self.apply_change(id, change)
   }
 
   /// This box's permits.
-  pub fn permits(&mut self) -> &mut PermitLedger {
+  pub fn permits(&mut self) -> &mut LocalPermits {
     &mut self.permits
   }
 
-  /// Forgets what no longer counts.
-  pub fn forget_old(&mut self, now_ms: u64) {
-    self.words.forget_old(now_ms);
-    self.cold.forget_old(now_ms);
-    self.permits.forget_old(now_ms);
+  /// Evicts expired limits and unused permits.
+  pub fn expire(&mut self, now_ms: u64) {
+    self.advertised.expire(now_ms);
+    self.cold.expire(now_ms);
+    self.permits.expire(now_ms);
   }
 
-  /// The endpoints that name a limit, with it.
-  pub fn named(&self) -> impl Iterator<Item = (&Name, HeardLimit)> {
-    self.words.named()
+  /// The endpoints that advertise a limit, with it.
+  pub fn named(&self) -> impl Iterator<Item = (&Name, AdvertisedLimit)> {
+    self.advertised.named()
   }
 
-  /// What is known of permits is of the limit that has ended, or of an earlier life.
-  fn note_news(&mut self, id: &Name, news: LimitNews) -> LimitNews {
-    if matches!(news, LimitNews::Begins | LimitNews::Ends) {
-      self.permits.open(id);
+  /// Resets the permits when a limit starts or ends: they belong to the former limit or to an earlier incarnation.
+  fn apply_change(&mut self, id: &Name, change: LimitChange) -> LimitChange {
+    if matches!(change, LimitChange::Started | LimitChange::Ended) {
+      self.permits.reset(id);
     }
-    news
+    change
   }
 }
 
-impl From<ColdSpan> for HeardLimit {
-  fn from(span: ColdSpan) -> Self {
+impl From<ColdPeriod> for AdvertisedLimit {
+  fn from(period: ColdPeriod) -> Self {
     Self {
-      heard_ms: span.noted_ms,
-      per_s: Some(span.per_s),
+      received_ms: period.recorded_ms,
+      per_s: Some(period.per_s),
       source: LimitSource::Cold,
     }
   }
--- a/src/gateway/edge/endpoint_notice.rs
+++ b/src/gateway/edge/endpoint_notice.rs
@@ -1,6 +1,6 @@
 //! What an endpoint states about itself in a response.
 
-use crate::BadRetryAfter;
+use crate::InvalidRetryAfter;
 
 /// What an endpoint states about itself in one response, whatever the request was.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -40,5 +40,5 @@
   Limit(String),
   /// The Retry-After header.
   #[error("{0}")]
-  Backoff(#[from] BadRetryAfter),
+  Backoff(#[from] InvalidRetryAfter),
 }
--- a/src/gateway/edge/mod.rs
+++ b/src/gateway/edge/mod.rs
@@ -21,7 +21,7 @@
   endpoint_notice::{EndpointNotice, LimitHeader, UnreadableNotice},
   organisation::{Organisation, Organisations, UsageLimit, UsageUnit},
   platform_codec::{
-    EndpointCall, EngineReport, Export, PlatformCodec, ProxyHeaders, ReportedLoad,
+    EndpointCall, EngineReport, Export, LoadHeader, PlatformCodec, ProxyHeaders,
     ResponseAttributes, RoleChange, Stage,
   },
   prompt_segment::PromptSegment,
--- a/src/gateway/edge/platform_codec.rs
+++ b/src/gateway/edge/platform_codec.rs
@@ -52,7 +52,7 @@
 
 /// An endpoint's load, as reported with a response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct ReportedLoad {
+pub struct LoadHeader {
   /// Requests that are running.
   pub running: u32,
   /// Requests that are queued.
@@ -71,7 +71,7 @@
   /// Whether the response carries the endpoint's receipt.
   pub has_receipt: bool,
   /// The endpoint's load.
-  pub load: Option<ReportedLoad>,
+  pub load: Option<LoadHeader>,
 }
 
 /// A call that the gateway makes to an endpoint on its own behalf.
--- a/src/gateway/limits/messages.rs
+++ b/src/gateway/limits/messages.rs
@@ -5,7 +5,7 @@
     CallError, HttpClient,
     gateway::{
       connections::{message_response, read_message, send_message, status_response},
-      decisions::{UseTotals, UseVerdict},
+      decisions::{UsageTotals, UsageVerdict},
       state::Gateway,
     },
     ids::Name,
@@ -42,7 +42,7 @@
   /// The organisations that are short, each with the units that are left.
   pub(crate) short: Vec<(Name, f64)>,
   /// What becomes of the request that was asked for.
-  pub(crate) verdict: Option<UseVerdict>,
+  pub(crate) verdict: Option<UsageVerdict>,
 }
 
 /// Tells a box that counts of use, and asks it.
@@ -60,7 +60,7 @@
 pub(super) async fn tell_totals(
   http: &HttpClient,
   address: SocketAddr,
-  totals: &UseTotals,
+  totals: &UsageTotals,
   limit: Duration,
 ) -> Result<(), CallError> {
   send_message(http, address, TOTALS_PATH, totals, limit)
@@ -78,15 +78,15 @@
   };
   let now_ms = gateway.now_ms();
   let mut book = gateway.use_book.borrow_mut();
-  book.note_follower(&report.box_name, now_ms);
+  book.record_reporter(&report.box_name, now_ms);
   for (organisation, units) in &report.used {
-    book.count(organisation, *units, now_ms);
+    book.charge(organisation, *units, now_ms);
   }
   let verdict = report
     .asks
     .map(|(organisation, units)| book.admit(&organisation, units, now_ms));
   let answer = UseAnswer {
-    short: book.short(now_ms),
+    short: book.near_limit(now_ms),
     verdict,
   };
   message_response(&answer)
@@ -97,7 +97,7 @@
   gateway: &Gateway,
   request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-  let Some(totals) = read::<UseTotals>(request).await else {
+  let Some(totals) = read::<UsageTotals>(request).await else {
     return status_response(StatusCode::BAD_REQUEST);
   };
   let now_ms = gateway.now_ms();
@@ -106,7 +106,7 @@
   gateway
     .use_book
     .borrow_mut()
-    .hear(&totals, uptime_ms, now_ms);
+    .merge_totals(&totals, uptime_ms, now_ms);
   status_response(StatusCode::OK)
 }
 
--- a/src/gateway/limits/telling.rs
+++ b/src/gateway/limits/telling.rs
@@ -3,7 +3,7 @@
 use {
   super::messages::{UseReport, report, tell_totals},
   crate::gateway::{
-    decisions::{ToldSpan, UseTotals},
+    decisions::{ReportScope, UsageTotals},
     state::Gateway,
   },
   futures_util::future::join_all,
@@ -30,13 +30,14 @@
   let mut turn = 0_u32;
   loop {
     sleep(PAUSE).await;
-    if gateway.use_book.borrow().is_empty() || !gateway.settings.limits.strategy.is_told() {
+    if gateway.use_book.borrow().is_empty() || !gateway.settings.limits.strategy.uses_coordinators()
+    {
       continue;
     }
     if gateway.is_counting() {
       let span = match turn % WHOLE_TURNS {
-        0 => ToldSpan::All,
-        _ => ToldSpan::Changes,
+        0 => ReportScope::All,
+        _ => ReportScope::Changed,
       };
       turn = turn.wrapping_add(1);
       tell_the_others(&gateway, span).await;
@@ -52,22 +53,22 @@
 }
 
 /// Sends this box's totals to the others that count.
-async fn tell_the_others(gateway: &Gateway, span: ToldSpan) {
+async fn tell_the_others(gateway: &Gateway, span: ReportScope) {
   let name = gateway.settings.identity.name.clone();
   let (addresses, names) = {
     let boxes = gateway.boxes.borrow();
-    (boxes.other_counting(&name), boxes.counting_names())
+    (boxes.other_coordinators(&name), boxes.coordinator_names())
   };
   let totals = {
     let mut book = gateway.use_book.borrow_mut();
-    book.set_counting(|peer| names.iter().any(|name| &**name == peer));
+    book.set_coordinators(|peer| names.iter().any(|name| &**name == peer));
     let now_ms = gateway.now_ms();
     book.set_box_count(gateway.box_count(), now_ms);
-    UseTotals {
+    UsageTotals {
       box_name: name,
-      followers: book.follower_count(now_ms),
+      reporters: book.reporter_count(now_ms),
       incarnation: gateway.incarnation,
-      totals: book.totals_to_tell(span),
+      totals: book.totals_to_report(span),
       uptime_ms: now_ms,
     }
   };
@@ -82,7 +83,7 @@
 
 /// Reports to the first box that counts and answers.
 async fn tell_one_that_counts(gateway: &Gateway) {
-  let untold = gateway.use_ledger.borrow_mut().take_untold();
+  let untold = gateway.use_ledger.borrow_mut().take_unreported();
   let message = UseReport {
     asks: None,
     box_name: gateway.settings.identity.name.clone(),
@@ -93,7 +94,10 @@
       Ok(answer) => {
         let now_ms = gateway.now_ms();
         gateway.counting_box.set(Some(address));
-        gateway.use_ledger.borrow_mut().heard(answer.short, now_ms);
+        gateway
+          .use_ledger
+          .borrow_mut()
+          .record_near_limit(answer.short, now_ms);
         return;
       }
       Err(error) => log::debug!("use not told to {address}: {error}"),
@@ -101,15 +105,15 @@
   }
   // It may have been counted all the same; counted twice it is on the safe side of the limit.
   let mut ledger = gateway.use_ledger.borrow_mut();
-  ledger.untell(message.used);
-  ledger.note_unreached();
+  ledger.restore_unreported(message.used);
+  ledger.record_unreachable();
 }
 
 /// The boxes that count, the one that answered last before all others.
 pub(super) fn candidates(gateway: &Gateway) -> Vec<SocketAddr> {
   let identity = &gateway.settings.identity;
   let boxes = gateway.boxes.borrow();
-  let mut addresses = boxes.counting_for(&identity.name, &identity.hall);
+  let mut addresses = boxes.coordinators_for(&identity.name, &identity.hall);
   if let Some(latest) = gateway.counting_box.get()
     && let Some(at) = addresses.iter().position(|address| *address == latest)
   {
--- a/src/gateway/membership/store_sync.rs
+++ b/src/gateway/membership/store_sync.rs
@@ -9,7 +9,7 @@
   crate::{
     CallError, HttpClient,
     gateway::{
-      decisions::retry_pause_ms,
+      decisions::store_retry_delay_ms,
       edge::{Store, StoreChanges, StoreItem},
       state::Gateway,
     },
@@ -122,8 +122,8 @@
     let pause_ms = match ended {
       WatchEnd::HistoryLost => (LISTING_MS_PER_BOX * boxes as f64 * draw) as u64,
       // The others wait for the readers, of which there are few.
-      WatchEnd::CallFailed if is_reader => retry_pause_ms(1, self.contact_ms(), draw),
-      WatchEnd::CallFailed => retry_pause_ms(boxes, self.contact_ms(), draw),
+      WatchEnd::CallFailed if is_reader => store_retry_delay_ms(1, self.contact_ms(), draw),
+      WatchEnd::CallFailed => store_retry_delay_ms(boxes, self.contact_ms(), draw),
     };
     sleep(Duration::from_millis(pause_ms)).await;
   }
@@ -248,7 +248,7 @@
       .gateway
       .book
       .borrow_mut()
-      .forget_lapsed(self.gateway.now_ms());
+      .remove_lapsed(self.gateway.now_ms());
   }
 
   /// Goes on from what is known with another box's help, when the store can't be listed.
@@ -269,7 +269,7 @@
       .gateway
       .boxes
       .borrow()
-      .helpers_for(&identity.name, &identity.hall);
+      .fallback_readers_for(&identity.name, &identity.hall);
     let at_once = helpers.len().min(MOST_HELPERS);
     let mut asked: FuturesUnordered<_> = (0..at_once)
       .map(|number| helpers[(self.helper_turn + number) % helpers.len()])
@@ -320,7 +320,7 @@
   fn read_directly(&mut self) {
     self.failed_readers = 0;
     let boxes = self.gateway.boxes.borrow();
-    if boxes.is_asked(&self.gateway.settings.identity.name) {
+    if boxes.is_fallback_reader(&self.gateway.settings.identity.name) {
       self.direct_until_ms = self.gateway.now_ms() + DIRECT_MS;
     }
   }
@@ -331,7 +331,7 @@
       let boxes = self.gateway.boxes.borrow();
       (
         boxes.is_large(),
-        boxes.is_asked(&self.gateway.settings.identity.name),
+        boxes.is_fallback_reader(&self.gateway.settings.identity.name),
       )
     };
     let wait = if is_large {
--- a/src/gateway/membership/store_view.rs
+++ b/src/gateway/membership/store_view.rs
@@ -4,7 +4,7 @@
   super::listing::Listing,
   crate::{
     gateway::{
-      decisions::{HallDrainNews, QuarantineKey, QuarantineWay},
+      decisions::{HallDrainChange, QuarantineKey, QuarantineStrategy},
       edge::{RouteTable, StoreError, StoreItem, StoreKey},
       quarantine::mark_age_ms,
       state::Gateway,
@@ -47,7 +47,11 @@
       log::info!("E401 store regained: silent since {before:?} ms, now {now_ms} ms");
     }
     if self.failing || away || before.is_none() {
-      self.gateway.book.borrow_mut().set_store_since(Some(now_ms));
+      self
+        .gateway
+        .book
+        .borrow_mut()
+        .set_store_connected_since(Some(now_ms));
     }
     self.failing = false;
   }
@@ -57,7 +61,11 @@
     if !self.failing {
       log::warn!("E402 store lost: {step}: {error}");
     }
-    self.gateway.book.borrow_mut().set_store_since(None);
+    self
+      .gateway
+      .book
+      .borrow_mut()
+      .set_store_connected_since(None);
     self.failing = true;
   }
 
@@ -110,7 +118,7 @@
 
   /// What this box knows of requests that end endpoints and the store no longer does; what it has still to write is not missing.
   fn quarantine_missing_from(&self, listing: &Listing) -> Vec<Name> {
-    if self.gateway.settings.quarantine.strategy != QuarantineWay::Shared {
+    if self.gateway.settings.quarantine.strategy != QuarantineStrategy::Shared {
       return Vec::new();
     }
     let quarantine = &self.gateway.quarantine;
@@ -133,10 +141,10 @@
     let mut book = self.gateway.quarantine.book.borrow_mut();
     match value.map(mark_age_ms) {
       Some(Some(age_ms)) => {
-        book.note(key, self.gateway.now_ms().saturating_sub(age_ms));
+        book.record(key, self.gateway.now_ms().saturating_sub(age_ms));
       }
       Some(None) => log::warn!("E405 value of mark {text} can't be read"),
-      None => book.forget(key),
+      None => book.remove(key),
     }
   }
 
@@ -146,13 +154,13 @@
       .book
       .borrow_mut()
       .drained_halls_mut()
-      .note(hall, is_drained, revision);
+      .record(hall, is_drained, revision);
     match news {
-      HallDrainNews::Nothing => {}
-      HallDrainNews::Begins => {
+      HallDrainChange::Unchanged => {}
+      HallDrainChange::Started => {
         log::info!("E412 hall drained: {hall} is sent nothing new, revision {revision}");
       }
-      HallDrainNews::Ends => {
+      HallDrainChange::Ended => {
         log::info!("E413 drain ended: {hall}, revision {revision}");
         self.gateway.note_hall_cold(hall);
       }
@@ -209,7 +217,7 @@
     let now_ms = self.gateway.now_ms();
     let mut book = self.gateway.book.borrow_mut();
     if now_ms < self.lapse_until_ms {
-      book.lapse(id, self.lapse_until_ms);
+      book.mark_lapsed(id, self.lapse_until_ms);
     } else {
       book.remove(id);
       self.gateway.pool.close(id);
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,6 +1,6 @@
 //! A gateway box: routes requests by host and path to endpoints, which come and go.
 //!
-//! `requests` reads a request, finds its [`Route`] and chooses endpoints from the [`EndpointBook`] within the retry budget
+//! `requests` reads a request, finds its [`Route`] and chooses endpoints from the [`EndpointRegistry`] within the retry budget
 //! ([`RetryWindow`]); `stages` sends it over `connections`; the response is forwarded unchanged. `membership` keeps routes and
 //! endpoints in sync with the store. The platform is accessed through [`PlatformCodec`] and [`Store`] only.
 //!
@@ -27,20 +27,22 @@
 pub use self::{
   connections::remove_connection_headers,
   decisions::{
-    ALONE_BOXES, AllowedHalls, Availability, BoxEntry, BoxList, Choice, ColdEndpoints, ColdSpan,
-    DrainedHalls, EndpointBook, EndpointCounts, EndpointLife, EndpointLimits, Fingerprint,
-    HallDrainNews, HeardLimit, KeptPrompts, LimitBook, LimitNews, LimitSource, LimitWay,
-    LocalPermit, LocalVerdict, NoticeBook, NoticeNews, PartEnd, PermitAccount, PermitBook,
-    PermitLedger, PermitRequest, PermitVerdict, QuarantineBook, QuarantineKey, QuarantineMark,
-    QuarantineVerdict, QuarantineWay, RecentEngines, RequestIdentity, RetryAllowance, RetryWindow,
-    SeatForecast, SeatPlace, SeatQueue, SeatUrgency, Surplus, ToldSpan, Unavailable, UseBook,
-    UseBucket, UseLedger, UseRequest, UseTotals, UseVerdict, Wanted, counted_limit, endpoint_order,
-    kept_pause_ms, lone_limit, retry_after_pause_ms, retry_pause_ms, staying_engines, surplus,
+    AdvertisedLimit, AdvertisedLimits, AllowedHalls, AttemptOutcome, Availability, BoxEntry,
+    BoxList, CachedPrompts, Choice, ColdEndpoints, ColdPeriod, DrainedHalls, EndpointCounts,
+    EndpointCriteria, EndpointIncarnation, EndpointLimits, EndpointRegistry, Fingerprint,
+    HallDrainChange, ISOLATED_BOXES, LimitChange, LimitSource, LimitStrategy, LocalPermitVerdict,
+    LocalPermits, LocalUsage, LocalVerdict, NoticeChange, NoticeTracker, PermitAccount,
+    PermitRequest, PermitTable, PermitVerdict, QuarantineKey, QuarantineMark, QuarantineRegistry,
+    QuarantineStrategy, QuarantineVerdict, QueuePosition, RecentEngines, ReportScope,
+    RequestIdentity, RetryAllowance, RetryWindow, RolePlan, SlotForecast, SlotQueue, SlotUrgency,
+    TokenBucket, Unavailable, UsageRequest, UsageTable, UsageTotals, UsageVerdict,
+    coordinator_limit, coordinator_order, isolated_limit, jittered_backoff_ms, plan_roles,
+    retry_after_backoff_ms, stable_engines, store_retry_delay_ms,
   },
   edge::{
     CallerAttributes, CallerLimits, ColdStart, DecodeError, EndpointCall, EndpointEntry,
-    EndpointNotice, EngineReport, EngineSpec, Export, LimitHeader, Organisation, Organisations,
-    PlatformCodec, PromptSegment, ProxyHeaders, ReadConsistency, RegionSet, ReportedLoad,
+    EndpointNotice, EngineReport, EngineSpec, Export, LimitHeader, LoadHeader, Organisation,
+    Organisations, PlatformCodec, PromptSegment, ProxyHeaders, ReadConsistency, RegionSet,
     ResponseAttributes, RoleChange, RoleLeadership, Route, RouteKind, RouteTable, ServiceSpec,
     Stage, Store, StoreChanges, StoreError, StoreItem, StoreKey, StoreLease, StorePage,
     UnreadableNotice, UsageLimit, UsageUnit, WeightedService,
--- a/src/gateway/permits/messages.rs
+++ b/src/gateway/permits/messages.rs
@@ -6,7 +6,9 @@
     CallError, HttpClient,
     gateway::{
       connections::{message_response, read_message, send_message, status_response},
-      decisions::{EndpointLife, PermitRequest, PermitVerdict, counted_limit, endpoint_order},
+      decisions::{
+        EndpointIncarnation, PermitRequest, PermitVerdict, coordinator_limit, coordinator_order,
+      },
       state::Gateway,
     },
     ids::Name,
@@ -77,7 +79,7 @@
 /// Whether this box is the one that counts an endpoint's requests.
 fn counts_for(gateway: &Gateway, question: &PermitQuestion) -> bool {
   let boxes = gateway.boxes.borrow();
-  let order = endpoint_order(&boxes, &question.endpoint, &question.hall, 1);
+  let order = coordinator_order(&boxes, &question.endpoint, &question.hall, 1);
   let is_first = order
     .first()
     .is_some_and(|(name, _)| *name == gateway.settings.identity.name);
@@ -93,9 +95,9 @@
   let mut book = gateway.book.borrow_mut();
   if let Some(cold) = question.cold {
     let limits = book.limits_mut();
-    limits.note_cold(id, started_ms, cold.span(now_ms));
+    limits.record_cold(id, started_ms, cold.span(now_ms));
   }
-  let named = book.limits().heard_of(id, started_ms);
+  let named = book.limits().advertised_by(id, started_ms);
   let per_s = book.limits().lowest_per_s(id, started_ms, now_ms);
   drop(book);
   let permit_request = PermitRequest {
@@ -108,7 +110,7 @@
     told: named.map(|named| ToldLimit::new(named, now_ms)),
     verdict: give_out(
       gateway,
-      EndpointLife::of(id, started_ms),
+      EndpointIncarnation::of(id, started_ms),
       per_s,
       &permit_request,
     ),
@@ -118,22 +120,22 @@
 /// Gives out permits as the box that counts; without a limit as many as are wanted.
 pub(super) fn give_out(
   gateway: &Gateway,
-  life: EndpointLife,
+  life: EndpointIncarnation,
   per_s: Option<f64>,
   permit_request: &PermitRequest,
 ) -> PermitVerdict {
   let Some(per_s) = per_s else {
     return PermitVerdict::Granted(permit_request.permits);
   };
-  let verdict = gateway.permit_book.borrow_mut().ask(
+  let verdict = gateway.permit_book.borrow_mut().request(
     life,
-    counted_limit(per_s),
+    coordinator_limit(per_s),
     permit_request,
     gateway.now_ms(),
   );
   match verdict {
     PermitVerdict::Granted(permits) => gateway.counters.permits_granted.add(permits.into()),
-    PermitVerdict::Refused { .. } => gateway.counters.permits_refused.inc(),
+    PermitVerdict::Rejected { .. } => gateway.counters.permits_refused.inc(),
   }
   verdict
 }
--- a/src/gateway/permits/taking.rs
+++ b/src/gateway/permits/taking.rs
@@ -9,8 +9,8 @@
   crate::{
     gateway::{
       decisions::{
-        ALONE_BOXES, EndpointLife, HeardLimit, LocalPermit, PermitRequest, PermitVerdict,
-        Unavailable, endpoint_order, lone_limit,
+        AdvertisedLimit, EndpointIncarnation, ISOLATED_BOXES, LocalPermitVerdict, PermitRequest,
+        PermitVerdict, Unavailable, coordinator_order, isolated_limit,
       },
       edge::EndpointEntry,
       state::Gateway,
@@ -80,14 +80,14 @@
     .borrow_mut()
     .limits_mut()
     .permits()
-    .take(&entry.id, now_ms);
+    .acquire(&entry.id, now_ms);
   let permit_request = match local {
-    LocalPermit::Granted => {
+    LocalPermitVerdict::Granted => {
       gateway.counters.permits_taken.inc();
       return Ok(Permit::Taken);
     }
-    LocalPermit::Refused { wait_ms } => return Err(no_permit(gateway, wait_ms)),
-    LocalPermit::Ask { permits, unused } => PermitRequest {
+    LocalPermitVerdict::Rejected { wait_ms } => return Err(no_permit(gateway, wait_ms)),
+    LocalPermitVerdict::Ask { permits, unused } => PermitRequest {
       box_name: gateway.settings.identity.name.clone(),
       permits,
       priority: caller.priority,
@@ -105,13 +105,13 @@
     .borrow_mut()
     .limits_mut()
     .permits()
-    .note_verdict(&entry.id, verdict, now_ms);
+    .record_verdict(&entry.id, verdict, now_ms);
   match verdict {
     PermitVerdict::Granted(_) => {
       gateway.counters.permits_taken.inc();
       Ok(Permit::Taken)
     }
-    PermitVerdict::Refused { wait_ms } => Err(no_permit(gateway, wait_ms)),
+    PermitVerdict::Rejected { wait_ms } => Err(no_permit(gateway, wait_ms)),
   }
 }
 
@@ -119,11 +119,11 @@
 pub(crate) fn return_permit(gateway: &Gateway, entry: &EndpointEntry) {
   let now_ms = gateway.now_ms();
   let mut book = gateway.book.borrow_mut();
-  book.limits_mut().permits().give_back(&entry.id, now_ms);
+  book.limits_mut().permits().return_unused(&entry.id, now_ms);
 }
 
 /// The limit that is in force at an endpoint.
-fn limit_at(gateway: &Gateway, entry: &EndpointEntry) -> Option<HeardLimit> {
+fn limit_at(gateway: &Gateway, entry: &EndpointEntry) -> Option<AdvertisedLimit> {
   let now_ms = gateway.now_ms();
   gateway.book.borrow().limits().in_force(entry, now_ms)
 }
@@ -132,15 +132,15 @@
 async fn decide(
   gateway: &Gateway,
   entry: &EndpointEntry,
-  heard: HeardLimit,
+  heard: AdvertisedLimit,
   permit_request: &PermitRequest,
 ) -> (PermitVerdict, DecidedBy) {
-  let life = EndpointLife::of(&entry.id, entry.started_ms);
-  let order = endpoint_order(
+  let life = EndpointIncarnation::of(&entry.id, entry.started_ms);
+  let order = coordinator_order(
     &gateway.boxes.borrow(),
     &entry.id,
     &entry.hall,
-    1 + ALONE_BOXES,
+    1 + ISOLATED_BOXES,
   );
   let own_name = &gateway.settings.identity.name;
   if let Some((name, address)) = order.first() {
@@ -179,8 +179,8 @@
     let book = gateway.book.borrow();
     let limits = book.limits();
     (
-      limits.heard(entry),
-      limits.cold_span(&entry.id, entry.started_ms, now_ms),
+      limits.advertised(entry),
+      limits.cold_period(&entry.id, entry.started_ms, now_ms),
     )
   };
   let question = PermitQuestion {
@@ -201,7 +201,7 @@
       if let Some(told) = answer.told {
         let mut book = gateway.book.borrow_mut();
         let limits = book.limits_mut();
-        limits.note_told(&entry.id, entry.started_ms, told.heard(now_ms));
+        limits.record_reported(&entry.id, entry.started_ms, told.heard(now_ms));
       }
       Some(answer)
     }
@@ -220,15 +220,15 @@
 /// knows how many they are.
 fn decide_alone(
   gateway: &Gateway,
-  life: EndpointLife,
-  heard: HeardLimit,
+  life: EndpointIncarnation,
+  heard: AdvertisedLimit,
   permit_request: &PermitRequest,
   order: &[(Name, SocketAddr)],
 ) -> PermitVerdict {
   let own_name = &gateway.settings.identity.name;
   let goes_on = order.iter().skip(1).any(|(name, _)| name == own_name) || order.is_empty();
   let Some(per_s) = heard.per_s.filter(|_| goes_on) else {
-    return PermitVerdict::Refused {
+    return PermitVerdict::Rejected {
       wait_ms: NOT_ALONE_WAIT_MS,
     };
   };
@@ -237,15 +237,19 @@
     unused: 0,
     ..permit_request.clone()
   };
-  gateway
-    .lone_permits
-    .borrow_mut()
-    .ask(life, lone_limit(per_s), &permit_request, gateway.now_ms())
+  gateway.lone_permits.borrow_mut().request(
+    life,
+    isolated_limit(per_s),
+    &permit_request,
+    gateway.now_ms(),
+  )
 }
 
 fn no_permit(gateway: &Gateway, left_ms: u64) -> Unavailable {
   gateway.counters.without_permit.inc();
-  Unavailable::NoPermit { left_ms }
+  Unavailable::NoPermit {
+    remaining_ms: left_ms,
+  }
 }
 
 /// Says why a request goes to an endpoint, or not: which figure, who heard it, how old it is, who decided.
@@ -253,14 +257,14 @@
   gateway: &Gateway,
   entry: &EndpointEntry,
   caller: PermitCaller,
-  heard: HeardLimit,
+  heard: AdvertisedLimit,
   verdict: PermitVerdict,
   decided_by: DecidedBy,
 ) {
   let PermitCaller { request, priority } = caller;
-  let HeardLimit { per_s, source, .. } = heard;
+  let AdvertisedLimit { per_s, source, .. } = heard;
   let per_s = per_s.unwrap_or_default();
-  let age_ms = gateway.now_ms().saturating_sub(heard.heard_ms);
+  let age_ms = gateway.now_ms().saturating_sub(heard.received_ms);
   let id = &entry.id;
   let limit = format!("limit {per_s} heard by {source:?} {age_ms} ms ago, decided by {decided_by}");
   match verdict {
@@ -269,7 +273,7 @@
         "E544 permit: {request} (priority {priority}) at {id}, {permits} permits, {limit}"
       );
     }
-    PermitVerdict::Refused { wait_ms } => {
+    PermitVerdict::Rejected { wait_ms } => {
       log::info!(
         "E543 no permit: {request} (priority {priority}) at {id} for {wait_ms} ms, {limit}"
       );
--- a/src/gateway/permits/telling.rs
+++ b/src/gateway/permits/telling.rs
@@ -5,7 +5,7 @@
   crate::{
     gateway::{
       connections::{read_message, send_message, status_response},
-      decisions::{HeardLimit, LimitNews},
+      decisions::{AdvertisedLimit, LimitChange},
       state::Gateway,
     },
     ids::Name,
@@ -42,14 +42,17 @@
     .book
     .borrow()
     .limits()
-    .heard_of(endpoint, started_ms);
+    .advertised_by(endpoint, started_ms);
   let Some(heard) = heard else {
     return;
   };
   let own_name = &gateway.settings.identity.name;
   let (all, own_hall) = {
     let boxes = gateway.boxes.borrow();
-    (boxes.other_counting(own_name), boxes.told_on_by(own_name))
+    (
+      boxes.other_coordinators(own_name),
+      boxes.forwarded_by(own_name),
+    )
   };
   let message = LimitMessage {
     started_ms,
@@ -106,10 +109,11 @@
     ..
   } = &message;
   let told = message.told.heard(now_ms);
-  if note_told(gateway, endpoint, *started_ms, told) == LimitNews::Begins && !message.is_told_on {
+  if note_told(gateway, endpoint, *started_ms, told) == LimitChange::Started && !message.is_told_on
+  {
     let addresses = {
       let boxes = gateway.boxes.borrow();
-      boxes.told_on_by(&gateway.settings.identity.name)
+      boxes.forwarded_by(&gateway.settings.identity.name)
     };
     let told = ToldLimit::new(told, now_ms);
     tell_on(gateway, addresses, LimitMessage { told, ..message });
@@ -121,15 +125,17 @@
   gateway: &Gateway,
   endpoint: &Name,
   started_ms: Option<u64>,
-  told: HeardLimit,
-) -> LimitNews {
+  told: AdvertisedLimit,
+) -> LimitChange {
   let mut book = gateway.book.borrow_mut();
-  let news = book.limits_mut().note_told(endpoint, started_ms, told);
-  if news == LimitNews::Begins {
+  let news = book
+    .limits_mut()
+    .record_reported(endpoint, started_ms, told);
+  if news == LimitChange::Started {
     log::info!(
       "E540 names a limit: {endpoint} born {started_ms:?} takes {} requests a second of all boxes, as another box heard {} ms ago",
       told.per_s.unwrap_or_default(),
-      gateway.now_ms().saturating_sub(told.heard_ms)
+      gateway.now_ms().saturating_sub(told.received_ms)
     );
   }
   news
--- a/src/gateway/process/start.rs
+++ b/src/gateway/process/start.rs
@@ -183,16 +183,16 @@
     sleep(CLEANUP_INTERVAL).await;
     let now_ms = gateway.now_ms();
     gateway.pool.close_expired(now_ms);
-    gateway.book.borrow_mut().forget_lapsed(now_ms);
+    gateway.book.borrow_mut().remove_lapsed(now_ms);
     expire_notices(&gateway, now_ms);
-    gateway.permit_book.borrow_mut().forget_old(now_ms);
-    gateway.lone_permits.borrow_mut().forget_old(now_ms);
+    gateway.permit_book.borrow_mut().expire(now_ms);
+    gateway.lone_permits.borrow_mut().expire(now_ms);
   }
 }
 
 /// Removes endpoints' notices that no longer apply.
 fn expire_notices(gateway: &Gateway, now_ms: u64) {
-  let contradicted = gateway.book.borrow_mut().forget_notices(now_ms);
+  let contradicted = gateway.book.borrow_mut().expire_notices(now_ms);
   for endpoint in contradicted {
     log::warn!(
       "E539 shutdown notice dropped: {endpoint} signalled a shutdown, but is still listed in the store"
--- a/src/gateway/quarantine/sharing.rs
+++ b/src/gateway/quarantine/sharing.rs
@@ -6,7 +6,7 @@
   super::messages::tell_marks,
   crate::{
     gateway::{
-      decisions::{QuarantineKey, retry_pause_ms},
+      decisions::{QuarantineKey, store_retry_delay_ms},
       edge::{MAX_CHANGED_KEYS, Store, StoreError},
       state::{Gateway, MarkOrigin, TrialClaim},
     },
@@ -46,7 +46,7 @@
     }
     let boxes = sharing.gateway.box_count();
     let contact_ms = sharing.gateway.settings.bounds.contact_ms;
-    let pause_ms = retry_pause_ms(boxes, contact_ms, sharing.gateway.draw());
+    let pause_ms = store_retry_delay_ms(boxes, contact_ms, sharing.gateway.draw());
     sleep(Duration::from_millis(pause_ms)).await;
   }
 }
@@ -67,7 +67,7 @@
   loop {
     sleep(FORGET_PAUSE).await;
     let now_ms = gateway.now_ms();
-    let old = gateway.quarantine.book.borrow_mut().forget_old(now_ms);
+    let old = gateway.quarantine.book.borrow_mut().expire(now_ms);
     let is_first = {
       let boxes = gateway.boxes.borrow();
       boxes.names().first() == Some(&gateway.settings.identity.name)
@@ -169,7 +169,7 @@
       .gateway
       .boxes
       .borrow()
-      .helpers_for(&identity.name, &identity.hall);
+      .fallback_readers_for(&identity.name, &identity.hall);
     for address in helpers.into_iter().take(MOST_TOLD) {
       match tell_marks(&self.gateway.box_calls, address, &own).await {
         Ok(()) => return own,
--- a/src/gateway/requests/authentication.rs
+++ b/src/gateway/requests/authentication.rs
@@ -48,9 +48,9 @@
 ) -> Result<Option<Rc<Organisation>>, AuthError> {
   match key {
     BearerKey::Absent if route.allows_anonymous => Ok(None),
-    BearerKey::Absent | BearerKey::Unreadable => Err(AuthError::NoKey),
-    BearerKey::Several => Err(AuthError::SeveralKeys),
-    BearerKey::Given(key) => match organisations.holder(key) {
+    BearerKey::Absent | BearerKey::Malformed => Err(AuthError::NoKey),
+    BearerKey::Ambiguous => Err(AuthError::SeveralKeys),
+    BearerKey::Present(key) => match organisations.holder(key) {
       Some(organisation) => Ok(Some(organisation.clone())),
       None => Err(AuthError::UnknownKey),
     },
--- a/src/gateway/requests/event_relay.rs
+++ b/src/gateway/requests/event_relay.rs
@@ -8,7 +8,7 @@
     stream_send::SILENCE_MS,
   },
   crate::gateway::{
-    decisions::PartEnd,
+    decisions::AttemptOutcome,
     quarantine::{LostPart, note_lost, note_whole},
     stages::{ResponseHead, RoutedRequest, StageError},
     state::InFlight,
@@ -184,7 +184,7 @@
     );
     note_whole(&gateway, &self.stream.request, RoutedRequest::fingerprint);
     let took_ms = gateway.now_ms() - self.stream.request.arrived_ms;
-    gateway.seat_forecast.borrow_mut().note_stream(took_ms);
+    gateway.seat_forecast.borrow_mut().record_stream(took_ms);
     if let Some(mut head) = self.head.take() {
       head.load_guard.answered();
       gateway.rest(head.connection, &head.raw_headers);
@@ -202,7 +202,7 @@
       self.stream.last_event_id
     );
     if let Some(mut head) = self.head.take() {
-      head.load_guard.settle(PartEnd::Lost);
+      head.load_guard.settle(AttemptOutcome::Lost);
       let lost = LostPart {
         entry: head.entry.clone(),
         error: error.clone(),
--- a/src/gateway/requests/prefill.rs
+++ b/src/gateway/requests/prefill.rs
@@ -4,7 +4,7 @@
   crate::{
     decide::Role,
     gateway::{
-      decisions::{Choice, Wanted},
+      decisions::{Choice, EndpointCriteria},
       edge::{EndpointEntry, Stage},
       quarantine::{LostPart, note_lost, note_whole},
       stages::{ExportGuard, OutgoingStage, RoutedRequest, StageError, send_stage},
@@ -54,10 +54,10 @@
   }
   let mut tried = Vec::new();
   for _ in 0..MAX_UNREACHABLE {
-    let choice = gateway.choose(Wanted {
+    let choice = gateway.choose(EndpointCriteria {
       allowed_halls: &request.allowed_halls,
       hall,
-      may_retry: true,
+      is_retryable: true,
       role: Some(Role::Prefill),
       service: &request.service,
       size: request.attributes.prompt_tokens.max(1),
@@ -69,7 +69,7 @@
     }
     let entry = choice.entry;
     let sent_ms = gateway.now_ms();
-    match prefill_at(gateway, request, &entry, choice.ahead).await {
+    match prefill_at(gateway, request, &entry, choice.queued_ahead).await {
       Ok(handle) => {
         note_whole(gateway, request, RoutedRequest::prefill_fingerprint);
         let ttl_ms = export_ttl_ms(gateway, request);
@@ -111,7 +111,7 @@
   if !gateway.settings.mechanisms.prefill_bypass {
     return false;
   }
-  if gateway.draw() >= choice.share_beyond(max_ms) {
+  if gateway.draw() >= choice.share_over(max_ms) {
     return false;
   }
   log::info!(
--- a/src/gateway/requests/slot.rs
+++ b/src/gateway/requests/slot.rs
@@ -4,7 +4,7 @@
   crate::{
     decide::Role,
     gateway::{
-      decisions::{PartEnd, SeatPlace, SeatUrgency, Wanted},
+      decisions::{AttemptOutcome, EndpointCriteria, QueuePosition, SlotUrgency},
       edge::EndpointEntry,
       permits::{Permit, return_permit, take_permit},
       stages::{EngineCallError, LoadGuard, Purpose, Reservation, RoutedRequest, call_engine},
@@ -32,7 +32,7 @@
 /// How long a request waits for a slot, and with which urgency.
 #[derive(Clone, Copy, Debug)]
 struct SlotWait {
-  urgency: SeatUrgency,
+  urgency: SlotUrgency,
   until_ms: u64,
 }
 
@@ -69,10 +69,10 @@
 fn has_chance(
   gateway: &Gateway,
   request: &RoutedRequest,
-  urgency: SeatUrgency,
+  urgency: SlotUrgency,
   wait_ms: u64,
 ) -> bool {
-  if urgency == SeatUrgency::GoesOn || !gateway.settings.mechanisms.rejection_by_forecast {
+  if urgency == SlotUrgency::Resumed || !gateway.settings.mechanisms.rejection_by_forecast {
     return true;
   }
   let ahead = gateway.seat_queue.borrow().len();
@@ -92,7 +92,7 @@
   if !tried.is_empty() || request.attributes.last_event_id.is_some() {
     return SlotWait {
       until_ms: gateway.now_ms() + RESUME_TIMEOUT_MS,
-      urgency: SeatUrgency::GoesOn,
+      urgency: SlotUrgency::Resumed,
     };
   }
   let target_ms = request.rank.target_ms as f64;
@@ -104,18 +104,18 @@
   let wait_ms = timely_wait_ms.max(target_ms * MIN_WAIT_SHARE) as u64;
   SlotWait {
     until_ms: (request.arrived_ms + wait_ms).min(request.deadline_ms),
-    urgency: SeatUrgency::Begins,
+    urgency: SlotUrgency::New,
   }
 }
 
 /// A request's entry in the slot queue, removed on drop.
 struct QueuedRequest<'a> {
   gateway: &'a Gateway,
-  position: SeatPlace,
+  position: QueuePosition,
 }
 
 impl<'a> QueuedRequest<'a> {
-  fn new(gateway: &'a Gateway, urgency: SeatUrgency, priority: u8) -> Self {
+  fn new(gateway: &'a Gateway, urgency: SlotUrgency, priority: u8) -> Self {
     let position = gateway.seat_queue.borrow_mut().join(urgency, priority);
     Self { gateway, position }
   }
@@ -128,7 +128,7 @@
       .gateway
       .seat_forecast
       .borrow_mut()
-      .note_seat(now_ms, others_wait);
+      .record_slot(now_ms, others_wait);
   }
 
   fn is_first(&self) -> bool {
@@ -141,7 +141,7 @@
     let mut queue = self.gateway.seat_queue.borrow_mut();
     queue.leave(self.position);
     if queue.is_empty() {
-      self.gateway.seat_forecast.borrow_mut().note_idle();
+      self.gateway.seat_forecast.borrow_mut().record_idle();
     }
     drop(queue);
     self.gateway.seat_queue_moved.notify_waiters();
@@ -153,7 +153,7 @@
   gateway: &Rc<Gateway>,
   request: &RoutedRequest,
   tried: &[Name],
-  urgency: SeatUrgency,
+  urgency: SlotUrgency,
 ) -> Option<(EndpointEntry, Reservation)> {
   let queued = QueuedRequest::new(gateway, urgency, request.rank.priority);
   loop {
@@ -162,10 +162,10 @@
       queue_changed.await;
       continue;
     }
-    let choice = gateway.choose(Wanted {
+    let choice = gateway.choose(EndpointCriteria {
       allowed_halls: &request.allowed_halls,
       hall: gateway.preferred_hall(),
-      may_retry: request.route.kind.may_retry(),
+      is_retryable: request.route.kind.may_retry(),
       role: Some(Role::Decode),
       service: &request.service,
       size: request.expected_tokens().max(1),
@@ -176,7 +176,7 @@
         queued.record_slot();
         return Some((choice.entry, reservation));
       }
-      None if choice.left_alone => sleep(FULL_RETRY_DELAY).await,
+      None if choice.is_backing_off => sleep(FULL_RETRY_DELAY).await,
       None => {}
     }
   }
@@ -205,7 +205,7 @@
           request.id(),
           entry.id
         );
-        load_guard.settle(PartEnd::Lost);
+        load_guard.settle(AttemptOutcome::Lost);
       }
     },
     Err(error) => {
--- a/src/gateway/requests/stream_request.rs
+++ b/src/gateway/requests/stream_request.rs
@@ -4,7 +4,7 @@
   super::{prefill::prefill, resume_slot::reserve_resume_slot, slot::reserve_slot},
   crate::{
     gateway::{
-      decisions::{PartEnd, Wanted},
+      decisions::{AttemptOutcome, EndpointCriteria},
       edge::EndpointEntry,
       stages::{ExportGuard, Reservation, ResponseHead, RoutedRequest, StageError},
       state::Gateway,
@@ -107,7 +107,7 @@
         }
         Ok(mut head) if head.status.is_server_error() && self.has_attempts_left() => {
           self.gateway.counters.endpoint_failures.inc();
-          head.load_guard.settle(PartEnd::Failed);
+          head.load_guard.settle(AttemptOutcome::Failed);
           StageError::Lost(format!("status {}", head.status))
         }
         Ok(head) => return Err(StreamFailure::NotStreamed(Box::new(head))),
@@ -161,10 +161,10 @@
 
   /// An attempt at an endpoint that runs the whole request.
   async fn attempt_full(&mut self) -> Attempt {
-    let choice = self.gateway.choose(Wanted {
+    let choice = self.gateway.choose(EndpointCriteria {
       allowed_halls: &self.request.allowed_halls,
       hall: self.gateway.preferred_hall(),
-      may_retry: self.may_retry(),
+      is_retryable: self.may_retry(),
       role: None,
       service: &self.request.service,
       size: self.request.expected_tokens().max(1),
--- a/src/gateway/requests/unary.rs
+++ b/src/gateway/requests/unary.rs
@@ -5,7 +5,7 @@
   super::response::{LocalReply, ResponseBody, forward_response, full_body},
   crate::{
     gateway::{
-      decisions::{RETRY_AFTER_FULL_MS, RETRY_AFTER_NO_ENDPOINT_MS, Wanted},
+      decisions::{EndpointCriteria, RETRY_AFTER_FULL_MS, RETRY_AFTER_NO_ENDPOINT_MS},
       edge::{EndpointEntry, ProxyHeaders, Stage},
       quarantine::{LostPart, note_lost, note_whole},
       stages::{BufferedResponse, OutgoingStage, RoutedRequest, StageError, send_stage},
@@ -186,7 +186,7 @@
   /// Records the endpoints that were sent the request but have not responded yet as slower than the one that has.
   fn mark_slower_endpoints(&self) {
     for endpoint in &self.awaited {
-      self.gateway.book.borrow_mut().outrun(endpoint);
+      self.gateway.book.borrow_mut().mark_outrun(endpoint);
     }
   }
 
@@ -204,10 +204,10 @@
 
   /// The best untried endpoint.
   fn choose(&self) -> Option<EndpointEntry> {
-    let choice = self.gateway.choose(Wanted {
+    let choice = self.gateway.choose(EndpointCriteria {
       allowed_halls: &self.request.allowed_halls,
       hall: self.gateway.preferred_hall(),
-      may_retry: self.request.route.kind.may_retry(),
+      is_retryable: self.request.route.kind.may_retry(),
       role: None,
       service: &self.request.service,
       size: 1,
--- a/src/gateway/settings/limits.rs
+++ b/src/gateway/settings/limits.rs
@@ -1,7 +1,7 @@
 //! Settings of the enforcement of organisations' limits.
 
 use {
-  crate::gateway::{decisions::LimitWay, edge::UsageLimit},
+  crate::gateway::{decisions::LimitStrategy, edge::UsageLimit},
   serde::Deserialize,
 };
 
@@ -22,7 +22,7 @@
 pub struct LimitSettings {
   /// How limits are enforced across all boxes.
   #[serde(rename = "way")]
-  pub strategy: LimitWay,
+  pub strategy: LimitStrategy,
   /// Allowed overage, as a fraction of the limit.
   pub overage: f64,
   /// Additional units of allowed overage per window.
--- a/src/gateway/stages/engine_call.rs
+++ b/src/gateway/stages/engine_call.rs
@@ -7,7 +7,7 @@
   },
   crate::{
     gateway::{
-      decisions::{PartEnd, Unavailable},
+      decisions::{AttemptOutcome, Unavailable},
       edge::{EndpointCall, EndpointEntry, Export},
       permits::{Permit, return_permit},
       state::Gateway,
@@ -50,12 +50,12 @@
 
 impl EngineCallError {
   /// The outcome to record for the engine.
-  pub(crate) fn outcome(&self) -> PartEnd {
+  pub(crate) fn outcome(&self) -> AttemptOutcome {
     match self {
-      Self::Rejected(_) => PartEnd::Full,
-      Self::TimedOut => PartEnd::Unreachable,
-      Self::Unavailable(_) => PartEnd::Dropped,
-      Self::Lost(_) => PartEnd::Lost,
+      Self::Rejected(_) => AttemptOutcome::Full,
+      Self::TimedOut => AttemptOutcome::Unreachable,
+      Self::Unavailable(_) => AttemptOutcome::Cancelled,
+      Self::Lost(_) => AttemptOutcome::Lost,
     }
   }
 }
--- a/src/gateway/stages/notice.rs
+++ b/src/gateway/stages/notice.rs
@@ -3,7 +3,7 @@
 use {
   super::purpose::Purpose,
   crate::gateway::{
-    decisions::{LimitNews, NoticeNews, kept_pause_ms},
+    decisions::{LimitChange, NoticeChange, jittered_backoff_ms},
     edge::{EndpointEntry, EndpointNotice, LimitHeader},
     permits::tell_limit,
     state::Gateway,
@@ -36,7 +36,7 @@
   }
   if purpose != Purpose::Release && !REJECTION_STATUSES.contains(&response.status) {
     let now_ms = gateway.now_ms();
-    gateway.book.borrow_mut().took_work(&entry.id, now_ms);
+    gateway.book.borrow_mut().record_accepted(&entry.id, now_ms);
   }
   log_unknown_headers(gateway, entry, response);
   let mut notice = gateway.codec.notice(response.status, &response.headers);
@@ -50,7 +50,7 @@
   let boxes = gateway.box_count();
   notice.backoff_ms = notice
     .backoff_ms
-    .map(|requested_ms| kept_pause_ms(requested_ms, boxes, gateway.draw()));
+    .map(|requested_ms| jittered_backoff_ms(requested_ms, boxes, gateway.draw()));
   let now_ms = gateway.now_ms();
   if let Some(unreadable) = &notice.unreadable
     && gateway.unreadable_lines.is_over(now_ms)
@@ -60,7 +60,7 @@
   let change = gateway
     .book
     .borrow_mut()
-    .note_notice(entry, &notice, now_ms);
+    .record_notice(entry, &notice, now_ms);
   log_change(gateway, entry, response, change, now_ms);
 }
 
@@ -95,8 +95,8 @@
   let change = gateway
     .book
     .borrow_mut()
-    .note_limit(entry, limit, sent_ms, now_ms);
-  if change == LimitNews::Begins {
+    .record_limit(entry, limit, sent_ms, now_ms);
+  if change == LimitChange::Started {
     gateway.counters.limit_notices.inc();
     if gateway.settings.mechanisms.endpoint_limits {
       tell_limit(gateway, &entry.id, entry.started_ms);
@@ -110,25 +110,25 @@
   gateway: &Gateway,
   entry: &EndpointEntry,
   response: &response::Parts,
-  change: LimitNews,
+  change: LimitChange,
   now_ms: u64,
 ) {
   let is_due = match change {
-    LimitNews::Nothing => false,
-    LimitNews::Changes(_) => gateway.limit_lines.is_over(now_ms),
-    LimitNews::Begins | LimitNews::Ends => true,
+    LimitChange::Unchanged => false,
+    LimitChange::Changed(_) => gateway.limit_lines.is_over(now_ms),
+    LimitChange::Started | LimitChange::Ended => true,
   };
   if !is_due {
     return;
   }
-  let advertised = gateway.book.borrow().limits().heard(entry);
+  let advertised = gateway.book.borrow().limits().advertised(entry);
   let per_s = advertised.and_then(|limit| limit.per_s);
   let attributes = gateway.codec.response_attributes(&response.headers);
   let request = attributes.request_id.as_deref().unwrap_or("-");
   let status = response.status.as_u16();
   let (id, started_ms) = (&entry.id, entry.started_ms);
   match (change, per_s) {
-    (LimitNews::Changes(before), Some(per_s)) => log::info!(
+    (LimitChange::Changed(before), Some(per_s)) => log::info!(
       "E540 rate limit: {id} started {started_ms:?} takes {per_s} requests per second from all boxes, {before} before, by its response {status} to {request}"
     ),
     (_, Some(per_s)) => log::info!(
@@ -145,10 +145,10 @@
   gateway: &Gateway,
   entry: &EndpointEntry,
   response: &response::Parts,
-  change: NoticeNews,
+  change: NoticeChange,
   now_ms: u64,
 ) {
-  if change == NoticeNews::default() {
+  if change == NoticeChange::default() {
     return;
   }
   let attributes = gateway.codec.response_attributes(&response.headers);
@@ -159,7 +159,7 @@
     .map(|contact_ms| now_ms - contact_ms.min(now_ms));
   let id = &entry.id;
   let status = response.status.as_u16();
-  if change.leaves {
+  if change.starts_leaving {
     gateway.counters.leaving_notices.inc();
     gateway.pool.close(id);
     log::info!(
@@ -168,7 +168,7 @@
       listed_state(gateway, id)
     );
   }
-  if let Some(until_ms) = change.pauses_until_ms {
+  if let Some(until_ms) = change.backoff_until_ms {
     gateway.counters.pause_notices.inc();
     log::info!(
       "E536 backoff requested: {id} started {:?}, by its response {status} to {request}, for {} ms",
--- a/src/gateway/stages/request.rs
+++ b/src/gateway/stages/request.rs
@@ -116,7 +116,7 @@
 
   /// Identifies the separate prefill of this request and of its retries.
   pub(crate) fn prefill_fingerprint(&self) -> Fingerprint {
-    self.fingerprint().of_reading()
+    self.fingerprint().of_prefill()
   }
 
   /// The request's id, for logs.
--- a/src/gateway/stages/send_check.rs
+++ b/src/gateway/stages/send_check.rs
@@ -3,7 +3,7 @@
 use {
   super::{request::RoutedRequest, send_mode::SendMode},
   crate::gateway::{
-    decisions::{Fingerprint, QuarantineVerdict, QuarantineWay},
+    decisions::{Fingerprint, QuarantineStrategy, QuarantineVerdict},
     edge::Stage,
     state::Gateway,
   },
@@ -50,8 +50,8 @@
 /// Whether a fingerprint is quarantined. The fingerprint is computed only when the registry has entries.
 fn is_quarantined(gateway: &Gateway, fingerprint: impl FnOnce() -> Fingerprint) -> bool {
   let book = gateway.quarantine.book.borrow();
-  if book.is_empty() || gateway.settings.quarantine.strategy == QuarantineWay::Off {
+  if book.is_empty() || gateway.settings.quarantine.strategy == QuarantineStrategy::Off {
     return false;
   }
-  book.verdict(fingerprint(), gateway.now_ms()) != QuarantineVerdict::Free
+  book.verdict(fingerprint(), gateway.now_ms()) != QuarantineVerdict::Allowed
 }
--- a/src/gateway/stages/stage.rs
+++ b/src/gateway/stages/stage.rs
@@ -9,7 +9,7 @@
   crate::{
     gateway::{
       connections::{Connection, SendError, remove_connection_headers},
-      decisions::{PartEnd, Unavailable},
+      decisions::{AttemptOutcome, Unavailable},
       edge::{EndpointEntry, ProxyHeaders, ResponseAttributes},
       permits::{Permit, return_permit, take_permit},
       state::Gateway,
@@ -92,17 +92,17 @@
   size: u64,
   units: u64,
   sent_ms: u64,
-  outcome: PartEnd,
+  outcome: AttemptOutcome,
 }
 
 impl LoadGuard {
   /// Counts work that is about to be sent.
   pub(crate) fn new(gateway: &Rc<Gateway>, endpoint: &Name, size: u64, units: u64) -> Self {
-    gateway.book.borrow_mut().sent(endpoint, size);
+    gateway.book.borrow_mut().record_send(endpoint, size);
     Self {
       endpoint: endpoint.clone(),
       gateway: gateway.clone(),
-      outcome: PartEnd::Dropped,
+      outcome: AttemptOutcome::Cancelled,
       sent_ms: gateway.now_ms(),
       size,
       units,
@@ -110,24 +110,24 @@
   }
 
   /// Sets the outcome.
-  pub(crate) fn settle(&mut self, outcome: PartEnd) {
+  pub(crate) fn settle(&mut self, outcome: AttemptOutcome) {
     self.outcome = outcome;
   }
 
   /// The response, or its first chunk, has arrived now.
   pub(crate) fn answered(&mut self) {
     let took_ms = self.gateway.now_ms() - self.sent_ms;
-    self.outcome = PartEnd::Answered { took_ms };
+    self.outcome = AttemptOutcome::Answered { took_ms };
   }
 
   fn settle_error(&mut self, error: &StageError) {
     self.outcome = match error {
-      StageError::Unreachable => PartEnd::Unreachable,
+      StageError::Unreachable => AttemptOutcome::Unreachable,
       StageError::NotRun(MISDIRECTED) | StageError::Unsent(_) | StageError::Lost(_) => {
-        PartEnd::Lost
+        AttemptOutcome::Lost
       }
-      StageError::Blocked | StageError::Unavailable(_) => PartEnd::Dropped,
-      StageError::NotRun(_) => PartEnd::Full,
+      StageError::Blocked | StageError::Unavailable(_) => AttemptOutcome::Cancelled,
+      StageError::NotRun(_) => AttemptOutcome::Full,
     };
   }
 }
@@ -177,12 +177,12 @@
     let body = match read {
       Ok(body) => body.to_bytes(),
       Err(error) => {
-        self.load_guard.settle(PartEnd::Lost);
+        self.load_guard.settle(AttemptOutcome::Lost);
         return Err(StageError::Lost(format!("response truncated: {error}")));
       }
     };
     if self.status.is_server_error() {
-      self.load_guard.settle(PartEnd::Failed);
+      self.load_guard.settle(AttemptOutcome::Failed);
     } else {
       self.load_guard.answered();
     }
@@ -353,7 +353,7 @@
   let mut book = gateway.book.borrow_mut();
   match (book.check(entry, now_ms), purpose) {
     (Ok(()), Purpose::Request | Purpose::Call) => {
-      if let Some(requested_ms) = book.sent_after_pause(&entry.id, now_ms) {
+      if let Some(requested_ms) = book.record_probe(&entry.id, now_ms) {
         log::info!(
           "E537 first request after its backoff: {}, requested {} ms ago",
           entry.id,
@@ -362,7 +362,7 @@
       }
       Ok(())
     }
-    (Err(Unavailable::Gone), _) => Err(Unavailable::Gone.into()),
+    (Err(Unavailable::Unlisted), _) => Err(Unavailable::Unlisted.into()),
     (_, Purpose::Release) => Ok(()),
     (Err(unavailable), Purpose::Request | Purpose::Call) => {
       gateway.counters.not_sent.inc();
@@ -386,7 +386,7 @@
     gateway
       .book
       .borrow_mut()
-      .told_load(&entry.id, load, gateway.now_ms());
+      .record_load(&entry.id, load, gateway.now_ms());
   }
   if attributes.not_run {
     return Err(StageError::NotRun(head.status.as_u16()));
--- a/tests/gateway/budget.rs
+++ b/tests/gateway/budget.rs
@@ -35,7 +35,7 @@
   for now_ms in (0..60_000).step_by(7) {
     let window = &mut windows[draw() as usize % boxes];
     if draw() % 3 == 0 {
-      window.note_request(now_ms);
+      window.record_request(now_ms);
       requests.push(now_ms);
     }
     if window.take(ALLOWANCE, boxes, now_ms) {
--- a/tests/gateway/relay.rs
+++ b/tests/gateway/relay.rs
@@ -8,7 +8,9 @@
   http_body_util::Full,
   rillford::{
     HttpClient,
-    gateway::{BoxEntry, BoxList, ChangeLog, StoreChanges, StoreItem, StoreKey, retry_pause_ms},
+    gateway::{
+      BoxEntry, BoxList, ChangeLog, StoreChanges, StoreItem, StoreKey, store_retry_delay_ms,
+    },
   },
   rstest::rstest,
 };
@@ -133,7 +135,7 @@
   #[case] contact_ms: u64,
 ) {
   for draw in [0.0, 0.5, 1.0] {
-    assert!(retry_pause_ms(boxes, contact_ms, draw) <= contact_ms / 2);
+    assert!(store_retry_delay_ms(boxes, contact_ms, draw) <= contact_ms / 2);
   }
 }
 
@@ -147,7 +149,7 @@
   #[case] name: &str,
   #[case] is_candidate: bool,
 ) {
-  assert_eq!(boxes(halls).is_candidate(name), is_candidate);
+  assert_eq!(boxes(halls).is_leader_candidate(name), is_candidate);
 }
 
 #[test]
@@ -172,7 +174,7 @@
   #[case] name: &str,
   #[case] is_asked: bool,
 ) {
-  assert_eq!(boxes(halls).is_asked(name), is_asked);
+  assert_eq!(boxes(halls).is_fallback_reader(name), is_asked);
 }
 
 /// What a follower gets that knows the store up to a revision.
