--- a/src/gateway/membership/mod.rs
+++ b/src/gateway/membership/mod.rs
@@ -1,7 +1,9 @@
-//! The store's side of a box: its listing and watch, this box's own entry, and the changes that boxes of a hall pass on.
+//! A box's link to the store: listing and watch, this box's own entry, and the relay of changes between boxes of a hall. In a large
+//! deployment only the store readers of each hall watch the store; the other boxes follow them, and fall back to a few further boxes
+//! when all readers fail.
 //!
-//! Imports `state` and what lies below it. Changes come in from the store or from another box, and go out to the state of
-//! this box and to the boxes that follow it.
+//! Imports `state` and the folders below it. Changes come from the store or from another box, and are applied to the state of
+//! this box and relayed to its followers.
 
 mod listing;
 mod own_entry;
@@ -10,7 +12,7 @@
 mod store_view;
 
 pub(crate) use self::{
-  own_entry::{end_entry, keep_entry},
+  own_entry::{maintain_entry, revoke_entry},
   relay::serve_boxes,
-  store_sync::follow_store,
+  store_sync::sync_store,
 };
--- a/src/gateway/permits/mod.rs
+++ b/src/gateway/permits/mod.rs
@@ -1,18 +1,19 @@
-//! Permits at endpoints that name a limit for all boxes together: a request is sent there only with one.
+//! Permits for endpoints that advertise a rate limit over all boxes: a request is sent to such an endpoint only with a permit. One box
+//! per endpoint, its coordinator, grants the permits of all boxes.
 //!
-//! Imports the folders up to `state`. What is decided stands in `decisions`: `limit_book` for what endpoints name, `permit_account`
-//! for the box that counts, `permit_ledger` for the others, `coordinator_order` for which box that is.
+//! Imports the folders up to `state`. The decisions are in `decisions`: `advertised_limits`, `permit_account` for the coordinator of an
+//! endpoint, `local_permits` for all other boxes, `coordinator_order` for the choice of the coordinator.
 
-mod cold_span_message;
-mod figures;
+mod acquisition;
+mod announcement;
+mod cold_period_message;
 mod messages;
-mod taking;
-mod telling;
-mod told_limit;
+mod metrics;
+mod relayed_limit;
 
 pub(crate) use self::{
-  figures::permit_figures,
-  messages::{PERMITS_PATH, answer_permits},
-  taking::{Permit, PermitCaller, return_permit, take_permit},
-  telling::{LIMITS_PATH, answer_limit, tell_limit},
+  acquisition::{Permit, PermitCaller, acquire_permit, return_permit},
+  announcement::{LIMITS_PATH, announce_limit, handle_limit},
+  messages::{PERMITS_PATH, handle_permits},
+  metrics::permit_metrics,
 };
--- /dev/null
+++ b/src/gateway/quarantine/crash_detection.rs
@@ -0,0 +1,189 @@
+//! Detects whether an endpoint crashed when a stage of a request was lost there, and attributes the crash to the request.
+
+use {
+  super::screening::publish,
+  crate::gateway::{
+    decisions::{
+      EndpointIncarnation, Fingerprint, QuarantineKey, QuarantineMark, QuarantineStrategy,
+    },
+    edge::EndpointEntry,
+    stages::RoutedRequest,
+    state::Gateway,
+  },
+  std::{fmt, net::SocketAddr, rc::Rc, time::Duration},
+  tokio::{
+    net::TcpStream,
+    task::spawn_local,
+    time::{sleep, timeout},
+  },
+};
+
+/// A reachable host accepts or refuses a connection within milliseconds; an unreachable one does neither.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
+/// A TCP relay accepts a connection for a terminated endpoint, and closes it at once.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(30);
+
+/// An endpoint registers as it starts, and its entry reaches a box within this time.
+const ENTRY_TIMEOUT_MS: u64 = 1_000;
+const ENTRY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// The state of an endpoint at which a stage was lost.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+enum EndpointState {
+  /// Its process terminated: connections are refused, or closed at once.
+  Terminated,
+  /// It accepts connections: only the stage was lost.
+  Alive,
+  /// It is unreachable, or it was leaving.
+  Unknown,
+}
+
+impl fmt::Display for EndpointState {
+  fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+    formatter.write_str(match self {
+      Self::Terminated => "Ended",
+      Self::Alive => "Lives",
+      Self::Unknown => "Unknown",
+    })
+  }
+}
+
+/// A stage of a request that was lost after it had been sent.
+#[derive(Clone, Debug)]
+pub(crate) struct LostStage {
+  /// The endpoint as it was when the stage was sent.
+  pub(crate) entry: EndpointEntry,
+  pub(crate) sent_ms: u64,
+  pub(crate) error: String,
+  /// The same for all attempts of the same stage.
+  pub(crate) fingerprint: Fingerprint,
+}
+
+/// Finds out whether an endpoint crashed on a stage of a request, and publishes that. Waits for the result only when this crash
+/// may quarantine the request: that has to be known before the request is sent again.
+pub(crate) async fn record_lost_stage(
+  gateway: &Rc<Gateway>,
+  request: &Rc<RoutedRequest>,
+  lost: LostStage,
+) {
+  let is_near = {
+    let registry = gateway.quarantine.registry.borrow();
+    !registry.is_empty() && registry.is_near_quarantine(lost.fingerprint)
+  };
+  // A task of its own: it completes even when the caller disconnects.
+  let examined = spawn_local(examine(gateway.clone(), request.clone(), lost));
+  if is_near && let Err(error) = examined.await {
+    log::error!("E528 lost stage not examined: {error}");
+  }
+}
+
+async fn examine(gateway: Rc<Gateway>, request: Rc<RoutedRequest>, lost: LostStage) {
+  let ran_ms = gateway.now_ms() - lost.sent_ms;
+  let state = endpoint_state(&gateway, &lost.entry).await;
+  let LostStage {
+    entry,
+    error,
+    fingerprint,
+    sent_ms,
+  } = lost;
+  log::info!(
+    "E528 stage lost: {} ({fingerprint}) at {} started {:?}, {ran_ms} ms after it was sent: {error}; endpoint {state}",
+    request.id(),
+    entry.id,
+    entry.started_ms
+  );
+  if state != EndpointState::Terminated {
+    return;
+  }
+  gateway.counters.lost_with_endpoint.inc();
+  if gateway.settings.quarantine.strategy != QuarantineStrategy::Off {
+    let incarnation = reached_incarnation(&gateway, &entry, fingerprint, sent_ms).await;
+    record_crash(&gateway, fingerprint, incarnation);
+  }
+}
+
+/// The incarnation of an endpoint that a stage reached. When the chosen one had terminated before the stage was sent, it was the
+/// next one, which may not be registered yet; its crash must not be taken for the known one.
+async fn reached_incarnation(
+  gateway: &Gateway,
+  chosen: &EndpointEntry,
+  fingerprint: Fingerprint,
+  sent_ms: u64,
+) -> EndpointIncarnation {
+  let incarnation = EndpointIncarnation::of(&chosen.id, chosen.started_ms);
+  let crashed_ms = gateway
+    .quarantine
+    .registry
+    .borrow()
+    .crashed_since_ms(fingerprint, incarnation);
+  if crashed_ms.is_none_or(|crashed_ms| sent_ms <= crashed_ms) {
+    return incarnation;
+  }
+  let until_ms = gateway.now_ms() + ENTRY_TIMEOUT_MS;
+  loop {
+    let started_ms = gateway
+      .endpoints
+      .borrow()
+      .entry(&chosen.id)
+      .and_then(|current| current.started_ms);
+    if started_ms.is_some() && started_ms != chosen.started_ms {
+      return EndpointIncarnation::of(&chosen.id, started_ms);
+    }
+    if gateway.now_ms() >= until_ms {
+      return incarnation;
+    }
+    sleep(ENTRY_POLL_INTERVAL).await;
+  }
+}
+
+/// Records that an incarnation of an endpoint crashed on a request.
+fn record_crash(gateway: &Gateway, fingerprint: Fingerprint, incarnation: EndpointIncarnation) {
+  let key = QuarantineKey {
+    fingerprint,
+    mark: QuarantineMark::Crashed(incarnation),
+  };
+  let now_ms = gateway.now_ms();
+  let mut registry = gateway.quarantine.registry.borrow_mut();
+  if !registry.record(key, now_ms) {
+    return;
+  }
+  // Most fingerprints see a single crash, which need not be published at once.
+  let is_urgent = registry.counts(key.fingerprint).0 > 1;
+  drop(registry);
+  publish(gateway, &[key], is_urgent);
+}
+
+/// Finds out whether an endpoint has terminated.
+async fn endpoint_state(gateway: &Gateway, entry: &EndpointEntry) -> EndpointState {
+  let (is_leaving, started_ms) = {
+    let endpoints = gateway.endpoints.borrow();
+    match endpoints.entry(&entry.id) {
+      Some(current) => (
+        endpoints.is_leaving(current, gateway.now_ms()),
+        current.started_ms,
+      ),
+      None => return EndpointState::Unknown,
+    }
+  };
+  if is_leaving {
+    return EndpointState::Unknown;
+  }
+  if started_ms != entry.started_ms {
+    return EndpointState::Terminated;
+  }
+  probe(entry.address).await
+}
+
+/// Opens a connection, and checks that it stays open.
+async fn probe(address: SocketAddr) -> EndpointState {
+  let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
+    Ok(Ok(stream)) => stream,
+    Ok(Err(_)) => return EndpointState::Terminated,
+    Err(_) => return EndpointState::Unknown,
+  };
+  // Nothing was sent on it, so it becomes readable only when it is closed.
+  match timeout(CLOSE_TIMEOUT, stream.readable()).await {
+    Ok(_) => EndpointState::Terminated,
+    Err(_) => EndpointState::Alive,
+  }
+}
--- a/src/gateway/requests/event_relay.rs
+++ b/src/gateway/requests/event_relay.rs
@@ -9,7 +9,7 @@
   },
   crate::gateway::{
     decisions::AttemptOutcome,
-    quarantine::{LostPart, note_lost, note_whole},
+    quarantine::{LostStage, record_lost_stage, record_success},
     stages::{ResponseHead, RoutedRequest, StageError},
     state::InFlight,
   },
@@ -98,7 +98,7 @@
     if !self.first_event_recorded {
       self.first_event_recorded = true;
       let took_ms = self.stream.gateway.now_ms() - self.stream.request.arrived_ms;
-      self.stream.gateway.counters.first_event_ms.note(took_ms);
+      self.stream.gateway.counters.first_event_ms.record(took_ms);
       log::info!(
         "E509 first event: {} after {took_ms} ms",
         self.stream.request.id()
@@ -131,7 +131,7 @@
     let Some(head) = &mut self.head else {
       return Err("no endpoint".into());
     };
-    self.stream.gateway.overdue(&head.connection.endpoint);
+    self.stream.gateway.mark_overdue(&head.connection.endpoint);
     let silent = format!("silent for {silent_ms} ms");
     if silent_ms >= remaining_ms {
       return Err(silent);
@@ -182,12 +182,12 @@
       self.stream.tried().len(),
       self.longest_pause_ms
     );
-    note_whole(&gateway, &self.stream.request, RoutedRequest::fingerprint);
+    record_success(&gateway, &self.stream.request, RoutedRequest::fingerprint);
     let took_ms = gateway.now_ms() - self.stream.request.arrived_ms;
-    gateway.seat_forecast.borrow_mut().record_stream(took_ms);
+    gateway.slot_forecast.borrow_mut().record_stream(took_ms);
     if let Some(mut head) = self.head.take() {
       head.load_guard.answered();
-      gateway.rest(head.connection, &head.raw_headers);
+      gateway.keep_alive(head.connection, &head.raw_headers);
     }
     let remaining = self.splitter.take_partial_event();
     (!remaining.is_empty()).then_some(Ok(remaining))
@@ -203,13 +203,13 @@
     );
     if let Some(mut head) = self.head.take() {
       head.load_guard.settle(AttemptOutcome::Lost);
-      let lost = LostPart {
+      let lost = LostStage {
         entry: head.entry.clone(),
         error: error.clone(),
         fingerprint: request.fingerprint(),
         sent_ms: head.sent_ms,
       };
-      note_lost(&self.stream.gateway, &request, lost).await;
+      record_lost_stage(&self.stream.gateway, &request, lost).await;
       self.stream.interrupted_at = Some(head.connection.endpoint.clone());
     }
     self.splitter = EventSplitter::default();
@@ -235,7 +235,7 @@
   /// Aborts the stream, so that the caller sees that it is incomplete.
   fn abort(&mut self, error: String) -> StreamAborted {
     self.is_finished = true;
-    self.stream.gateway.counters.broken_streams.inc();
+    self.stream.gateway.counters.interrupted_streams.inc();
     log::info!("E507 stream aborted: {}: {error}", self.stream.request.id());
     StreamAborted(error)
   }
@@ -244,7 +244,7 @@
 impl Drop for EventRelay {
   fn drop(&mut self) {
     if !self.is_finished {
-      self.stream.gateway.counters.callers_gone.inc();
+      self.stream.gateway.counters.caller_disconnects.inc();
       log::info!(
         "E516 caller disconnected: {} after event {:?}",
         self.stream.request.id(),
--- a/src/gateway/requests/frontend.rs
+++ b/src/gateway/requests/frontend.rs
@@ -11,8 +11,8 @@
     connections::{accept, remove_connection_headers, set_socket_options},
     decisions::{AllowedHalls, RETRY_AFTER_LEAVING_MS, RETRY_AFTER_NO_CONFIGURATION_MS},
     edge::{RouteKind, RouteTable},
-    limits::{Beyond, Charge, admit},
-    quarantine::{Held, release_unsent, vet},
+    limits::{Charge, OverLimit, admit},
+    quarantine::{Quarantined, release_unsent_probe, screen},
     settings::EnginePriority,
     stages::RoutedRequest,
     state::{Gateway, InFlight, Phase},
@@ -77,7 +77,7 @@
     log::debug!("socket options of a caller's connection not set: {error}");
     return;
   }
-  let limits = gateway.table().map(|table| table.limits());
+  let limits = gateway.route_table().map(|table| table.limits());
   let timeout_ms = limits.map_or(DEFAULT_IDLE_TIMEOUT_MS, |limits| {
     limits.idle_ms * IDLE_TIMEOUT_FACTOR + limits.head_ms
   });
@@ -126,12 +126,14 @@
   match response.status().as_u16() {
     200..300 => {
       counters.answered.inc();
-      counters.head_ms.note(gateway.now_ms() - arrived_ms);
+      counters
+        .response_head_ms
+        .record(gateway.now_ms() - arrived_ms);
     }
     502 => counters.unknown.inc(),
     503 => counters.not_run.inc(),
     504 => counters.timed_out.inc(),
-    400..500 => counters.refused.inc(),
+    400..500 => counters.rejected.inc(),
     _ => {}
   }
 }
@@ -154,12 +156,12 @@
   request: RoutedRequest,
   in_flight: InFlight,
 ) -> Response<ResponseBody> {
-  if let Err(Held { retry_after_ms }) = vet(&gateway, &request).await {
+  if let Err(Quarantined { retry_after_ms }) = screen(&gateway, &request).await {
     return LocalReply::NotRun { retry_after_ms }.response();
   }
   let request = Rc::new(request);
   let response = serve_admitted(&gateway, &request, in_flight).await;
-  release_unsent(&gateway, &request);
+  release_unsent_probe(&gateway, &request);
   response
 }
 
@@ -176,11 +178,11 @@
       if response.status() == StatusCode::SERVICE_UNAVAILABLE
         && let Some(charge) = charge
       {
-        charge.give_back();
+        charge.refund();
       }
       response
     }
-    Err(Beyond { retry_after_ms }) => LocalReply::OverLimit { retry_after_ms }.response(),
+    Err(OverLimit { retry_after_ms }) => LocalReply::OverLimit { retry_after_ms }.response(),
   }
 }
 
@@ -188,7 +190,7 @@
 async fn admit_request(
   gateway: &Rc<Gateway>,
   request: &RoutedRequest,
-) -> Result<Option<Charge>, Beyond> {
+) -> Result<Option<Charge>, OverLimit> {
   match &request.organisation {
     Some(organisation) => admit(gateway, organisation, &request.attributes)
       .await
@@ -203,7 +205,7 @@
   request: Rc<RoutedRequest>,
   in_flight: InFlight,
 ) -> Response<ResponseBody> {
-  gateway.note_request(&request.service);
+  gateway.record_request(&request.service);
   match request.route.kind {
     // The stream would outlast the process.
     RouteKind::Stream { .. } if *gateway.phase.borrow() >= Phase::Closing => {
@@ -230,7 +232,7 @@
     .get(HOST)
     .and_then(|host| host.to_str().ok())
     .ok_or(LocalReply::Malformed)?;
-  let table = gateway.table().ok_or(NO_CONFIGURATION)?;
+  let table = gateway.route_table().ok_or(NO_CONFIGURATION)?;
   let route = table
     .find(host, head.uri.path())
     .cloned()
@@ -240,7 +242,7 @@
   if !gateway.settings.mechanisms.slot_by_estimate {
     attributes.answer_estimate = None;
   }
-  let exit_ms = gateway.ends_ms.get().unwrap_or(u64::MAX);
+  let exit_ms = gateway.exit_ms.get().unwrap_or(u64::MAX);
   let timeout_ms = route
     .timeout_ms
     .min(attributes.deadline_ms.unwrap_or(u64::MAX))
--- a/src/gateway/requests/prefill.rs
+++ b/src/gateway/requests/prefill.rs
@@ -6,7 +6,7 @@
     gateway::{
       decisions::{Choice, EndpointCriteria},
       edge::{EndpointEntry, Stage},
-      quarantine::{LostPart, note_lost, note_whole},
+      quarantine::{LostStage, record_lost_stage, record_success},
       stages::{ExportGuard, OutgoingStage, RoutedRequest, StageError, send_stage},
       state::Gateway,
     },
@@ -71,7 +71,7 @@
     let sent_ms = gateway.now_ms();
     match prefill_at(gateway, request, &entry, choice.queued_ahead).await {
       Ok(handle) => {
-        note_whole(gateway, request, RoutedRequest::prefill_fingerprint);
+        record_success(gateway, request, RoutedRequest::prefill_fingerprint);
         let ttl_ms = export_ttl_ms(gateway, request);
         return PrefillResult {
           was_received: true,
@@ -86,13 +86,13 @@
         );
         if let StageError::Lost(error) = &error {
           let error = format!("prefill failed: {error}");
-          let lost = LostPart {
+          let lost = LostStage {
             entry: entry.clone(),
             error,
             fingerprint: request.prefill_fingerprint(),
             sent_ms,
           };
-          note_lost(gateway, request, lost).await;
+          record_lost_stage(gateway, request, lost).await;
         }
         if !error.is_unsent() {
           return PrefillResult::without_export(true);
@@ -140,7 +140,7 @@
     head.buffer(gateway).await
   };
   let Ok(response) = timeout(Duration::from_millis(timeout_ms), prefill).await else {
-    gateway.overdue(&entry.id);
+    gateway.mark_overdue(&entry.id);
     return Err(StageError::Lost(format!("no response in {timeout_ms} ms")));
   };
   let response = response?;
@@ -155,7 +155,7 @@
 
 /// How long an engine of the request's service retains an exported KV cache; 0 when its endpoints are not engines.
 fn export_ttl_ms(gateway: &Gateway, request: &RoutedRequest) -> u64 {
-  let table = gateway.table();
+  let table = gateway.route_table();
   let engine = table
     .as_ref()
     .and_then(|table| table.service(&request.service))
--- a/src/gateway/requests/resume_slot.rs
+++ b/src/gateway/requests/resume_slot.rs
@@ -30,7 +30,7 @@
   };
   for engine in engines {
     let entry = {
-      let book = gateway.book.borrow();
+      let book = gateway.endpoints.borrow();
       book.entry(&engine).cloned()
     };
     let may_decode = |entry: &EndpointEntry| {
@@ -58,7 +58,7 @@
 /// The engines that have enough of the prompt's prefix cached, the longest prefix first. The listings of a service are refreshed by
 /// the first request that needs them.
 async fn engines_with_prompt(gateway: &Rc<Gateway>, request: &RoutedRequest) -> Vec<Name> {
-  let listing = gateway.kept_prompts(&request.service);
+  let listing = gateway.cached_prompts(&request.service);
   let mut cached = listing.lock().await;
   if !cached.is_fresh(gateway.now_ms()) {
     cached.begin(gateway.now_ms());
@@ -79,7 +79,7 @@
 }
 
 fn decode_engines(gateway: &Gateway, service: &Name) -> Vec<EndpointEntry> {
-  let book = gateway.book.borrow();
+  let book = gateway.endpoints.borrow();
   book
     .entries()
     .filter(|entry| entry.service == *service && entry.role == Some(Role::Decode))
--- a/src/gateway/requests/slot.rs
+++ b/src/gateway/requests/slot.rs
@@ -6,7 +6,7 @@
     gateway::{
       decisions::{AttemptOutcome, EndpointCriteria, QueuePosition, SlotUrgency},
       edge::EndpointEntry,
-      permits::{Permit, return_permit, take_permit},
+      permits::{Permit, acquire_permit, return_permit},
       stages::{EngineCallError, LoadGuard, Purpose, Reservation, RoutedRequest, call_engine},
       state::Gateway,
     },
@@ -75,8 +75,8 @@
   if urgency == SlotUrgency::Resumed || !gateway.settings.mechanisms.rejection_by_forecast {
     return true;
   }
-  let ahead = gateway.seat_queue.borrow().len();
-  let forecast = gateway.seat_forecast.borrow();
+  let ahead = gateway.slot_queue.borrow().len();
+  let forecast = gateway.slot_forecast.borrow();
   if forecast.has_chance(ahead, wait_ms) {
     return true;
   }
@@ -97,7 +97,7 @@
   }
   let target_ms = request.rank.target_ms as f64;
   let start_ms = gateway
-    .start_ms
+    .mean_first_event_ms
     .get()
     .unwrap_or(target_ms * DEFAULT_START_SHARE);
   let timely_wait_ms = target_ms - start_ms * START_MARGIN;
@@ -116,35 +116,35 @@
 
 impl<'a> QueuedRequest<'a> {
   fn new(gateway: &'a Gateway, urgency: SlotUrgency, priority: u8) -> Self {
-    let position = gateway.seat_queue.borrow_mut().join(urgency, priority);
+    let position = gateway.slot_queue.borrow_mut().join(urgency, priority);
     Self { gateway, position }
   }
 
   /// Records that the request has a slot.
   fn record_slot(&self) {
-    let others_wait = self.gateway.seat_queue.borrow().len() > 1;
+    let others_wait = self.gateway.slot_queue.borrow().len() > 1;
     let now_ms = self.gateway.now_ms();
     self
       .gateway
-      .seat_forecast
+      .slot_forecast
       .borrow_mut()
       .record_slot(now_ms, others_wait);
   }
 
   fn is_first(&self) -> bool {
-    self.gateway.seat_queue.borrow().is_first(self.position)
+    self.gateway.slot_queue.borrow().is_first(self.position)
   }
 }
 
 impl Drop for QueuedRequest<'_> {
   fn drop(&mut self) {
-    let mut queue = self.gateway.seat_queue.borrow_mut();
+    let mut queue = self.gateway.slot_queue.borrow_mut();
     queue.leave(self.position);
     if queue.is_empty() {
-      self.gateway.seat_forecast.borrow_mut().record_idle();
+      self.gateway.slot_forecast.borrow_mut().record_idle();
     }
     drop(queue);
-    self.gateway.seat_queue_moved.notify_waiters();
+    self.gateway.slot_queue_changed.notify_waiters();
   }
 }
 
@@ -157,7 +157,7 @@
 ) -> Option<(EndpointEntry, Reservation)> {
   let queued = QueuedRequest::new(gateway, urgency, request.rank.priority);
   loop {
-    let queue_changed = gateway.seat_queue_moved.notified();
+    let queue_changed = gateway.slot_queue_changed.notified();
     if !queued.is_first() {
       queue_changed.await;
       continue;
@@ -190,7 +190,7 @@
   tokens: u64,
 ) -> Option<Reservation> {
   // One permit covers the slot and the stream in it: without a permit the slot would be useless.
-  let permit = match take_permit(gateway, entry, request.permit_caller()).await {
+  let permit = match acquire_permit(gateway, entry, request.permit_caller()).await {
     Ok(permit) => permit,
     Err(_) => return None,
   };
--- a/src/gateway/requests/stream.rs
+++ b/src/gateway/requests/stream.rs
@@ -44,7 +44,7 @@
       );
       LocalReply::NotRun {
         retry_after_ms: gateway
-          .seat_forecast
+          .slot_forecast
           .borrow()
           .retry_after_ms(gateway.draw()),
       }
@@ -75,7 +75,7 @@
     StreamFailure::Failed => not_run(gateway, request, RETRY_AFTER_FULL_MS),
     StreamFailure::NoSlot => {
       let forecast_ms = gateway
-        .seat_forecast
+        .slot_forecast
         .borrow()
         .retry_after_ms(gateway.draw());
       not_run(gateway, request, forecast_ms)
--- a/src/gateway/requests/stream_request.rs
+++ b/src/gateway/requests/stream_request.rs
@@ -144,9 +144,9 @@
     if self.sends == 1 {
       return true;
     }
-    let taken = self.gateway.take_repeat(&self.request.service);
+    let taken = self.gateway.take_retry(&self.request.service);
     if taken {
-      self.gateway.counters.repeats.inc();
+      self.gateway.counters.retries.inc();
     }
     taken
   }
@@ -193,7 +193,9 @@
       .map_or_else(|| entry.id.clone(), |export| export.engine().clone());
     let sent = self.send_charged(&entry, Some(reservation), export).await?;
     if let Ok(head) = &sent {
-      self.gateway.note_start(self.gateway.now_ms() - reserved_ms);
+      self
+        .gateway
+        .record_first_event(self.gateway.now_ms() - reserved_ms);
       log::info!(
         "E510 streaming: {} at {} with status {}, prefilled by {prefilled_by}: seat {} ms, prompt {} ms, head {} ms, {} ms after arrival, try {}",
         self.request.id(),
@@ -264,7 +266,7 @@
 
   /// Whether the service has prefill and decode engines.
   pub(super) fn is_split(&self) -> bool {
-    let Some(table) = self.gateway.table() else {
+    let Some(table) = self.gateway.route_table() else {
       return false;
     };
     let service = table.service(&self.request.service);
--- a/src/gateway/requests/stream_send.rs
+++ b/src/gateway/requests/stream_send.rs
@@ -5,7 +5,7 @@
   crate::gateway::{
     edge::{EndpointEntry, ProxyHeaders, Stage},
     permits::Permit,
-    quarantine::{LostPart, note_lost},
+    quarantine::{LostStage, record_lost_stage},
     stages::{ExportGuard, OutgoingStage, Reservation, ResponseHead, StageError, send_stage},
   },
   futures_util::FutureExt,
@@ -39,13 +39,13 @@
       Err(error) => self.record_error(entry, error, export),
     }
     if let Err(StageError::Lost(error)) = &result {
-      let lost = LostPart {
+      let lost = LostStage {
         entry: entry.clone(),
         error: error.clone(),
         fingerprint: self.request.fingerprint(),
         sent_ms,
       };
-      note_lost(&self.gateway, &self.request, lost).await;
+      record_lost_stage(&self.gateway, &self.request, lost).await;
     }
     result
   }
@@ -85,7 +85,7 @@
       if let Ok(result) = timeout(silence, sending.as_mut()).await {
         return result;
       }
-      gateway.overdue(&entry.id);
+      gateway.mark_overdue(&entry.id);
       if !self.prepare_takeover().await {
         continue;
       }
@@ -106,7 +106,7 @@
     if self.request.is_blocked(&self.gateway) {
       return false;
     }
-    if !self.has_attempts_left() || !self.gateway.has_repeat_left(&self.request.service) {
+    if !self.has_attempts_left() || !self.gateway.has_retry_left(&self.request.service) {
       return false;
     }
     if !self.is_split() {
@@ -160,7 +160,7 @@
   /// Another engine has accepted the export: the one that rejected it is at fault.
   fn blame_rejecting_engine(&mut self) {
     if let Some(engine) = self.rejected_by.take() {
-      self.gateway.blame(&engine);
+      self.gateway.mark_faulty(&engine);
     }
   }
 
@@ -168,13 +168,13 @@
   fn record_rejection(&mut self, entry: &EndpointEntry, export: Option<ExportGuard>) {
     self.rejections += 1;
     match (export, self.rejected_by.take()) {
-      (None, _) => self.gateway.blame(&entry.id),
+      (None, _) => self.gateway.mark_faulty(&entry.id),
       (Some(export), None) => {
         self.rejected_by = Some(entry.id.clone());
         self.export = Some(export);
       }
       (Some(export), Some(_)) => {
-        self.gateway.blame(export.engine());
+        self.gateway.mark_faulty(export.engine());
         self.skips_prefill = true;
       }
     }
--- a/src/gateway/requests/unary.rs
+++ b/src/gateway/requests/unary.rs
@@ -7,7 +7,7 @@
     gateway::{
       decisions::{EndpointCriteria, RETRY_AFTER_FULL_MS, RETRY_AFTER_NO_ENDPOINT_MS},
       edge::{EndpointEntry, ProxyHeaders, Stage},
-      quarantine::{LostPart, note_lost, note_whole},
+      quarantine::{LostStage, record_lost_stage, record_success},
       stages::{BufferedResponse, OutgoingStage, RoutedRequest, StageError, send_stage},
       state::Gateway,
     },
@@ -117,7 +117,7 @@
         );
         self.mark_slower_endpoints();
         if response.status.is_success() {
-          note_whole(&self.gateway, &self.request, RoutedRequest::fingerprint);
+          record_success(&self.gateway, &self.request, RoutedRequest::fingerprint);
         }
         return Some(forward(response));
       }
@@ -163,10 +163,10 @@
     let Some(entry) = self.choose() else {
       return false;
     };
-    if !self.gateway.take_repeat(&self.request.service) {
+    if !self.gateway.take_retry(&self.request.service) {
       return false;
     }
-    self.gateway.counters.repeats.inc();
+    self.gateway.counters.retries.inc();
     self.has_unused_retry = true;
     self.send_to(entry);
     true
@@ -179,14 +179,14 @@
       return;
     }
     if std::mem::take(&mut self.has_unused_retry) {
-      self.gateway.give_repeat_back(&self.request.service);
+      self.gateway.return_retry(&self.request.service);
     }
   }
 
   /// Records the endpoints that were sent the request but have not responded yet as slower than the one that has.
   fn mark_slower_endpoints(&self) {
     for endpoint in &self.awaited {
-      self.gateway.book.borrow_mut().mark_outrun(endpoint);
+      self.gateway.endpoints.borrow_mut().mark_outrun(endpoint);
     }
   }
 
@@ -261,7 +261,7 @@
   /// The response at the deadline.
   fn time_out(self) -> Response<ResponseBody> {
     for endpoint in &self.awaited {
-      self.gateway.overdue(endpoint);
+      self.gateway.mark_overdue(endpoint);
     }
     log::info!("E503 timed out: {} at {:?}", self.request.id(), self.tried);
     match self.failure {
@@ -282,13 +282,13 @@
   let id = entry.id.clone();
   if let Err(StageError::Lost(error)) = &result {
     let error = error.clone();
-    let lost = LostPart {
+    let lost = LostStage {
       entry,
       error,
       fingerprint: request.fingerprint(),
       sent_ms,
     };
-    note_lost(&gateway, &request, lost).await;
+    record_lost_stage(&gateway, &request, lost).await;
   }
   (id, result)
 }
--- a/src/gateway/stages/notice.rs
+++ b/src/gateway/stages/notice.rs
@@ -5,7 +5,7 @@
   crate::gateway::{
     decisions::{LimitChange, NoticeChange, jittered_backoff_ms},
     edge::{EndpointEntry, EndpointNotice, LimitHeader},
-    permits::tell_limit,
+    permits::announce_limit,
     state::Gateway,
   },
   http::{StatusCode, response},
@@ -36,13 +36,16 @@
   }
   if purpose != Purpose::Release && !REJECTION_STATUSES.contains(&response.status) {
     let now_ms = gateway.now_ms();
-    gateway.book.borrow_mut().record_accepted(&entry.id, now_ms);
+    gateway
+      .endpoints
+      .borrow_mut()
+      .record_accepted(&entry.id, now_ms);
   }
   log_unknown_headers(gateway, entry, response);
   let mut notice = gateway.codec.notice(response.status, &response.headers);
   apply_limit(gateway, sent, notice.limit, response);
   if let Some(cold_ms) = notice.cold_ms.take() {
-    gateway.note_cold(entry, cold_ms);
+    gateway.record_cold(entry, cold_ms);
   }
   if notice == EndpointNotice::default() {
     return;
@@ -53,12 +56,12 @@
     .map(|requested_ms| jittered_backoff_ms(requested_ms, boxes, gateway.draw()));
   let now_ms = gateway.now_ms();
   if let Some(unreadable) = &notice.unreadable
-    && gateway.unreadable_lines.is_over(now_ms)
+    && gateway.unreadable_log_throttle.should_log(now_ms)
   {
     log::warn!("E538 notice not understood: {}: {unreadable}", entry.id);
   }
   let change = gateway
-    .book
+    .endpoints
     .borrow_mut()
     .record_notice(entry, &notice, now_ms);
   log_change(gateway, entry, response, change, now_ms);
@@ -68,7 +71,7 @@
 fn log_unknown_headers(gateway: &Gateway, entry: &EndpointEntry, response: &response::Parts) {
   for name in response.headers.keys() {
     if !gateway.codec.is_known_response_header(name)
-      && gateway.unknown_names.borrow_mut().note(name)
+      && gateway.unknown_headers.borrow_mut().record(name)
     {
       log::info!("E542 unknown response header: {} sends {name}", entry.id);
     }
@@ -93,13 +96,13 @@
   }
   let now_ms = gateway.now_ms();
   let change = gateway
-    .book
+    .endpoints
     .borrow_mut()
     .record_limit(entry, limit, sent_ms, now_ms);
   if change == LimitChange::Started {
     gateway.counters.limit_notices.inc();
     if gateway.settings.mechanisms.endpoint_limits {
-      tell_limit(gateway, &entry.id, entry.started_ms);
+      announce_limit(gateway, &entry.id, entry.started_ms);
     }
   }
   log_limit(gateway, entry, response, change, now_ms);
@@ -115,13 +118,13 @@
 ) {
   let is_due = match change {
     LimitChange::Unchanged => false,
-    LimitChange::Changed(_) => gateway.limit_lines.is_over(now_ms),
+    LimitChange::Changed(_) => gateway.limit_log_throttle.should_log(now_ms),
     LimitChange::Started | LimitChange::Ended => true,
   };
   if !is_due {
     return;
   }
-  let advertised = gateway.book.borrow().limits().advertised(entry);
+  let advertised = gateway.endpoints.borrow().limits().advertised(entry);
   let per_s = advertised.and_then(|limit| limit.per_s);
   let attributes = gateway.codec.response_attributes(&response.headers);
   let request = attributes.request_id.as_deref().unwrap_or("-");
@@ -154,7 +157,7 @@
   let attributes = gateway.codec.response_attributes(&response.headers);
   let request = attributes.request_id.as_deref().unwrap_or("-");
   let contact_age_ms = gateway
-    .store_heard_ms
+    .store_contact_ms
     .get()
     .map(|contact_ms| now_ms - contact_ms.min(now_ms));
   let id = &entry.id;
@@ -180,7 +183,7 @@
 
 /// The endpoint's state as listed in the store.
 fn listed_state(gateway: &Gateway, id: &str) -> &'static str {
-  match gateway.book.borrow().entry(id) {
+  match gateway.endpoints.borrow().entry(id) {
     Some(entry) if entry.leaving => "leaving",
     Some(_) => "ready",
     None => "gone",
--- a/src/gateway/stages/send_check.rs
+++ b/src/gateway/stages/send_check.rs
@@ -49,7 +49,7 @@
 
 /// Whether a fingerprint is quarantined. The fingerprint is computed only when the registry has entries.
 fn is_quarantined(gateway: &Gateway, fingerprint: impl FnOnce() -> Fingerprint) -> bool {
-  let book = gateway.quarantine.book.borrow();
+  let book = gateway.quarantine.registry.borrow();
   if book.is_empty() || gateway.settings.quarantine.strategy == QuarantineStrategy::Off {
     return false;
   }
--- a/src/gateway/stages/stage.rs
+++ b/src/gateway/stages/stage.rs
@@ -11,7 +11,7 @@
       connections::{Connection, SendError, remove_connection_headers},
       decisions::{AttemptOutcome, Unavailable},
       edge::{EndpointEntry, ProxyHeaders, ResponseAttributes},
-      permits::{Permit, return_permit, take_permit},
+      permits::{Permit, acquire_permit, return_permit},
       state::Gateway,
     },
     ids::Name,
@@ -98,7 +98,7 @@
 impl LoadGuard {
   /// Counts work that is about to be sent.
   pub(crate) fn new(gateway: &Rc<Gateway>, endpoint: &Name, size: u64, units: u64) -> Self {
-    gateway.book.borrow_mut().record_send(endpoint, size);
+    gateway.endpoints.borrow_mut().record_send(endpoint, size);
     Self {
       endpoint: endpoint.clone(),
       gateway: gateway.clone(),
@@ -136,7 +136,7 @@
   fn drop(&mut self) {
     self
       .gateway
-      .ended(&self.endpoint, self.size, self.units, self.outcome);
+      .finish_stage(&self.endpoint, self.size, self.units, self.outcome);
   }
 }
 
@@ -186,7 +186,7 @@
     } else {
       self.load_guard.answered();
     }
-    gateway.rest(self.connection, &self.raw_headers);
+    gateway.keep_alive(self.connection, &self.raw_headers);
     Ok(BufferedResponse {
       body,
       headers,
@@ -242,7 +242,7 @@
   let entry = stage.entry;
   let permit = match stage.permit {
     Permit::Taken => Permit::Taken,
-    Permit::NotNeeded => take_permit(gateway, entry, request.permit_caller()).await?,
+    Permit::NotNeeded => acquire_permit(gateway, entry, request.permit_caller()).await?,
   };
   let sent = send_permitted(gateway, request, stage).await;
   let is_unsent = matches!(&sent, Err(error) if error.is_unsent());
@@ -350,7 +350,7 @@
   purpose: Purpose,
 ) -> Result<(), StageError> {
   let now_ms = gateway.now_ms();
-  let mut book = gateway.book.borrow_mut();
+  let mut book = gateway.endpoints.borrow_mut();
   match (book.check(entry, now_ms), purpose) {
     (Ok(()), Purpose::Request | Purpose::Call) => {
       if let Some(requested_ms) = book.record_probe(&entry.id, now_ms) {
@@ -384,7 +384,7 @@
   }
   if let Some(load) = attributes.load {
     gateway
-      .book
+      .endpoints
       .borrow_mut()
       .record_load(&entry.id, load, gateway.now_ms());
   }
--- a/src/gateway/state/mod.rs
+++ b/src/gateway/state/mod.rs
@@ -1,18 +1,18 @@
-//! What a box holds while it runs, for all of its requests: configuration, endpoints, connections, budgets, counters.
+//! The state of a running box, shared by all of its requests: configuration, endpoints, connections, retry budgets, counters.
 //!
 //! Imports `settings`, `connections`, `decisions` and `edge`.
 
 mod change_log;
 mod counters;
 mod gateway;
-mod line_pause;
+mod log_throttle;
 mod quarantine;
-mod unheard_boxes;
-mod unknown_names;
+mod unknown_headers;
+mod unresponsive_boxes;
 
 pub use self::change_log::ChangeLog;
 
 pub(crate) use self::{
   gateway::{Gateway, HeldLease, InFlight, Phase},
-  quarantine::{MarkOrigin, TrialClaim},
+  quarantine::{MarkOrigin, ProbeClaim},
 };
--- a/tests/gateway/organisations.rs
+++ b/tests/gateway/organisations.rs
@@ -1,7 +1,9 @@
 //! Authentication: API keys, organisations, and what endpoints receive of them.
 
 use {
-  super::{EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply, Seen, store_path::StorePath},
+  super::{
+    EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply, Seen, store_proxy::StoreProxy,
+  },
   emulator::eventually,
   http::{HeaderValue, StatusCode, header::AUTHORIZATION},
   rstest::rstest,
@@ -198,7 +200,7 @@
 async fn box_cut_off_from_the_store_receives_keys_from_another_box() {
   let one = EndpointStandIn::start(|seen| Reply::ok(seen, "one")).await;
   let test = GatewayTest::new().await.configure(with_organisations);
-  let path = StorePath::to(test.store.address).await;
+  let path = StoreProxy::to(test.store.address).await;
   let beside = test.beside("north-2", path.address);
   let sound = test.with_portal(&one).await;
   let cut_off = beside.start().await;
