--- a/src/gateway/stages/notice.rs
+++ b/src/gateway/stages/notice.rs
@@ -132,13 +132,13 @@
   let (id, started_ms) = (&entry.id, entry.started_ms);
   match (change, per_s) {
     (LimitChange::Changed(before), Some(per_s)) => log::info!(
-      "E540 rate limit: {id} started {started_ms:?} takes {per_s} requests per second from all boxes, {before} before, by its response {status} to {request}"
+      "E540 limit advertised: {id} started {started_ms:?} takes {per_s} requests per second from all boxes, {before} before, by its response {status} to {request}"
     ),
     (_, Some(per_s)) => log::info!(
-      "E540 rate limit: {id} started {started_ms:?} takes {per_s} requests per second from all boxes, by its response {status} to {request}"
+      "E540 limit advertised: {id} started {started_ms:?} takes {per_s} requests per second from all boxes, by its response {status} to {request}"
     ),
     (_, None) => log::info!(
-      "E541 rate limit ended: {id} started {started_ms:?}, by its response {status} to {request}"
+      "E541 limit no longer advertised: {id} started {started_ms:?}, by its response {status} to {request}"
     ),
   }
 }
--- a/tests/gateway/allowed_regions.rs
+++ b/tests/gateway/allowed_regions.rs
@@ -1,9 +1,7 @@
 //! The regions in which requests of a route or an organisation may be served.
 
 use {
-  super::{
-    EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply, Seen, endpoint::engine_reply,
-  },
+  super::{EndpointStandIn, GatewayBox, GatewayTest, Reply, Seen, TIMEOUT, endpoint::engine_reply},
   emulator::eventually,
   http::{HeaderValue, StatusCode, header::AUTHORIZATION},
   rstest::rstest,
@@ -170,9 +168,9 @@
   gateway.test.enter("p-3", "portal", None, &later);
   let is_seen = async || {
     gateway.ask("/unsafe/a", "r").await;
-    gateway.figure("rillford_endpoints").await as usize == 3
+    gateway.metric("rillford_endpoints").await as usize == 3
   };
-  assert!(eventually(PATIENCE, is_seen).await);
+  assert!(eventually(TIMEOUT, is_seen).await);
   assert_eq!(gateway.ask("/safe/a", "r").await.status, StatusCode::OK);
   assert_ne!(gateway.ask("/newer/a", "r").await.status, StatusCode::OK);
 }
--- a/tests/gateway/callers.rs
+++ b/tests/gateway/callers.rs
@@ -1,7 +1,7 @@
 //! Limits on callers' requests, and the status pages.
 
 use {
-  super::{EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply},
+  super::{EndpointStandIn, GatewayBox, GatewayTest, Reply, TIMEOUT},
   bytes::Bytes,
   emulator::eventually,
   http::StatusCode,
@@ -92,7 +92,7 @@
 async fn box_without_a_configuration_rejects_with_retry_after() {
   let gateway = GatewayTest::new().await.start_unready();
   let answered = async || TcpStream::connect(gateway.callers).await.is_ok();
-  assert!(eventually(PATIENCE, answered).await);
+  assert!(eventually(TIMEOUT, answered).await);
   let response = gateway.ask("/unsafe/a", "r1").await;
   assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
   assert!(response.headers.contains_key("retry-after"));
@@ -115,7 +115,7 @@
 async fn box_serves_without_metrics_when_their_address_is_taken() {
   let one = EndpointStandIn::start(|seen| Reply::ok(seen, "fine")).await;
   let mut test = GatewayTest::new().await;
-  test.is_metrics_taken = true;
+  test.metrics_port_taken = true;
   let gateway = test.with_portal(&one).await;
   assert_eq!(gateway.ask("/unsafe/a", "r1").await.status, StatusCode::OK);
 }
--- a/tests/gateway/cold_endpoints.rs
+++ b/tests/gateway/cold_endpoints.rs
@@ -1,9 +1,7 @@
 //! Cold endpoints: for a short time after a start, or after the drain of their hall, they sustain few requests over all boxes.
 
 use {
-  super::{
-    EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply, Seen, endpoint::engine_reply,
-  },
+  super::{EndpointStandIn, GatewayBox, GatewayTest, Reply, Seen, TIMEOUT, endpoint::engine_reply},
   emulator::eventually,
   futures_util::future::join_all,
   http::StatusCode,
@@ -39,15 +37,15 @@
 /// Starts boxes on one store, and waits until they know each other.
 async fn start_boxes(test: GatewayTest, count: usize) -> Vec<GatewayBox> {
   let others: Vec<GatewayTest> = (2..=count)
-    .map(|number| test.beside(&format!("north-{number}"), test.store.address))
+    .map(|number| test.second_box(&format!("north-{number}"), test.store.address))
     .collect();
   let mut boxes = vec![test.start().await];
   for other in others {
     boxes.push(other.start().await);
   }
   for gateway in &boxes {
-    let knows_all = async || gateway.figure("rillford_boxes").await as usize == count;
-    assert!(eventually(PATIENCE, knows_all).await);
+    let knows_all = async || gateway.metric("rillford_boxes").await as usize == count;
+    assert!(eventually(TIMEOUT, knows_all).await);
   }
   boxes
 }
@@ -91,15 +89,15 @@
   test.enter("e-1", "llm", Some("decode"), &one);
   let boxes = start_boxes(test, 3).await;
   boxes[0].test.enter_cold("p-1", "portal", None, &one, 2_500);
-  let is_known = async || boxes[2].figure("rillford_endpoints_limited").await as usize == 1;
-  assert!(eventually(PATIENCE, is_known).await);
+  let is_known = async || boxes[2].metric("rillford_endpoints_limited").await as usize == 1;
+  assert!(eventually(TIMEOUT, is_known).await);
   let statuses = ask_all(&boxes, "/unsafe/a", Duration::from_millis(1_900)).await;
   let most = max_per_second(&arrivals(&one));
   assert!(most <= MAX_PER_SECOND, "{most} in a second");
   assert!(statuses.contains(&StatusCode::OK));
   assert!(statuses.contains(&StatusCode::SERVICE_UNAVAILABLE));
-  let is_warm = async || boxes[0].figure("rillford_endpoints_limited").await as usize == 0;
-  assert!(eventually(PATIENCE, is_warm).await);
+  let is_warm = async || boxes[0].metric("rillford_endpoints_limited").await as usize == 0;
+  assert!(eventually(TIMEOUT, is_warm).await);
   let statuses = ask_all(&boxes, "/unsafe/b", Duration::from_millis(300)).await;
   assert!(statuses.iter().all(|status| *status == StatusCode::OK));
 }
@@ -114,8 +112,8 @@
   boxes[0]
     .test
     .enter_cold("p-1", "portal", None, &cold, 60_000);
-  let is_known = async || boxes[1].figure("rillford_endpoints_limited").await as usize == 1;
-  assert!(eventually(PATIENCE, is_known).await);
+  let is_known = async || boxes[1].metric("rillford_endpoints_limited").await as usize == 1;
+  assert!(eventually(TIMEOUT, is_known).await);
   let statuses = ask_all(&boxes, "/unsafe/a", SECOND).await;
   assert!(statuses.iter().all(|status| *status == StatusCode::OK));
   assert!(max_per_second(&arrivals(&cold)) <= MAX_PER_SECOND);
@@ -131,7 +129,7 @@
   let boxes = start_boxes(test, 2).await;
   boxes[0].test.store.remove("op/evacuate/north");
   let is_used = async || boxes[0].ask("/unsafe/a", "r").await.status == StatusCode::OK;
-  assert!(eventually(PATIENCE, is_used).await);
+  assert!(eventually(TIMEOUT, is_used).await);
   ask_all(&boxes, "/unsafe/b", SECOND).await;
   let most = max_per_second(&arrivals(&one));
   assert!(most <= MAX_PER_SECOND, "{most} in a second");
@@ -169,7 +167,7 @@
   let most = max_per_second(&arrivals(&one));
   assert!(most <= MAX_PER_SECOND, "{most} in a second");
   assert_eq!(
-    boxes[0].figure("rillford_endpoints_limited").await as usize,
+    boxes[0].metric("rillford_endpoints_limited").await as usize,
     1
   );
 }
@@ -190,7 +188,7 @@
   test.store.put("servers/p-1", entry.as_bytes());
   let gateway = test.start().await;
   let is_served = async || gateway.ask("/unsafe/a", "r").await.status == StatusCode::OK;
-  assert!(eventually(PATIENCE, is_served).await);
+  assert!(eventually(TIMEOUT, is_served).await);
 }
 
 /// Of the advertised limit and that of a cold endpoint, the lower one applies.
--- a/tests/gateway/configuration.rs
+++ b/tests/gateway/configuration.rs
@@ -1,7 +1,7 @@
 //! Configurations and endpoint entries from the store, and the box's settings.
 
 use {
-  super::{EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply},
+  super::{EndpointStandIn, GatewayBox, GatewayTest, Reply, TIMEOUT},
   emulator::eventually,
   http::StatusCode,
   rillford::gateway::GatewaySettings,
@@ -35,10 +35,10 @@
 async fn only_a_newer_configuration_replaces_the_current_one() {
   let (_, gateway) = portal().await;
   put(&gateway, 9, "/newer/");
-  assert!(eventually(PATIENCE, async || is_found(&gateway, "/newer/a").await).await);
+  assert!(eventually(TIMEOUT, async || is_found(&gateway, "/newer/a").await).await);
   put(&gateway, 7, "/older/");
   put(&gateway, 10, "/newest/");
-  assert!(eventually(PATIENCE, async || is_found(&gateway, "/newest/a").await).await);
+  assert!(eventually(TIMEOUT, async || is_found(&gateway, "/newest/a").await).await);
   put(&gateway, 8, "/older/");
   // The box has seen the configuration once it knows an endpoint that was listed later.
   let other = EndpointStandIn::start(|seen| Reply::ok(seen, "other")).await;
@@ -47,12 +47,12 @@
     gateway.ask("/unsafe/a", "r").await;
     !other.requests().is_empty()
   };
-  assert!(eventually(PATIENCE, seen_by_other).await);
+  assert!(eventually(TIMEOUT, seen_by_other).await);
   assert!(is_found(&gateway, "/newest/a").await);
   gateway.test.store.put("op/config", b"{not a configuration");
   gateway.test.store.forget_history();
   let listings = gateway.test.store.listings();
-  assert!(eventually(PATIENCE, async || gateway.test.store.listings() > listings).await);
+  assert!(eventually(TIMEOUT, async || gateway.test.store.listings() > listings).await);
   assert!(is_found(&gateway, "/newest/a").await);
   assert!(!is_found(&gateway, "/older/a").await);
 }
@@ -67,7 +67,7 @@
   gateway.test.enter("p-2", "portal", None, &other);
   let comes_from_other =
     async || gateway.ask("/unsafe/a", "r").await.body.as_deref() == Ok("other");
-  assert!(eventually(PATIENCE, comes_from_other).await);
+  assert!(eventually(TIMEOUT, comes_from_other).await);
   let before = one.requests().len();
   for _ in 0..10 {
     gateway.ask("/unsafe/a", "r").await;
@@ -76,7 +76,7 @@
   gateway.test.store.remove("servers/p-2");
   let rejected =
     async || gateway.ask("/unsafe/a", "r").await.status == StatusCode::SERVICE_UNAVAILABLE;
-  assert!(eventually(PATIENCE, rejected).await);
+  assert!(eventually(TIMEOUT, rejected).await);
 }
 
 #[tokio::test]
@@ -88,7 +88,7 @@
   gateway.test.store.forget_history();
   let comes_from_other =
     async || gateway.ask("/unsafe/a", "r").await.body.as_deref() == Ok("other");
-  assert!(eventually(PATIENCE, comes_from_other).await);
+  assert!(eventually(TIMEOUT, comes_from_other).await);
 }
 
 #[tokio::test]
@@ -100,24 +100,24 @@
   }
   put(&gateway, 9, "/newer/");
   gateway.test.store.set_down(false);
-  assert!(eventually(PATIENCE, async || is_found(&gateway, "/newer/a").await).await);
+  assert!(eventually(TIMEOUT, async || is_found(&gateway, "/newer/a").await).await);
 }
 
 #[tokio::test]
 async fn entry_that_expired_during_a_store_outage_is_used_until_the_store_is_back() {
   let (_, gateway) = portal().await;
   gateway.test.store.set_down(true);
-  assert!(eventually(PATIENCE, async || is_found(&gateway, "/safe/a").await).await);
+  assert!(eventually(TIMEOUT, async || is_found(&gateway, "/safe/a").await).await);
   // Longer than the delay after a failed call, so that the box has noticed the outage.
   sleep(Duration::from_millis(800)).await;
   gateway.test.store.remove("servers/p-1");
   gateway.test.store.forget_history();
   let listings = gateway.test.store.listings();
   gateway.test.store.set_down(false);
-  assert!(eventually(PATIENCE, async || gateway.test.store.listings() > listings).await);
+  assert!(eventually(TIMEOUT, async || gateway.test.store.listings() > listings).await);
   assert!(is_found(&gateway, "/safe/a").await);
   let removed = async || !is_found(&gateway, "/safe/a").await;
-  assert!(eventually(PATIENCE, removed).await);
+  assert!(eventually(TIMEOUT, removed).await);
 }
 
 const SETTINGS: &str = r#"[box]
@@ -183,10 +183,10 @@
   test.store.set_holds_pages(true);
   let gateway = test.start_unready();
   let asked_for_more = async || gateway.test.store.listings() >= 2;
-  assert!(eventually(PATIENCE, asked_for_more).await);
+  assert!(eventually(TIMEOUT, asked_for_more).await);
   assert!(!gateway.is_ready().await);
   gateway.test.store.set_holds_pages(false);
-  assert!(gateway.is_ready_soon().await);
+  assert!(gateway.becomes_ready().await);
 }
 
 #[tokio::test]
@@ -223,7 +223,7 @@
     gateway.ask("/unsafe/a", "r").await;
     !endpoint.requests().is_empty()
   };
-  eventually(PATIENCE, reached).await
+  eventually(TIMEOUT, reached).await
 }
 
 #[rstest]
@@ -264,7 +264,7 @@
     gateway.test.store.old_pages(),
   );
   gateway.test.store.forget_history();
-  assert!(eventually(PATIENCE, async || gateway.test.store.listings() > listings).await);
+  assert!(eventually(TIMEOUT, async || gateway.test.store.listings() > listings).await);
   assert_eq!(
     gateway.ask("/safe/a", "r").await.body.as_deref(),
     Ok("added")
--- a/tests/gateway/crashing_request.rs
+++ b/tests/gateway/crashing_request.rs
@@ -3,7 +3,7 @@
 
 use {
   super::{
-    EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply, Seen, endpoint::engine_reply,
+    EndpointStandIn, GatewayBox, GatewayTest, Reply, Seen, TIMEOUT, endpoint::engine_reply,
     store_proxy::StoreProxy,
   },
   emulator::eventually,
@@ -55,7 +55,7 @@
     let store = test.store.clone();
     let id = format!("e-{}", 10 + number);
     let on_start = move |address, start| {
-      GatewayTest::enter_life(&store, &id, "decode", address, 1_000 * start);
+      GatewayTest::enter_incarnation(&store, &id, "decode", address, 1_000 * start);
     };
     engines.push(EndpointStandIn::start_in_lives(fragile, on_start).await);
   }
@@ -81,7 +81,7 @@
   let prefill = EndpointStandIn::engine(EVENTS).await;
   test.enter("e-1", "llm", Some("prefill"), &prefill);
   let engines = fragile_engines(&test, DECODE_ENGINES).await;
-  let others = ["north-2", "north-3"].map(|name| test.beside(name, test.store.address));
+  let others = ["north-2", "north-3"].map(|name| test.second_box(name, test.store.address));
   let mut boxes = vec![test.start().await];
   for other in others {
     boxes.push(other.start().await);
@@ -147,13 +147,13 @@
   let prefill = EndpointStandIn::engine(EVENTS).await;
   test.enter("e-1", "llm", Some("prefill"), &prefill);
   let engines = fragile_engines(&test, DECODE_ENGINES).await;
-  let later = test.beside("north-2", test.store.address);
+  let later = test.second_box("north-2", test.store.address);
   let gateway = test.start().await;
   crash_three(&gateway, &engines).await;
   // The first probe crashes one more engine, and quarantines the request.
   let quarantined = async || is_quarantined(&gateway, &engines, "f").await;
-  assert!(eventually(PATIENCE, quarantined).await);
-  assert!(eventually(PATIENCE, async || marks(&gateway.test, "ended") >= 4).await);
+  assert!(eventually(TIMEOUT, quarantined).await);
+  assert!(eventually(TIMEOUT, async || marks(&gateway.test, "ended") >= 4).await);
   assert_eq!(marks(&gateway.test, "trial"), 1);
   let later = later.start().await;
   assert!(is_quarantined(&later, &engines, "g").await);
@@ -171,24 +171,24 @@
   test.enter("e-1", "llm", Some("prefill"), &prefill);
   let engines = fragile_engines(&test, DECODE_ENGINES).await;
   let proxy = StoreProxy::to(test.store.address).await;
-  let isolated = test.beside("north-2", proxy.address);
+  let isolated = test.second_box("north-2", proxy.address);
   let connected = test.start().await;
   let isolated = isolated.start().await;
   let boxes_entered = async || {
     let keys = connected.test.store.keys();
     keys.iter().filter(|key| key.contains("/boxes/")).count() == 2
   };
-  assert!(eventually(PATIENCE, boxes_entered).await);
+  assert!(eventually(TIMEOUT, boxes_entered).await);
   // This entry arrives after those of the boxes.
   let late = EndpointStandIn::start(|seen| Reply::ok(seen, "late")).await;
   connected.test.enter("p-1", "portal", None, &late);
   let knows = async || isolated.ask("/safe/a", "s").await.status == StatusCode::OK;
-  assert!(eventually(PATIENCE, knows).await);
+  assert!(eventually(TIMEOUT, knows).await);
   proxy.cut().await;
   crash_three(&isolated, &engines).await;
-  assert!(eventually(PATIENCE, async || marks(&connected.test, "ended") >= 3).await);
+  assert!(eventually(TIMEOUT, async || marks(&connected.test, "ended") >= 3).await);
   let quarantined = async || is_quarantined(&connected, &engines, "f").await;
-  assert!(eventually(PATIENCE, quarantined).await);
+  assert!(eventually(TIMEOUT, quarantined).await);
 }
 
 /// Eight attempts arrive at once and are prefilled one after the other: the last ones were admitted before any engine crashed, and must
@@ -222,7 +222,7 @@
     }
     crashing_runs(&engines) >= 3
   };
-  assert!(eventually(PATIENCE, three_ran).await);
+  assert!(eventually(TIMEOUT, three_ran).await);
   // Three, and those in flight when the third engine crashed.
   let runs = crashing_runs(&engines);
   assert!(runs <= 5, "{runs} runs");
@@ -243,14 +243,14 @@
   let store = test.store.clone();
   let on_start = move |address, start| {
     let enter =
-      |store: &_| GatewayTest::enter_life(store, "e-10", "decode", address, 1_000 * start);
+      |store: &_| GatewayTest::enter_incarnation(store, "e-10", "decode", address, 1_000 * start);
     if start == 1 {
       return enter(&store);
     }
     let store = store.clone();
     tokio::spawn(async move {
       sleep(REGISTRATION_DELAY).await;
-      GatewayTest::enter_life(&store, "e-10", "decode", address, 1_000 * start);
+      GatewayTest::enter_incarnation(&store, "e-10", "decode", address, 1_000 * start);
     });
   };
   let engine = EndpointStandIn::start_in_lives(script, on_start).await;
@@ -291,7 +291,7 @@
       engine_reply(seen, EVENTS)
     };
     let on_start = move |address, start| {
-      GatewayTest::enter_life(
+      GatewayTest::enter_incarnation(
         &store,
         &format!("e-{}", 10 + number),
         "decode",
@@ -303,8 +303,8 @@
   }
   let gateway = test.start().await;
   let served = async || gateway.ask("/resumable/a", "r").await.status == StatusCode::OK;
-  assert!(eventually(PATIENCE, served).await);
-  assert!(eventually(PATIENCE, async || marks(&gateway.test, "") == 0).await);
+  assert!(eventually(TIMEOUT, served).await);
+  assert!(eventually(TIMEOUT, async || marks(&gateway.test, "") == 0).await);
   assert!(served().await);
 }
 
@@ -337,8 +337,8 @@
     let on_start = move |address, start| {
       let id = format!("x-{number}");
       match stage {
-        Some(stage) => GatewayTest::enter_life(&store, &id, stage, address, start),
-        None => GatewayTest::enter_plain_life(&store, &id, address, start),
+        Some(stage) => GatewayTest::enter_incarnation(&store, &id, stage, address, start),
+        None => GatewayTest::enter_plain_incarnation(&store, &id, address, start),
       }
     };
     fragile.push(EndpointStandIn::start_in_lives(script, on_start).await);
--- a/tests/gateway/endpoint_limits.rs
+++ b/tests/gateway/endpoint_limits.rs
@@ -3,7 +3,7 @@
 
 use {
   super::{
-    EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply,
+    EndpointStandIn, GatewayBox, GatewayTest, Reply, TIMEOUT,
     endpoint::{engine_reply, leaving, limited, turned_away, with_header},
   },
   emulator::eventually,
@@ -28,7 +28,7 @@
 /// Starts boxes on one store, and waits until they know each other.
 async fn start_boxes(test: GatewayTest, count: usize) -> Vec<GatewayBox> {
   let mut tests: Vec<GatewayTest> = (2..=count)
-    .map(|number| test.beside(&format!("north-{number}"), test.store.address))
+    .map(|number| test.second_box(&format!("north-{number}"), test.store.address))
     .collect();
   tests.insert(0, test);
   let mut boxes = Vec::new();
@@ -36,8 +36,8 @@
     boxes.push(test.start().await);
   }
   for gateway in &boxes {
-    let knows_all = eventually(PATIENCE, async || {
-      gateway.figure("rillford_boxes").await as usize == count
+    let knows_all = eventually(TIMEOUT, async || {
+      gateway.metric("rillford_boxes").await as usize == count
     });
     assert!(knows_all.await, "a box does not know the others");
   }
@@ -200,8 +200,8 @@
     .unwrap();
   // One permit per second; up to half a second of jitter.
   assert!(seconds > 0.0 && seconds <= 1.0 / 0.94 + 0.6, "{seconds}");
-  assert_eq!(gateway.figure("rillford_repeats_total").await, 0.0);
-  assert!(gateway.figure("rillford_without_place_total").await > 0.0);
+  assert_eq!(gateway.metric("rillford_repeats_total").await, 0.0);
+  assert!(gateway.metric("rillford_without_place_total").await > 0.0);
   sleep(Duration::from_secs_f64(seconds)).await;
   assert_eq!(gateway.ask("/safe/a", "again").await.status, 200);
 }
@@ -294,8 +294,8 @@
   test.enter("p-1", "portal", None, &one);
   let boxes = start_boxes(test, 2).await;
   boxes[0].ask("/unsafe/a", "first").await;
-  let knows = eventually(PATIENCE, async || {
-    boxes[1].figure("rillford_endpoints_limited").await as usize == 1
+  let knows = eventually(TIMEOUT, async || {
+    boxes[1].metric("rillford_endpoints_limited").await as usize == 1
   });
   assert!(knows.await, "the other box does not know the limit");
   assert_eq!(one.requests().len(), 1);
@@ -315,7 +315,7 @@
   // Only the coordinator has granted permits.
   let mut coordinator = 0;
   for (at, gateway) in boxes.iter().enumerate() {
-    if gateway.figure("rillford_places_granted_total").await > 0.0 {
+    if gateway.metric("rillford_places_granted_total").await > 0.0 {
       coordinator = at;
     }
   }
@@ -370,7 +370,7 @@
   for number in 0..3 {
     gateway.ask("/unsafe/a", &format!("r{number}")).await;
   }
-  assert_eq!(gateway.figure("rillford_unknown_answer_names").await, 1.0);
+  assert_eq!(gateway.metric("rillford_unknown_answer_names").await, 1.0);
 }
 
 #[tokio::test]
@@ -378,7 +378,7 @@
   let one = EndpointStandIn::start(|seen| limited(Reply::ok(seen, "one"), "2.5")).await;
   let gateway = GatewayTest::new().await.with_portal(&one).await;
   gateway.ask("/unsafe/a", "first").await;
-  let text = gateway.shown_limits();
+  let text = gateway.limits_output();
   let row: Vec<&str> = text.lines().last().unwrap().split_whitespace().collect();
   assert_eq!(row[..3], ["p-1", "2.5", "Answer"], "{text}");
 }
--- a/tests/gateway/hall_drain.rs
+++ b/tests/gateway/hall_drain.rs
@@ -3,7 +3,7 @@
 
 use {
   super::{
-    EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply, Seen, endpoint::engine_reply,
+    EndpointStandIn, GatewayBox, GatewayTest, Reply, Seen, TIMEOUT, endpoint::engine_reply,
     store_proxy::StoreProxy,
   },
   emulator::eventually,
@@ -67,7 +67,7 @@
     }
     true
   };
-  eventually(PATIENCE, elsewhere).await
+  eventually(TIMEOUT, elsewhere).await
 }
 
 /// Whether the own hall is used again after its drain. The other hall is drained for that, because the choice between two halls depends
@@ -76,7 +76,7 @@
   drain(test, OTHER_HALL);
   end_drain(test, OWN_HALL);
   let answers = async || is_answered_by(gateway, OWN_HALL).await;
-  eventually(PATIENCE, answers).await
+  eventually(TIMEOUT, answers).await
 }
 
 async fn is_rejected(gateway: &GatewayBox) -> bool {
@@ -89,15 +89,15 @@
   let test = GatewayTest::new().await;
   let _endpoints = two_halls(&test).await;
   let gateway = test.start().await;
-  assert!(eventually(PATIENCE, async || is_answered_by(&gateway, OWN_HALL).await).await);
+  assert!(eventually(TIMEOUT, async || is_answered_by(&gateway, OWN_HALL).await).await);
   drain(&gateway.test, OWN_HALL);
   assert!(avoids(&gateway, OWN_HALL).await);
   assert!(is_answered_by(&gateway, OTHER_HALL).await);
   assert_eq!(
-    gateway.figure("rillford_endpoints_drained").await as usize,
+    gateway.metric("rillford_endpoints_drained").await as usize,
     1
   );
-  assert!(gateway.shown_limits().contains("hall north is drained"));
+  assert!(gateway.limits_output().contains("hall north is drained"));
   assert!(is_used_again(&gateway, &gateway.test).await);
 }
 
@@ -140,11 +140,7 @@
       .all(|endpoint| endpoint.requests().is_empty())
   );
   end_drain(&gateway.test, OTHER_HALL);
-  assert!(
-    eventually(PATIENCE, async || is_answered_by(&gateway, OTHER_HALL)
-      .await)
-    .await
-  );
+  assert!(eventually(TIMEOUT, async || is_answered_by(&gateway, OTHER_HALL).await).await);
 }
 
 #[tokio::test]
@@ -166,15 +162,15 @@
   let test = GatewayTest::new().await;
   let _endpoints = two_halls(&test).await;
   let proxy = StoreProxy::to(test.store.address).await;
-  let isolated = test.beside("north-2", proxy.address);
+  let isolated = test.second_box("north-2", proxy.address);
   let connected = test.start().await;
   let isolated = isolated.start().await;
   let knows_both = async || {
     let keys = connected.test.store.keys();
     keys.iter().filter(|key| key.contains("/boxes/")).count() == 2
-      && isolated.figure("rillford_boxes").await as usize == 2
+      && isolated.metric("rillford_boxes").await as usize == 2
   };
-  assert!(eventually(PATIENCE, knows_both).await);
+  assert!(eventually(TIMEOUT, knows_both).await);
   proxy.cut().await;
   drain(&connected.test, OWN_HALL);
   assert!(avoids(&isolated, OWN_HALL).await);
@@ -196,7 +192,7 @@
   let gateway = test.start().await;
   let response = gateway.ask_in_background("/stream/a", "r1");
   let is_prefilling = async || prefill.requests().iter().any(Seen::is_prompt);
-  assert!(eventually(PATIENCE, is_prefilling).await);
+  assert!(eventually(TIMEOUT, is_prefilling).await);
   let other = EndpointStandIn::engine(EVENTS).await;
   gateway
     .test
@@ -211,7 +207,7 @@
       .iter()
       .any(|seen| seen.path.starts_with("/hold-drop/"))
   };
-  assert!(eventually(PATIENCE, is_released).await);
+  assert!(eventually(TIMEOUT, is_released).await);
 }
 
 #[tokio::test]
--- a/tests/gateway/harness.rs
+++ b/tests/gateway/harness.rs
@@ -18,13 +18,13 @@
 };
 
 /// Timeout of all waiting; long enough for a slow machine.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(30);
 
 pub(crate) const HOST: &str = "lectures.example";
 
 /// A response as the caller received it.
 #[derive(Debug)]
-pub(crate) struct Asked {
+pub(crate) struct CallerResponse {
   pub(crate) status: StatusCode,
   pub(crate) headers: HeaderMap,
   /// The body, or an error when it was truncated.
@@ -36,9 +36,9 @@
   pub(crate) store: PlatformStore,
   pub(crate) configuration: Value,
   /// Whether the address for metrics is already in use.
-  pub(crate) is_metrics_taken: bool,
+  pub(crate) metrics_port_taken: bool,
   /// Which priority is sent to engines.
-  pub(crate) engine_marks: &'static str,
+  pub(crate) engine_priority: &'static str,
   name: String,
   stop_s: f64,
   /// The address by which the box reaches the store.
@@ -71,8 +71,8 @@
     let store = PlatformStore::start().await.unwrap();
     Self {
       configuration,
-      engine_marks: "route",
-      is_metrics_taken: false,
+      engine_priority: "route",
+      metrics_port_taken: false,
       name: "north-1".into(),
       stop_s: 6.0,
       store_address: store.address,
@@ -81,11 +81,11 @@
   }
 
   /// Another box on the same store, which it reaches by another address.
-  pub(crate) fn beside(&self, name: &str, store_address: SocketAddr) -> Self {
+  pub(crate) fn second_box(&self, name: &str, store_address: SocketAddr) -> Self {
     Self {
       configuration: self.configuration.clone(),
-      engine_marks: self.engine_marks,
-      is_metrics_taken: false,
+      engine_priority: self.engine_priority,
+      metrics_port_taken: false,
       name: name.into(),
       stop_s: self.stop_s,
       store: self.store.clone(),
@@ -178,7 +178,7 @@
   }
 
   /// Lists an incarnation of an engine, which may restart under the same id.
-  pub(crate) fn enter_life(
+  pub(crate) fn enter_incarnation(
     store: &PlatformStore,
     id: &str,
     stage: &str,
@@ -193,7 +193,12 @@
   }
 
   /// Lists an incarnation of a plain endpoint.
-  pub(crate) fn enter_plain_life(store: &PlatformStore, id: &str, address: SocketAddr, born: u64) {
+  pub(crate) fn enter_plain_incarnation(
+    store: &PlatformStore,
+    id: &str,
+    address: SocketAddr,
+    born: u64,
+  ) {
     let entry = json!({
       "service": "portal", "address": address, "zone": "north", "version": "v1", "slots": 8, "state": "ready",
       "coldRemainingMs": 0, "callSeq": 0, "born": born,
@@ -233,7 +238,7 @@
   pub(crate) async fn start(self) -> GatewayBox {
     self.put_configuration();
     let gateway = self.start_unready();
-    assert!(gateway.is_ready_soon().await, "the box is not ready");
+    assert!(gateway.becomes_ready().await, "the box is not ready");
     gateway
   }
 
@@ -267,14 +272,14 @@
 prefill_share = 0.25
 marks = "{}"
 "#,
-      self.name, self.store_address, self.stop_s, self.engine_marks
+      self.name, self.store_address, self.stop_s, self.engine_priority
     )
   }
 
   /// Starts the box without waiting until it is ready.
   pub(crate) fn start_unready(self) -> GatewayBox {
     let mut addresses = own_addresses();
-    if self.is_metrics_taken {
+    if self.metrics_port_taken {
       addresses[3] = addresses[0];
     }
     let [callers, ready, boxes, metrics] = addresses;
@@ -331,8 +336,8 @@
       .is_ok_and(|response| response.status() == StatusCode::OK)
   }
 
-  pub(crate) async fn is_ready_soon(&self) -> bool {
-    eventually(PATIENCE, async || self.is_ready().await).await
+  pub(crate) async fn becomes_ready(&self) -> bool {
+    eventually(TIMEOUT, async || self.is_ready().await).await
   }
 
   pub(crate) fn request(&self, path: &str, id: &str) -> Request<Full<Bytes>> {
@@ -353,7 +358,7 @@
       .unwrap()
   }
 
-  pub(crate) async fn ask(&self, path: &str, id: &str) -> Asked {
+  pub(crate) async fn ask(&self, path: &str, id: &str) -> CallerResponse {
     self.send(self.request(path, id)).await
   }
 
@@ -368,11 +373,11 @@
     tokio::spawn(async move { Ok(client.send(request).await?.status()) })
   }
 
-  pub(crate) async fn send(&self, request: Request<Full<Bytes>>) -> Asked {
+  pub(crate) async fn send(&self, request: Request<Full<Bytes>>) -> CallerResponse {
     let response = self.client.send(request).await.unwrap();
     let (head, body) = response.into_parts();
     let body = body.collect().await;
-    Asked {
+    CallerResponse {
       body: body
         .map(|body| String::from_utf8(body.to_bytes().to_vec()).unwrap())
         .map_err(|error| error.to_string()),
@@ -382,24 +387,24 @@
   }
 
   /// The output of `rillford limits` for the box.
-  pub(crate) fn shown_limits(&self) -> String {
-    let shown = Command::new(env!("CARGO_BIN_EXE_rillford"))
+  pub(crate) fn limits_output(&self) -> String {
+    let output = Command::new(env!("CARGO_BIN_EXE_rillford"))
       .args(["limits", "--metrics"])
       .arg(format!("http://{}/metrics", self.metrics))
       .output()
       .unwrap();
-    String::from_utf8(shown.stdout).unwrap()
+    String::from_utf8(output.stdout).unwrap()
   }
 
   /// A metric of the box by name; 0 when it is missing.
-  pub(crate) async fn figure(&self, name: &str) -> f64 {
+  pub(crate) async fn metric(&self, name: &str) -> f64 {
     let request = Request::get(format!("http://{}/metrics", self.metrics))
       .body(Full::default())
       .unwrap();
-    let Ok(figures) = HttpClient::default().fetch_bytes(request, PATIENCE).await else {
+    let Ok(metrics) = HttpClient::default().fetch_bytes(request, TIMEOUT).await else {
       return 0.0;
     };
-    let text = String::from_utf8_lossy(&figures);
+    let text = String::from_utf8_lossy(&metrics);
     let rows = text.lines().filter_map(|line| line.split_once(' '));
     rows
       .filter(|(row, _)| *row == name)
--- a/tests/gateway/leaving.rs
+++ b/tests/gateway/leaving.rs
@@ -1,7 +1,7 @@
 //! A graceful shutdown interrupts no request.
 
 use {
-  super::{EndpointStandIn, GatewayTest, PATIENCE, Reply, Seen, endpoint::engine_reply},
+  super::{EndpointStandIn, GatewayTest, Reply, Seen, TIMEOUT, endpoint::engine_reply},
   emulator::eventually,
   http::StatusCode,
   std::time::Duration,
@@ -16,20 +16,13 @@
   let one = EndpointStandIn::start(slow).await;
   let mut gateway = GatewayTest::new().await.with_portal(&one).await;
   let entry = "rillford/boxes/north-1".to_string();
-  assert!(
-    eventually(PATIENCE, async || gateway
-      .test
-      .store
-      .keys()
-      .contains(&entry))
-    .await
-  );
+  assert!(eventually(TIMEOUT, async || gateway.test.store.keys().contains(&entry)).await);
   let pending = gateway.ask_in_background("/unsafe/a", "r1");
-  assert!(eventually(PATIENCE, async || one.requests().len() == 1).await);
+  assert!(eventually(TIMEOUT, async || one.requests().len() == 1).await);
   gateway.signal(libc::SIGTERM);
-  assert!(eventually(PATIENCE, async || !gateway.is_ready().await).await);
+  assert!(eventually(TIMEOUT, async || !gateway.is_ready().await).await);
   assert!(
-    eventually(PATIENCE, async || !gateway
+    eventually(TIMEOUT, async || !gateway
       .test
       .store
       .keys()
@@ -42,7 +35,7 @@
   assert_eq!(response.status, StatusCode::OK);
   assert_eq!(response.headers["connection"], "close");
   assert!(
-    eventually(PATIENCE, async || gateway
+    eventually(TIMEOUT, async || gateway
       .process
       .try_wait()
       .unwrap()
@@ -69,7 +62,7 @@
     .with_engines(&prefill, &decode)
     .await;
   let holding = gateway.ask_in_background("/stream/a", "r1");
-  assert!(eventually(PATIENCE, async || decode.requests().len() == 1).await);
+  assert!(eventually(TIMEOUT, async || decode.requests().len() == 1).await);
   gateway.signal(libc::SIGTERM);
   let mut number = 1;
   let rejected = async || {
@@ -78,7 +71,7 @@
     let result = rillford::HttpClient::default().send(request).await;
     result.is_ok_and(|response| response.status() == StatusCode::SERVICE_UNAVAILABLE)
   };
-  assert!(eventually(PATIENCE, rejected).await);
+  assert!(eventually(TIMEOUT, rejected).await);
   holding.abort();
 }
 
@@ -149,9 +142,9 @@
     .await;
   let prefills_second = async || prefill.requests().iter().any(|seen| seen.id() == "r2");
   let leaving = async {
-    assert!(eventually(PATIENCE, async || !decode.requests().is_empty()).await);
+    assert!(eventually(TIMEOUT, async || !decode.requests().is_empty()).await);
     let second = gateway.ask_in_background("/stream/a", "r2");
-    assert!(eventually(PATIENCE, prefills_second).await);
+    assert!(eventually(TIMEOUT, prefills_second).await);
     gateway.test.enter("e-3", "llm", Some("decode"), &other);
     gateway
       .test
@@ -169,7 +162,7 @@
       .iter()
       .any(|seen| seen.path.starts_with("/hold-drop/"))
   };
-  assert!(eventually(PATIENCE, is_released).await);
+  assert!(eventually(TIMEOUT, is_released).await);
   // The export is reused: the prompt is not prefilled again.
   let is_second = |seen: &&Seen| seen.id() == "r2";
   assert_eq!(prefill.requests().iter().filter(is_second).count(), 1);
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -295,7 +295,7 @@
   gateway: &GatewayBox,
   key: &str,
   tokens: Option<&'static str>,
-) -> super::harness::Asked {
+) -> super::harness::CallerResponse {
   let mut request = gateway.request("/unsafe/a", "r");
   let headers = request.headers_mut();
   headers.remove("x-token-counts");
@@ -344,7 +344,7 @@
   let test = GatewayTest::new().await.configure(with_a_limit);
   let gateway = test.with_portal(&one).await;
   assert_eq!(ask(&gateway, "key-a", None).await.status, StatusCode::OK);
-  let text = gateway.shown_limits();
+  let text = gateway.limits_output();
   let row: Vec<&str> = text.lines().nth(1).unwrap().split_whitespace().collect();
   assert_eq!(row[0], "captions", "{text}");
   let left: f64 = row[1].parse().unwrap();
--- a/tests/gateway/mod.rs
+++ b/tests/gateway/mod.rs
@@ -31,5 +31,5 @@
 
 pub(crate) use self::{
   endpoint::{EndpointStandIn, Reply, Seen},
-  harness::{GatewayBox, GatewayTest, PATIENCE},
+  harness::{GatewayBox, GatewayTest, TIMEOUT},
 };
--- a/tests/gateway/notices.rs
+++ b/tests/gateway/notices.rs
@@ -4,7 +4,7 @@
 
 use {
   super::{
-    EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply, Seen,
+    EndpointStandIn, GatewayBox, GatewayTest, Reply, Seen, TIMEOUT,
     endpoint::{engine_reply, leaving, turned_away},
   },
   emulator::eventually,
@@ -188,7 +188,7 @@
     gateway.ask("/safe/a", "r1").await;
     one.requests().len() > 2
   };
-  assert!(eventually(PATIENCE, is_called_again).await);
+  assert!(eventually(TIMEOUT, is_called_again).await);
 }
 
 /// The notice applies once the head of a stream arrives, long before its end.
@@ -212,7 +212,7 @@
     .with_engines(&prefill, &decode)
     .await;
   let first = gateway.ask_in_background("/stream/a", "r1");
-  assert!(eventually(PATIENCE, async || !decode.requests().is_empty()).await);
+  assert!(eventually(TIMEOUT, async || !decode.requests().is_empty()).await);
   assert_eq!(first.await.unwrap().unwrap(), StatusCode::OK);
   let other = EndpointStandIn::engine(EVENTS).await;
   gateway.test.enter("e-3", "llm", Some("decode"), &other);
@@ -220,7 +220,7 @@
     let asked = gateway.ask("/stream/a", "r2").await;
     asked.status == StatusCode::OK && asked.body.is_ok()
   };
-  assert!(eventually(PATIENCE, goes_elsewhere).await);
+  assert!(eventually(TIMEOUT, goes_elsewhere).await);
   assert_eq!(decode.requests().len(), 1);
 }
 
@@ -244,7 +244,7 @@
     let mut calls = decode.seen().into_iter();
     calls.any(|seen| seen.path.starts_with("/hold-drop/"))
   };
-  assert!(eventually(PATIENCE, is_released).await);
+  assert!(eventually(TIMEOUT, is_released).await);
 }
 
 /// Only requests that were in flight before the notice reach the endpoint.
@@ -272,21 +272,21 @@
 async fn only_another_incarnation_revokes_the_notice() {
   let one = EndpointStandIn::start(|seen| leaving(Reply::ok(seen, "one"))).await;
   let test = GatewayTest::new().await;
-  GatewayTest::enter_plain_life(&test.store, "p-1", one.address, 1_000);
+  GatewayTest::enter_plain_incarnation(&test.store, "p-1", one.address, 1_000);
   let gateway = test.start().await;
   assert_eq!(gateway.ask("/unsafe/a", "r1").await.status, StatusCode::OK);
   let store = &gateway.test.store;
   for number in 0..10 {
     store.remove("servers/p-1");
-    GatewayTest::enter_plain_life(store, "p-1", one.address, 1_000);
+    GatewayTest::enter_plain_incarnation(store, "p-1", one.address, 1_000);
     let asked = gateway.ask("/unsafe/a", &format!("s{number}")).await;
     assert_eq!(asked.status, StatusCode::SERVICE_UNAVAILABLE);
     sleep(Duration::from_millis(30)).await;
   }
   assert_eq!(one.requests().len(), 1);
-  GatewayTest::enter_plain_life(store, "p-1", one.address, 2_000);
+  GatewayTest::enter_plain_incarnation(store, "p-1", one.address, 2_000);
   let is_served = async || gateway.ask("/unsafe/a", "t").await.status == StatusCode::OK;
-  assert!(eventually(PATIENCE, is_served).await);
+  assert!(eventually(TIMEOUT, is_served).await);
 }
 
 /// The retry-after delay must cover the backoff of the endpoints.
--- a/tests/gateway/organisations.rs
+++ b/tests/gateway/organisations.rs
@@ -2,7 +2,7 @@
 
 use {
   super::{
-    EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply, Seen, store_proxy::StoreProxy,
+    EndpointStandIn, GatewayBox, GatewayTest, Reply, Seen, TIMEOUT, store_proxy::StoreProxy,
   },
   emulator::eventually,
   http::{HeaderValue, StatusCode, header::AUTHORIZATION},
@@ -101,7 +101,7 @@
 #[case::of_the_organisation("organisation", "3")]
 #[tokio::test]
 async fn each_stage_of_a_stream_carries_the_organisation_and_a_priority(
-  #[case] engine_marks: &'static str,
+  #[case] engine_priority: &'static str,
   #[case] priority: &str,
 ) {
   let prefill = EndpointStandIn::start(|seen| {
@@ -118,7 +118,7 @@
   })
   .await;
   let mut test = GatewayTest::new().await.configure(with_organisations);
-  test.engine_marks = engine_marks;
+  test.engine_priority = engine_priority;
   let gateway = test.with_engines(&prefill, &decode).await;
   assert_eq!(
     ask(&gateway, "/stream/a", &["Bearer key-a"]).await,
@@ -155,7 +155,7 @@
     {"name": "idle", "apiKeys": []},
   ]);
   put(&gateway, 9, organisations);
-  assert!(eventually(PATIENCE, async || is_served(&gateway, "key-d").await).await);
+  assert!(eventually(TIMEOUT, async || is_served(&gateway, "key-d").await).await);
   assert!(!is_served(&gateway, "key-c").await);
   assert!(is_served(&gateway, "key-b").await);
   assert_eq!(last(&one).header("x-tenant"), "lectures");
@@ -170,7 +170,7 @@
     10,
     json!([{"name": "captions", "apiKeys": ["key-e"]}]),
   );
-  assert!(eventually(PATIENCE, async || is_served(&gateway, "key-e").await).await);
+  assert!(eventually(TIMEOUT, async || is_served(&gateway, "key-e").await).await);
   assert!(!is_served(&gateway, "key-c").await);
 }
 
@@ -191,7 +191,7 @@
     is_served(&gateway, "key-a").await;
     !other.requests().is_empty()
   };
-  assert!(eventually(PATIENCE, seen_by_other).await);
+  assert!(eventually(TIMEOUT, seen_by_other).await);
   assert!(is_served(&gateway, "key-a").await);
 }
 
@@ -200,10 +200,10 @@
 async fn box_cut_off_from_the_store_receives_keys_from_another_box() {
   let one = EndpointStandIn::start(|seen| Reply::ok(seen, "one")).await;
   let test = GatewayTest::new().await.configure(with_organisations);
-  let path = StoreProxy::to(test.store.address).await;
-  let beside = test.beside("north-2", path.address);
+  let proxy = StoreProxy::to(test.store.address).await;
+  let second = test.second_box("north-2", proxy.address);
   let sound = test.with_portal(&one).await;
-  let cut_off = beside.start().await;
+  let cut_off = second.start().await;
   let know_each_other = async || {
     let entered = |key: &String| key.contains("north-1") || key.contains("north-2");
     sound
@@ -215,7 +215,7 @@
       .count()
       >= 2
   };
-  assert!(eventually(PATIENCE, know_each_other).await);
+  assert!(eventually(TIMEOUT, know_each_other).await);
   // An endpoint that is listed now is seen after the boxes' entries.
   let other = EndpointStandIn::start(|seen| Reply::ok(seen, "other")).await;
   sound.test.enter("p-2", "portal", None, &other);
@@ -223,8 +223,8 @@
     is_served(&cut_off, "key-a").await;
     !other.requests().is_empty()
   };
-  assert!(eventually(PATIENCE, has_seen_it).await);
-  path.cut().await;
+  assert!(eventually(TIMEOUT, has_seen_it).await);
+  proxy.cut().await;
   put(
     &sound,
     9,
@@ -232,7 +232,7 @@
   );
   let is_refused =
     async || ask(&cut_off, "/safe/a", &["Bearer key-a"]).await == StatusCode::UNAUTHORIZED;
-  assert!(eventually(PATIENCE, is_refused).await);
+  assert!(eventually(TIMEOUT, is_refused).await);
   assert!(is_served(&cut_off, "key-b").await);
 }
 
@@ -245,7 +245,7 @@
     let status = ask(&gateway, "/safe/a", &["Bearer new"]).await;
     status == StatusCode::SERVICE_UNAVAILABLE
   };
-  assert!(eventually(PATIENCE, not_run).await);
+  assert!(eventually(TIMEOUT, not_run).await);
   assert_eq!(
     ask(&gateway, "/safe/a", &[]).await,
     StatusCode::UNAUTHORIZED
--- a/tests/gateway/relay.rs
+++ b/tests/gateway/relay.rs
@@ -1,7 +1,7 @@
 //! Boxes that follow store readers, and when they stop.
 
 use {
-  super::{EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply},
+  super::{EndpointStandIn, GatewayBox, GatewayTest, Reply, TIMEOUT},
   bytes::Bytes,
   emulator::eventually,
   http::Request,
@@ -182,7 +182,7 @@
   let uri = format!("http://{}/changes/{revision}", gateway.boxes);
   let request = Request::get(uri).body(Full::new(Bytes::new())).unwrap();
   let body = HttpClient::default()
-    .fetch_bytes(request, PATIENCE)
+    .fetch_bytes(request, TIMEOUT)
     .await
     .unwrap();
   let (changes, _store_age_ms): (StoreChanges, Option<u64>) = postcard::from_bytes(&body).unwrap();
@@ -213,7 +213,7 @@
   gateway.test.enter("p-3", "portal", None, &one);
   gateway.test.store.forget_history();
   gateway.test.store.set_down(false);
-  assert!(eventually(PATIENCE, async || gateway.test.store.listings() > listings).await);
+  assert!(eventually(TIMEOUT, async || gateway.test.store.listings() > listings).await);
   let has_all_changes = async || match changes_after(&gateway, before).await {
     StoreChanges::HistoryLost => panic!("the follower has to list the store"),
     StoreChanges::Some { items, .. } => {
@@ -226,5 +226,5 @@
       has("p-1", false) && has("p-3", true) && !has("p-2", true)
     }
   };
-  assert!(eventually(PATIENCE, has_all_changes).await);
+  assert!(eventually(TIMEOUT, has_all_changes).await);
 }
--- a/tests/gateway/roles.rs
+++ b/tests/gateway/roles.rs
@@ -1,7 +1,7 @@
 //! Commands of the role leader to engines.
 
 use {
-  super::{EndpointStandIn, GatewayTest, PATIENCE, Reply, Seen},
+  super::{EndpointStandIn, GatewayTest, Reply, Seen, TIMEOUT},
   emulator::eventually,
   rstest::rstest,
   serde_json::Value,
@@ -38,7 +38,7 @@
     endpoints.push(endpoint);
   }
   let gateway = test.start().await;
-  assert!(eventually(PATIENCE, async || commands(&endpoints).len() == 3).await);
+  assert!(eventually(TIMEOUT, async || commands(&endpoints).len() == 3).await);
   let fence = {
     assert!(
       gateway
@@ -81,7 +81,7 @@
   sleep(Duration::from_millis(1_500)).await;
   assert!(commands(&endpoints).is_empty());
   gateway.test.store.remove(key);
-  assert!(eventually(PATIENCE, async || commands(&endpoints).len() == 1).await);
+  assert!(eventually(TIMEOUT, async || commands(&endpoints).len() == 1).await);
 }
 
 #[tokio::test]
@@ -104,7 +104,7 @@
       .keys()
       .contains(&"rillford/steward".to_string())
   };
-  assert!(eventually(PATIENCE, is_leader).await);
+  assert!(eventually(TIMEOUT, is_leader).await);
   gateway.test.store.put("rillford/steward", b"north-9");
   gateway
     .test
@@ -126,7 +126,7 @@
   }
   let gateway = test.start().await;
   // One of four is to prefill. The two that are reassigned still report the prefill role.
-  assert!(eventually(PATIENCE, async || commands(&endpoints).len() == 2).await);
+  assert!(eventually(TIMEOUT, async || commands(&endpoints).len() == 2).await);
   // Two of five are to prefill: one of the four and the new engine.
   gateway
     .test
--- a/tests/gateway/seats.rs
+++ b/tests/gateway/seats.rs
@@ -1,7 +1,7 @@
 //! Who gets the next seat, and how much memory is asked for.
 
 use {
-  super::{EndpointStandIn, GatewayTest, PATIENCE, Reply, Seen, endpoint::engine_reply},
+  super::{EndpointStandIn, GatewayTest, Reply, Seen, TIMEOUT, endpoint::engine_reply},
   emulator::eventually,
   http::HeaderValue,
   rillford::gateway::{SlotForecast, SlotQueue, SlotUrgency},
@@ -56,14 +56,14 @@
   let begins = gateway.ask("/stream/a", "new");
   let goes_on = async {
     // The new one looks for a seat already.
-    assert!(eventually(PATIENCE, async || holds() > 0).await);
+    assert!(eventually(TIMEOUT, async || holds() > 0).await);
     let mut request = gateway.request("/resumable/a", "again");
     let event = HeaderValue::from_static("0");
     request.headers_mut().insert("last-event-id", event);
     gateway.send(request).await
   };
   let opened = async {
-    assert!(eventually(PATIENCE, async || holds() > 30).await);
+    assert!(eventually(TIMEOUT, async || holds() > 30).await);
     is_open.store(true, Ordering::Relaxed);
   };
   tokio::join!(begins, goes_on, opened);
--- a/tests/gateway/streams.rs
+++ b/tests/gateway/streams.rs
@@ -1,9 +1,7 @@
 //! Streams: the slot, the prefill and the events; an interrupted stream is resumed if its route allows, otherwise aborted.
 
 use {
-  super::{
-    EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply, Seen, endpoint::engine_reply,
-  },
+  super::{EndpointStandIn, GatewayBox, GatewayTest, Reply, Seen, TIMEOUT, endpoint::engine_reply},
   emulator::eventually,
   http::StatusCode,
   rstest::rstest,
@@ -138,7 +136,7 @@
   assert_eq!((one.requests().len(), other.requests().len()), (1, 1));
   gateway.test.enter("e-4", "llm", Some("decode"), &third);
   assert!(
-    eventually(PATIENCE, async || gateway
+    eventually(TIMEOUT, async || gateway
       .ask("/stream/a", "r2")
       .await
       .status
@@ -156,8 +154,8 @@
   assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
   let released =
     |endpoint: &EndpointStandIn, path: &str| endpoint.seen().iter().any(|seen| seen.path == path);
-  assert!(eventually(PATIENCE, async || released(&prefill, "/kv-handle/e1")).await);
-  assert!(eventually(PATIENCE, async || released(&decode, "/hold-drop/h1")).await);
+  assert!(eventually(TIMEOUT, async || released(&prefill, "/kv-handle/e1")).await);
+  assert!(eventually(TIMEOUT, async || released(&decode, "/hold-drop/h1")).await);
 }
 
 #[tokio::test]
@@ -173,9 +171,9 @@
   let decode = EndpointStandIn::start(silent).await;
   let gateway = serve(&prefill, &decode).await;
   let pending = gateway.ask_in_background("/stream/a", "r1");
-  assert!(eventually(PATIENCE, async || decode.requests().len() == 1).await);
+  assert!(eventually(TIMEOUT, async || decode.requests().len() == 1).await);
   pending.abort();
-  assert!(eventually(PATIENCE, async || decode.closed().len() == 1).await);
+  assert!(eventually(TIMEOUT, async || decode.closed().len() == 1).await);
 }
 
 #[tokio::test]
@@ -184,16 +182,16 @@
   let decode = EndpointStandIn::engine(EVENTS).await;
   let gateway = serve(&prefill, &decode).await;
   let pending = gateway.ask_in_background("/stream/a", "r1");
-  assert!(eventually(PATIENCE, async || prefill.requests().len() == 1).await);
+  assert!(eventually(TIMEOUT, async || prefill.requests().len() == 1).await);
   pending.abort();
-  assert!(eventually(PATIENCE, async || prefill.closed().len() == 1).await);
+  assert!(eventually(TIMEOUT, async || prefill.closed().len() == 1).await);
   let dropped = async || {
     decode
       .seen()
       .iter()
       .any(|seen| seen.path == "/hold-drop/h1")
   };
-  assert!(eventually(PATIENCE, dropped).await);
+  assert!(eventually(TIMEOUT, dropped).await);
 }
 
 /// Guards against a paused stream being abandoned before another engine has a slot (sariwa-ops, mix --seed 135855253762).
