--- a/emulator/src/places/replay.rs
+++ b/emulator/src/places/replay.rs
@@ -15,8 +15,8 @@
   rillford::{
     gateway::{
       AdvertisedLimit, BoxList, EndpointEntry, EndpointIncarnation, ISOLATED_BOXES, LimitChange,
-      LimitSource, LocalPermitVerdict, NamedLimit, PermitRequest, PermitVerdict, ReportScope,
-      TokenBucket, UsageTotals, UsageVerdict, UseLimit, coordinator_limit, coordinator_order,
+      LimitHeader, LimitSource, LocalPermitVerdict, PermitRequest, PermitVerdict, ReportScope,
+      TokenBucket, UsageLimit, UsageTotals, UsageVerdict, coordinator_limit, coordinator_order,
       isolated_limit,
     },
     ids::Name,
@@ -80,13 +80,13 @@
 ) -> PlaceFigures {
   let entry = EndpointEntry {
     address: ([127, 0, 0, 1], 1).into(),
-    born_ms: Some(1),
+    started_ms: Some(1),
     cold_ms: 0,
     hall: PlaceFleet::hall(0).as_str().into(),
     id: format!("e-{seed}").as_str().into(),
     leaving: false,
     role: None,
-    seats: 8,
+    slots: 8,
     service: "portal".into(),
   };
   let list = fleet.list_without(None);
@@ -243,7 +243,7 @@
     match self.way {
       PlaceWay::Off => self.send(at),
       PlaceWay::EvenParts => {
-        let part = UseLimit {
+        let part = UsageLimit {
           burst: 1.0,
           rate_per_s: coordinator_limit(per_s).rate_per_s / self.fleet.boxes as f64,
         };
@@ -405,12 +405,14 @@
       per_s: Some(word.per_s),
       source: LimitSource::Box,
     };
-    let (id, born_ms) = (self.entry.id.clone(), self.entry.born_ms);
-    self.boxes[at].limits.record_reported(&id, born_ms, heard)
+    let (id, started_ms) = (self.entry.id.clone(), self.entry.started_ms);
+    self.boxes[at]
+      .limits
+      .record_reported(&id, started_ms, heard)
   }
 
   fn life(&self) -> EndpointIncarnation {
-    EndpointIncarnation::of(&self.entry.id, self.entry.born_ms)
+    EndpointIncarnation::of(&self.entry.id, self.entry.started_ms)
   }
 
   fn give_out(&mut self, at: usize, wish: &PermitRequest) -> PermitVerdict {
@@ -499,7 +501,7 @@
   fn heard(&mut self, at: usize, sent_ms: u64, per_s: f64) {
     let now_ms = self.now_ms;
     self.boxes[at].answered_ms.get_or_insert(now_ms);
-    let said = NamedLimit::PerS(per_s);
+    let said = LimitHeader::PerSecond(per_s);
     let limits = &mut self.boxes[at].limits;
     let news = limits.record_response(&self.entry, said, sent_ms, now_ms);
     if news != LimitChange::Started || self.way != PlaceWay::AskedAndTold {
--- a/src/gateway/decisions/allowed_halls.rs
+++ b/src/gateway/decisions/allowed_halls.rs
@@ -1,16 +1,16 @@
 //! The data halls whose endpoints may serve a request. Free of I/O.
 
 use {
-  crate::{gateway::edge::Homes, ids::Name},
+  crate::{gateway::edge::RegionSet, ids::Name},
   std::collections::{BTreeMap, BTreeSet},
 };
 
 /// The halls in the allowed regions of a request.
 ///
 /// ```
-/// use {rillford::gateway::{AllowedHalls, Homes}, std::collections::BTreeMap};
+/// use {rillford::gateway::{AllowedHalls, RegionSet}, std::collections::BTreeMap};
 /// let regions = BTreeMap::from([("bern-a".into(), "bern".into()), ("geneve-a".into(), "geneve".into())]);
-/// let bern = Homes::new(["bern".into()]).unwrap();
+/// let bern = RegionSet::new(["bern".into()]).unwrap();
 /// let halls = AllowedHalls::of(&regions, [Some(&bern), None]);
 /// assert!(halls.contains("bern-a") && !halls.contains("geneve-a") && !halls.contains("unknown"));
 /// assert!(AllowedHalls::of(&regions, [None, None]).contains("unknown"));
@@ -27,13 +27,13 @@
   /// The halls whose region is allowed by everyone who restricts regions. `regions` has the region of each hall.
   pub fn of<'a>(
     regions: &BTreeMap<Name, Name>,
-    homes: impl IntoIterator<Item = Option<&'a Homes>>,
+    region_sets: impl IntoIterator<Item = Option<&'a RegionSet>>,
   ) -> Self {
-    let homes: Vec<&Homes> = homes.into_iter().flatten().collect();
-    if homes.is_empty() {
+    let region_sets: Vec<&RegionSet> = region_sets.into_iter().flatten().collect();
+    if region_sets.is_empty() {
       return Self::Any;
     }
-    let is_allowed = |region: &Name| homes.iter().all(|homes| homes.contains(region));
+    let is_allowed = |region: &Name| region_sets.iter().all(|regions| regions.contains(region));
     let halls = regions.iter().filter(|(_, region)| is_allowed(region));
     Self::Only(halls.map(|(hall, _)| hall.clone()).collect())
   }
--- a/src/gateway/decisions/cached_prompts.rs
+++ b/src/gateway/decisions/cached_prompts.rs
@@ -1,7 +1,7 @@
 //! Which engines have which prompt blocks cached, as they listed them. Free of I/O.
 
 use {
-  crate::{gateway::edge::PromptPart, ids::Name},
+  crate::{gateway::edge::PromptSegment, ids::Name},
   std::collections::HashMap,
 };
 
@@ -11,8 +11,8 @@
 /// The prompt caches of one service's engines.
 ///
 /// ```
-/// use rillford::gateway::{CachedPrompts, PromptPart};
-/// let part = |id: &str, tokens| PromptPart { id: id.into(), tokens };
+/// use rillford::gateway::{CachedPrompts, PromptSegment};
+/// let part = |id: &str, tokens| PromptSegment { id: id.into(), tokens };
 /// let mut cached = CachedPrompts::default();
 /// cached.begin(1_000);
 /// cached.add(&"e-1".into(), vec![part("5c", 200), part("9a", 900)]);
@@ -43,13 +43,13 @@
   }
 
   /// Adds one engine's blocks to the listing.
-  pub fn add(&mut self, engine: &Name, parts: Vec<PromptPart>) {
+  pub fn add(&mut self, engine: &Name, parts: Vec<PromptSegment>) {
     let parts = parts.into_iter().map(|part| (part.id, part.tokens));
     self.by_engine.insert(engine.clone(), parts.collect());
   }
 
   /// The engines with a cached prefix of a prompt and its length in tokens, the longest first.
-  pub fn engines(&self, prompt: &[PromptPart]) -> Vec<(Name, u64)> {
+  pub fn engines(&self, prompt: &[PromptSegment]) -> Vec<(Name, u64)> {
     let mut found: Vec<(Name, u64)> = self
       .by_engine
       .iter()
@@ -62,7 +62,7 @@
 }
 
 /// Length in tokens of the longest cached prefix.
-fn cached_prefix_tokens(cached: &HashMap<Name, u64>, prompt: &[PromptPart]) -> u64 {
+fn cached_prefix_tokens(cached: &HashMap<Name, u64>, prompt: &[PromptSegment]) -> u64 {
   let mut tokens = 0;
   for part in prompt {
     let cached_tokens = cached.get(&part.id).copied().unwrap_or(0).min(part.tokens);
--- a/src/gateway/decisions/local_usage.rs
+++ b/src/gateway/decisions/local_usage.rs
@@ -10,7 +10,7 @@
     limit_strategy::LimitStrategy, recent_usage::RecentUsage, token_bucket::TokenBucket,
     usage_verdict::UsageVerdict,
   },
-  crate::{gateway::edge::UseLimit, ids::Name},
+  crate::{gateway::edge::UsageLimit, ids::Name},
   std::collections::{BTreeMap, HashMap},
 };
 
@@ -28,7 +28,7 @@
 pub struct UsageRequest<'a> {
   pub organisation: &'a Name,
   /// Its limit over all boxes.
-  pub limit: UseLimit,
+  pub limit: UsageLimit,
   pub units: u64,
   pub boxes: usize,
   /// The time of its arrival.
@@ -55,9 +55,9 @@
 /// A box's own usage, and the limits as reported by coordinators.
 ///
 /// ```
-/// use rillford::gateway::{LimitStrategy, LocalVerdict, LocalUsage, UseLimit, UsageRequest, UsageVerdict};
+/// use rillford::gateway::{LimitStrategy, LocalVerdict, LocalUsage, UsageLimit, UsageRequest, UsageVerdict};
 /// let lectures = "lectures".into();
-/// let limit = UseLimit { burst: 100.0, rate_per_s: 10.0 };
+/// let limit = UsageLimit { burst: 100.0, rate_per_s: 10.0 };
 /// let mut usage = LocalUsage::default();
 /// usage.record_near_limit(vec![], 0);
 /// let request = UsageRequest { boxes: 10, limit, now_ms: 0, organisation: &lectures, units: 80 };
@@ -83,8 +83,8 @@
 /// A box's local share of a limit.
 #[derive(Clone, Copy, Debug)]
 struct LocalShare {
-  whole: UseLimit,
-  share: UseLimit,
+  whole: UsageLimit,
+  share: UsageLimit,
   bucket: TokenBucket,
 }
 
@@ -283,19 +283,19 @@
 }
 
 /// The share of a limit at a rate; its burst fits at least one request.
-fn share_of(request: UsageRequest, rate_per_s: f64) -> UseLimit {
-  let UseLimit {
+fn share_of(request: UsageRequest, rate_per_s: f64) -> UsageLimit {
+  let UsageLimit {
     burst,
     rate_per_s: limit_per_s,
   } = request.limit;
-  UseLimit {
+  UsageLimit {
     burst: (burst * rate_per_s / limit_per_s).max(request.units as f64),
     rate_per_s,
   }
 }
 
 impl LocalShare {
-  fn new(whole: UseLimit, share: UseLimit, now_ms: u64) -> Self {
+  fn new(whole: UsageLimit, share: UsageLimit, now_ms: u64) -> Self {
     Self {
       bucket: TokenBucket::full(share, now_ms),
       whole,
@@ -306,7 +306,7 @@
 
 impl NearLimit {
   /// The verdict on a request by the remaining units in the last response, less what was admitted since.
-  fn verdict(&self, limit: UseLimit, units: u64) -> UsageVerdict {
+  fn verdict(&self, limit: UsageLimit, units: u64) -> UsageVerdict {
     let wanted = (units as f64).min(limit.burst);
     if self.remaining >= wanted {
       return UsageVerdict::WithinLimit;
--- a/src/gateway/decisions/permit_account.rs
+++ b/src/gateway/decisions/permit_account.rs
@@ -5,7 +5,7 @@
 
 use {
   super::token_bucket::TokenBucket,
-  crate::{gateway::edge::UseLimit, ids::Name},
+  crate::{gateway::edge::UsageLimit, ids::Name},
   serde::{Deserialize, Serialize},
   std::collections::HashMap,
 };
@@ -50,8 +50,8 @@
 /// The permits at one endpoint.
 ///
 /// ```
-/// use rillford::gateway::{PermitAccount, PermitVerdict, PermitRequest, UseLimit};
-/// let limit = UseLimit { burst: 3.0, rate_per_s: 2.0 };
+/// use rillford::gateway::{PermitAccount, PermitVerdict, PermitRequest, UsageLimit};
+/// let limit = UsageLimit { burst: 3.0, rate_per_s: 2.0 };
 /// let mut account = PermitAccount::new(limit, 0);
 /// let permit_request = PermitRequest { box_name: "north-1".into(), permits: 1, priority: 4, unused: 0 };
 /// // The account starts empty: requests sent before the limit was received may still be in flight.
@@ -61,7 +61,7 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct PermitAccount {
-  limit: UseLimit,
+  limit: UsageLimit,
   bucket: TokenBucket,
   /// The last time slot that was assigned to a box without a permit.
   last_slot_ms: u64,
@@ -73,7 +73,7 @@
 }
 
 impl PermitAccount {
-  pub fn new(limit: UseLimit, now_ms: u64) -> Self {
+  pub fn new(limit: UsageLimit, now_ms: u64) -> Self {
     Self {
       last_request_ms: now_ms,
       bucket: TokenBucket::empty(now_ms),
@@ -86,7 +86,7 @@
 
   /// Applies a changed limit: permits accrue at its rate from now on. A limit that goes up and down with each response
   /// grants no extra permits.
-  pub fn set_limit(&mut self, limit: UseLimit, now_ms: u64) {
+  pub fn set_limit(&mut self, limit: UsageLimit, now_ms: u64) {
     self.bucket.level(self.limit, now_ms);
     self.limit = limit;
   }
--- a/src/gateway/decisions/quarantine_registry.rs
+++ b/src/gateway/decisions/quarantine_registry.rs
@@ -115,9 +115,9 @@
 ///   body: b"prompt", host: "lectures.example", method: "POST", organisation: None, path: "/a/1",
 /// });
 /// let mut registry = QuarantineRegistry::default();
-/// for born_ms in [1, 2, 3] {
+/// for started_ms in [1, 2, 3] {
 ///   assert_eq!(registry.verdict(fingerprint, 0), QuarantineVerdict::Allowed);
-///   let mark = QuarantineMark::Crashed(EndpointIncarnation::of("e-1", Some(born_ms)));
+///   let mark = QuarantineMark::Crashed(EndpointIncarnation::of("e-1", Some(started_ms)));
 ///   registry.record(QuarantineKey { fingerprint, mark }, 0);
 /// }
 /// assert_eq!(registry.verdict(fingerprint, 0), QuarantineVerdict::Probe { number: 1 });
--- a/src/gateway/decisions/usage_table.rs
+++ b/src/gateway/decisions/usage_table.rs
@@ -12,7 +12,7 @@
     peer_usage::Peer, recent_usage::RecentUsage, reporter_list::ReporterList,
     token_bucket::TokenBucket, usage_verdict::UsageVerdict,
   },
-  crate::{gateway::edge::UseLimit, ids::Name},
+  crate::{gateway::edge::UsageLimit, ids::Name},
   serde::{Deserialize, Serialize},
   std::collections::HashMap,
 };
@@ -52,7 +52,7 @@
 
 #[derive(Clone, Debug)]
 struct Account {
-  limit: UseLimit,
+  limit: UsageLimit,
   bucket: TokenBucket,
   /// Units that this box has charged since it started.
   total: i64,
@@ -66,9 +66,9 @@
 /// The accounts of a coordinator.
 ///
 /// ```
-/// use rillford::gateway::{UsageTable, UseLimit, UsageVerdict};
+/// use rillford::gateway::{UsageTable, UsageLimit, UsageVerdict};
 /// let mut table = UsageTable::default();
-/// let limit = UseLimit { burst: 100.0, rate_per_s: 10.0 };
+/// let limit = UsageLimit { burst: 100.0, rate_per_s: 10.0 };
 /// let lectures = "lectures".into();
 /// table.set_limits([("lectures".into(), limit)], 0);
 /// assert_eq!(table.admit(&lectures, 80, 0), UsageVerdict::WithinLimit);
@@ -91,7 +91,7 @@
 
 impl UsageTable {
   /// Applies limits. Totals of organisations that no longer have one are kept, since other coordinators charge their growth.
-  pub fn set_limits(&mut self, limits: impl IntoIterator<Item = (Name, UseLimit)>, now_ms: u64) {
+  pub fn set_limits(&mut self, limits: impl IntoIterator<Item = (Name, UsageLimit)>, now_ms: u64) {
     let mut accounts = HashMap::new();
     for (name, limit) in limits {
       let account = match self.accounts.remove(&name) {
@@ -113,7 +113,7 @@
   }
 
   /// An organisation's limit, if any.
-  pub fn limit(&self, organisation: &str) -> Option<UseLimit> {
+  pub fn limit(&self, organisation: &str) -> Option<UsageLimit> {
     self.accounts.get(organisation).map(|account| account.limit)
   }
 
@@ -154,14 +154,14 @@
   }
 
   /// Remaining units of an organisation and its limit, if it has one.
-  pub fn remaining(&mut self, organisation: &str, now_ms: u64) -> Option<(f64, UseLimit)> {
+  pub fn remaining(&mut self, organisation: &str, now_ms: u64) -> Option<(f64, UsageLimit)> {
     let account = self.accounts.get_mut(organisation)?;
     let remaining = account.bucket.level(account.limit, now_ms);
     Some((remaining, account.limit))
   }
 
   /// All organisations with a limit, each with its remaining units and limit.
-  pub fn balances(&mut self, now_ms: u64) -> Vec<(Name, f64, UseLimit)> {
+  pub fn balances(&mut self, now_ms: u64) -> Vec<(Name, f64, UsageLimit)> {
     let names: Vec<Name> = self.accounts.keys().cloned().collect();
     let mut balances = Vec::new();
     for name in names {
@@ -268,7 +268,7 @@
 }
 
 impl Account {
-  fn new(limit: UseLimit, former_total: Option<i64>, now_ms: u64) -> Self {
+  fn new(limit: UsageLimit, former_total: Option<i64>, now_ms: u64) -> Self {
     let total = former_total.unwrap_or(0);
     Self {
       bucket: TokenBucket::full(limit, now_ms),
@@ -280,7 +280,7 @@
     }
   }
 
-  fn with_limit(mut self, limit: UseLimit, now_ms: u64) -> Self {
+  fn with_limit(mut self, limit: UsageLimit, now_ms: u64) -> Self {
     if limit != self.limit {
       self.bucket.change(self.limit, limit, now_ms);
       self.limit = limit;
--- a/src/gateway/limits/messages.rs
+++ b/src/gateway/limits/messages.rs
@@ -4,7 +4,7 @@
   crate::{
     CallError, HttpClient,
     gateway::{
-      connections::{message_answer, read_message, send_message, status_answer},
+      connections::{message_response, read_message, send_message, status_response},
       decisions::{UsageTotals, UsageVerdict},
       state::Gateway,
     },
@@ -73,7 +73,7 @@
   request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
   let Some(report) = decode_message::<UsageReport>(request).await else {
-    return status_answer(StatusCode::BAD_REQUEST);
+    return status_response(StatusCode::BAD_REQUEST);
   };
   let now_ms = gateway.now_ms();
   let mut usage = gateway.usage_table.borrow_mut();
@@ -88,7 +88,7 @@
     near_limit: usage.near_limit(now_ms),
     verdict,
   };
-  message_answer(&response)
+  message_response(&response)
 }
 
 /// Applies the totals of another coordinator.
@@ -97,7 +97,7 @@
   request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
   let Some(totals) = decode_message::<UsageTotals>(request).await else {
-    return status_answer(StatusCode::BAD_REQUEST);
+    return status_response(StatusCode::BAD_REQUEST);
   };
   let now_ms = gateway.now_ms();
   // `now_ms` counts from the start of this process.
@@ -106,7 +106,7 @@
     .usage_table
     .borrow_mut()
     .merge_totals(&totals, uptime_ms, now_ms);
-  status_answer(StatusCode::OK)
+  status_response(StatusCode::OK)
 }
 
 async fn decode_message<M: DeserializeOwned>(request: Request<Incoming>) -> Option<M> {
--- a/src/gateway/limits/metrics.rs
+++ b/src/gateway/limits/metrics.rs
@@ -2,7 +2,7 @@
 
 use {
   crate::{
-    gateway::{edge::UseLimit, state::Gateway},
+    gateway::{edge::UsageLimit, state::Gateway},
     ids::Name,
   },
   std::fmt::Write,
@@ -29,10 +29,10 @@
   text
 }
 
-fn nearest_to_limits(gateway: &Gateway) -> Vec<(Name, f64, UseLimit)> {
+fn nearest_to_limits(gateway: &Gateway) -> Vec<(Name, f64, UsageLimit)> {
   let now_ms = gateway.now_ms();
   let mut all = gateway.usage_table.borrow_mut().balances(now_ms);
-  let remaining_share = |remaining: f64, limit: UseLimit| remaining / limit.burst.max(1.0);
+  let remaining_share = |remaining: f64, limit: UsageLimit| remaining / limit.burst.max(1.0);
   all.sort_by(|one, other| {
     remaining_share(one.1, one.2)
       .total_cmp(&remaining_share(other.1, other.2))
--- a/src/gateway/membership/listing.rs
+++ b/src/gateway/membership/listing.rs
@@ -2,7 +2,7 @@
 
 use {
   crate::{
-    gateway::edge::{PageAge, StoreItem, StoreKey},
+    gateway::edge::{ReadConsistency, StoreItem, StoreKey},
     ids::Name,
   },
   std::collections::HashSet,
@@ -48,10 +48,10 @@
 
   /// How stale the next page may be. An initial listing reads its first page, which has the configuration, at the current revision;
   /// the others may lag, since the watch starts at the oldest page and delivers what they lack.
-  pub(super) fn next_page_age(&self) -> PageAge {
+  pub(super) fn next_page_age(&self) -> ReadConsistency {
     match self.kind {
-      ListingKind::Initial if self.revision.is_some() => PageAge::MayLag,
-      ListingKind::Initial | ListingKind::Relist => PageAge::Current,
+      ListingKind::Initial if self.revision.is_some() => ReadConsistency::MayBeStale,
+      ListingKind::Initial | ListingKind::Relist => ReadConsistency::Current,
     }
   }
 
@@ -74,7 +74,7 @@
       StoreKey::Box(name) => drop(self.boxes.insert(name.clone())),
       StoreKey::Quarantine(text) => drop(self.quarantine.insert(text.clone())),
       StoreKey::HallDrain(hall) => drop(self.drained_halls.insert(hall.clone())),
-      StoreKey::Steward => self.has_leader = true,
+      StoreKey::RoleLeader => self.has_leader = true,
       StoreKey::Configuration | StoreKey::Other => {}
     }
   }
--- a/src/gateway/membership/own_entry.rs
+++ b/src/gateway/membership/own_entry.rs
@@ -17,7 +17,7 @@
 
 /// Registers this box, and renews its lease while it serves. The other boxes derive the number of boxes from these entries.
 pub(crate) async fn maintain_entry<S: Store>(gateway: Rc<Gateway>, store: S) {
-  let ttl = Duration::from_millis(LEASE_TTL_MS.max(gateway.settings.store.least_lease_ms));
+  let ttl = Duration::from_millis(LEASE_TTL_MS.max(gateway.settings.store.min_lease_ms));
   while *gateway.phase.borrow() == Phase::Serving {
     let sent_ms = gateway.now_ms();
     gateway.counters.store_calls.inc();
@@ -67,7 +67,7 @@
       renewed_ms: sent_ms,
       ..held
     })),
-    Err(StoreError::LeaseOver) => {
+    Err(StoreError::LeaseExpired) => {
       log::info!("E410 lease expired: registering again");
       gateway.lease.set(None);
     }
@@ -81,7 +81,7 @@
     return;
   };
   gateway.counters.store_calls.inc();
-  if let Err(error) = store.end(held.lease).await {
+  if let Err(error) = store.revoke(held.lease).await {
     log::info!("E411 lease not revoked, it expires by itself: {error}");
   }
 }
--- a/src/gateway/membership/store_view.rs
+++ b/src/gateway/membership/store_view.rs
@@ -84,7 +84,7 @@
     let halls = registry.drained_halls().names().cloned();
     let halls = halls.filter(|hall| !listing.drained_halls.contains(hall));
     let quarantine = self.quarantine_missing_from(listing);
-    let leader = (!listing.has_leader).then_some(StoreKey::Steward);
+    let leader = (!listing.has_leader).then_some(StoreKey::RoleLeader);
     endpoints
       .map(StoreKey::Endpoint)
       .chain(boxes.map(StoreKey::Box))
@@ -109,7 +109,7 @@
       (StoreKey::Configuration, None) => {
         log::warn!("E406 configuration removed: keeping the last one")
       }
-      (StoreKey::Steward, value) => self.gateway.has_leader.set(value.is_some()),
+      (StoreKey::RoleLeader, value) => self.gateway.has_leader.set(value.is_some()),
       (StoreKey::HallDrain(hall), value) => {
         self.apply_hall_drain(&hall, value.is_some(), item.revision)
       }
@@ -120,7 +120,7 @@
 
   /// The quarantine marks that this box knows and a listing lacks, without those that are still to be written.
   fn quarantine_missing_from(&self, listing: &Listing) -> Vec<Name> {
-    if self.gateway.settings.quarantine.way != QuarantineStrategy::Shared {
+    if self.gateway.settings.quarantine.strategy != QuarantineStrategy::Shared {
       return Vec::new();
     }
     let quarantine = &self.gateway.quarantine;
@@ -170,7 +170,7 @@
   }
 
   fn put_endpoint(&self, id: &str, value: &[u8], revision: u64) {
-    match self.gateway.dialect.endpoint_entry(id, value) {
+    match self.gateway.codec.endpoint_entry(id, value) {
       Ok(entry) => {
         if entry.leaving {
           self.gateway.pool.close(id);
@@ -192,7 +192,7 @@
   }
 
   fn apply_configuration(&self, value: &[u8], revision: u64) {
-    match self.gateway.dialect.route_table(value) {
+    match self.gateway.codec.route_table(value) {
       Ok(table) => {
         if let Some(region) = self.unknown_region(&table) {
           log::error!(
@@ -214,7 +214,7 @@
   fn unknown_region(&self, table: &RouteTable) -> Option<Name> {
     let regions = &self.gateway.settings.regions;
     let is_region = |allowed: &str| regions.values().any(|region| &**region == allowed);
-    table.unknown_home(is_region).cloned()
+    table.unknown_region(is_region).cloned()
   }
 
   fn remove_endpoint(&self, id: &str) {
--- a/src/gateway/permits/messages.rs
+++ b/src/gateway/permits/messages.rs
@@ -8,7 +8,7 @@
   crate::{
     CallError, HttpClient,
     gateway::{
-      connections::{message_answer, read_message, send_message, status_answer},
+      connections::{message_response, read_message, send_message, status_response},
       decisions::{
         EndpointIncarnation, PermitRequest, PermitVerdict, coordinator_limit, coordinator_order,
       },
@@ -34,7 +34,7 @@
 pub(super) struct PermitRequestMessage {
   pub(super) box_name: Name,
   pub(super) endpoint: Name,
-  pub(super) born_ms: Option<u64>,
+  pub(super) started_ms: Option<u64>,
   pub(super) hall: Name,
   /// The limit that the endpoint advertised; `None` when it advertised none.
   pub(super) advertised: Option<RelayedLimit>,
@@ -72,11 +72,11 @@
   request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
   match read_message(request, MAX_BODY_BYTES).await {
-    Ok(message) if !is_coordinator_of(gateway, &message) => status_answer(StatusCode::CONFLICT),
-    Ok(message) => message_answer(&respond(gateway, &message)),
+    Ok(message) if !is_coordinator_of(gateway, &message) => status_response(StatusCode::CONFLICT),
+    Ok(message) => message_response(&respond(gateway, &message)),
     Err(error) => {
       log::info!("E609 permit request rejected: {error}");
-      status_answer(StatusCode::BAD_REQUEST)
+      status_response(StatusCode::BAD_REQUEST)
     }
   }
 }
@@ -93,17 +93,17 @@
 
 fn respond(gateway: &Gateway, message: &PermitRequestMessage) -> PermitResponse {
   let now_ms = gateway.now_ms();
-  let (id, born_ms) = (&message.endpoint, message.born_ms);
+  let (id, started_ms) = (&message.endpoint, message.started_ms);
   if let Some(advertised) = message.advertised {
-    record_relayed_limit(gateway, id, born_ms, advertised.on_local_clock(now_ms));
+    record_relayed_limit(gateway, id, started_ms, advertised.on_local_clock(now_ms));
   }
   let mut endpoints = gateway.endpoints.borrow_mut();
   if let Some(cold) = message.cold {
     let limits = endpoints.limits_mut();
-    limits.record_cold(id, born_ms, cold.on_local_clock(now_ms));
+    limits.record_cold(id, started_ms, cold.on_local_clock(now_ms));
   }
-  let advertised = endpoints.limits().advertised_by(id, born_ms);
-  let per_s = endpoints.limits().lowest_per_s(id, born_ms, now_ms);
+  let advertised = endpoints.limits().advertised_by(id, started_ms);
+  let per_s = endpoints.limits().lowest_per_s(id, started_ms, now_ms);
   drop(endpoints);
   let permit_request = PermitRequest {
     box_name: message.box_name.clone(),
@@ -115,7 +115,7 @@
     advertised: advertised.map(|limit| RelayedLimit::new(limit, now_ms)),
     verdict: grant_permits(
       gateway,
-      EndpointIncarnation::of(id, born_ms),
+      EndpointIncarnation::of(id, started_ms),
       per_s,
       &permit_request,
     ),
--- a/src/gateway/permits/metrics.rs
+++ b/src/gateway/permits/metrics.rs
@@ -54,8 +54,8 @@
 
 /// The permits remaining for an endpoint; `None` where this box has granted none.
 fn remaining_permits(gateway: &Gateway, id: &str, now_ms: u64) -> Option<f64> {
-  let born_ms = gateway.endpoints.borrow().entry(id)?.born_ms;
-  let incarnation = EndpointIncarnation::of(id, born_ms);
+  let started_ms = gateway.endpoints.borrow().entry(id)?.started_ms;
+  let incarnation = EndpointIncarnation::of(id, started_ms);
   gateway
     .permit_table
     .borrow_mut()
--- a/src/gateway/quarantine/messages.rs
+++ b/src/gateway/quarantine/messages.rs
@@ -4,7 +4,7 @@
   crate::{
     CallError, HttpClient,
     gateway::{
-      connections::{read_message, send_message, status_answer},
+      connections::{read_message, send_message, status_response},
       decisions::QuarantineKey,
       state::{Gateway, MarkOrigin},
     },
@@ -44,11 +44,11 @@
   match read_message::<Vec<Name>>(request, MAX_BODY_BYTES).await {
     Ok(texts) => {
       record_marks(gateway, &texts);
-      status_answer(StatusCode::OK)
+      status_response(StatusCode::OK)
     }
     Err(error) => {
       log::info!("E534 marks from another box rejected: {error}");
-      status_answer(StatusCode::BAD_REQUEST)
+      status_response(StatusCode::BAD_REQUEST)
     }
   }
 }
--- a/src/gateway/quarantine/screening.rs
+++ b/src/gateway/quarantine/screening.rs
@@ -5,7 +5,7 @@
     decisions::{
       Fingerprint, QuarantineKey, QuarantineMark, QuarantineStrategy, QuarantineVerdict,
     },
-    parts::{RoutedRequest, Sending},
+    stages::{RoutedRequest, SendMode},
     state::{Gateway, MarkOrigin},
   },
   std::rc::Rc,
@@ -25,7 +25,7 @@
   gateway: &Rc<Gateway>,
   request: &RoutedRequest,
 ) -> Result<(), Quarantined> {
-  let is_off = gateway.settings.quarantine.way == QuarantineStrategy::Off;
+  let is_off = gateway.settings.quarantine.strategy == QuarantineStrategy::Off;
   if is_off || gateway.quarantine.registry.borrow().is_empty() {
     return Ok(());
   }
@@ -75,7 +75,7 @@
     fingerprint: request.fingerprint(),
     mark: QuarantineMark::Probe(number),
   };
-  let is_own = match gateway.settings.quarantine.way {
+  let is_own = match gateway.settings.quarantine.strategy {
     QuarantineStrategy::Off => false,
     QuarantineStrategy::OwnBox => true,
     QuarantineStrategy::Shared => gateway.quarantine.claim(key).await,
@@ -84,7 +84,7 @@
   let now_ms = gateway.now_ms();
   gateway.quarantine.registry.borrow_mut().record(key, now_ms);
   if is_own {
-    request.sending.set(Sending::Trial(number));
+    request.send_mode.set(SendMode::Probe(number));
     log::info!(
       "E530 probe {number}: {} ({})",
       request.id(),
@@ -109,7 +109,7 @@
 
 /// Releases the probe of a request that was sent to no endpoint.
 pub(crate) fn release_unsent_probe(gateway: &Gateway, request: &RoutedRequest) {
-  if let Sending::Trial(number) = request.sending.get() {
+  if let SendMode::Probe(number) = request.send_mode.get() {
     let key = QuarantineKey {
       fingerprint: request.fingerprint(),
       mark: QuarantineMark::Probe(number),
@@ -144,7 +144,7 @@
 
 /// Publishes marks to the other boxes, where quarantine is shared.
 pub(super) fn publish(gateway: &Gateway, keys: &[QuarantineKey], is_urgent: bool) {
-  if gateway.settings.quarantine.way == QuarantineStrategy::Shared {
+  if gateway.settings.quarantine.strategy == QuarantineStrategy::Shared {
     gateway.quarantine.write(keys, MarkOrigin::Local, is_urgent);
   }
 }
--- a/src/gateway/requests/stream_send.rs
+++ b/src/gateway/requests/stream_send.rs
@@ -1,20 +1,19 @@
-//! Sending a streamed request to one engine: within the silence that is borne, and what the engine's word means for the
-//! next try.
+//! Sends a streaming request to one engine, detects its silence, and records what its result means for the next attempt.
 
 use {
-  super::{seat::reserve_seat, stream_request::StreamRequest},
+  super::{slot::reserve_slot, stream_request::StreamRequest},
   crate::gateway::{
-    edge::{EndpointEntry, Marks, Part},
-    parts::{Head, KeptExport, OutgoingPart, PartError, Reservation, send_part},
+    edge::{EndpointEntry, ProxyHeaders, Stage},
     permits::Permit,
     quarantine::{LostStage, record_lost_stage},
+    stages::{ExportGuard, OutgoingStage, Reservation, ResponseHead, StageError, send_stage},
   },
   futures_util::FutureExt,
   std::{pin::pin, time::Duration},
   tokio::time::timeout,
 };
 
-/// How long a repeatable stream may be silent before another engine takes it up: less than a caller's patience.
+/// How long a retryable stream may be silent before another engine takes it over: less than callers' timeouts.
 pub(crate) const SILENCE_MS: u64 = 1_200;
 
 impl StreamRequest {
@@ -22,22 +21,24 @@
     &mut self,
     entry: &EndpointEntry,
     mut reservation: Option<Reservation>,
-    export: Option<KeptExport>,
-  ) -> Result<Head, PartError> {
+    export: Option<ExportGuard>,
+  ) -> Result<ResponseHead, StageError> {
     self.tried.push(entry.id.clone());
-    // Counted before it is sent: the time may run out while no answer is known.
+    // Counted before it is sent: the deadline may pass before the result is known.
     self.attempts += 1;
-    let marks = self.marks(entry, reservation.as_ref(), export.as_ref());
+    let proxy_headers = self.proxy_headers(entry, reservation.as_ref(), export.as_ref());
     let sent_ms = self.gateway.now_ms();
     let permit = reservation
       .as_mut()
       .map_or(Permit::NotNeeded, Reservation::take_permit);
-    let result = self.send_within_silence(entry, &marks, permit).await;
+    let result = self
+      .send_within_silence(entry, &proxy_headers, permit)
+      .await;
     match &result {
-      Ok(_) => self.note_answer(reservation, export),
-      Err(error) => self.note_error(entry, error, export),
+      Ok(_) => self.record_response(reservation, export),
+      Err(error) => self.record_error(entry, error, export),
     }
-    if let Err(PartError::Lost(error)) = &result {
+    if let Err(StageError::Lost(error)) = &result {
       let lost = LostStage {
         entry: entry.clone(),
         error: error.clone(),
@@ -49,35 +50,36 @@
     result
   }
 
-  fn marks(
+  fn proxy_headers(
     &self,
     entry: &EndpointEntry,
     reservation: Option<&Reservation>,
-    export: Option<&KeptExport>,
-  ) -> Marks {
-    let part = export.map_or(Part::Whole, |kept| Part::AnswerFrom(kept.export.clone()));
-    Marks {
+    export: Option<&ExportGuard>,
+  ) -> ProxyHeaders {
+    let stage = export.map_or(Stage::Full, |guard| Stage::DecodeFrom(guard.export.clone()));
+    ProxyHeaders {
       last_event_id: self.last_event_id,
       reservation: reservation.map(|reservation| reservation.id.clone()),
-      ..self.request.marks(entry, part, self.gateway.now_ms())
+      ..self
+        .request
+        .proxy_headers(entry, stage, self.gateway.now_ms())
     }
   }
 
-  /// Waits for the head; an engine that is silent for too long is left alone, and given up once another one has
-  /// a seat. Silence by itself ends nothing.
+  /// Waits for the response's head. A silent engine gets no further requests, and is abandoned only once another one has a slot.
   async fn send_within_silence(
     &mut self,
     entry: &EndpointEntry,
-    marks: &Marks,
+    proxy_headers: &ProxyHeaders,
     permit: Permit,
-  ) -> Result<Head, PartError> {
+  ) -> Result<ResponseHead, StageError> {
     let (gateway, request) = (self.gateway.clone(), self.request.clone());
-    let size = request.tokens().max(1);
-    let part = OutgoingPart {
+    let size = request.expected_tokens().max(1);
+    let stage = OutgoingStage {
       permit,
-      ..OutgoingPart::new(entry, marks, size, 1)
+      ..OutgoingStage::new(entry, proxy_headers, size, 1)
     };
-    let mut sending = pin!(send_part(&gateway, &request, part));
+    let mut sending = pin!(send_stage(&gateway, &request, stage));
     loop {
       let silence = Duration::from_millis(SILENCE_MS);
       if let Ok(result) = timeout(silence, sending.as_mut()).await {
@@ -87,21 +89,21 @@
       if !self.prepare_takeover().await {
         continue;
       }
-      // It may have answered while a seat was looked for.
+      // The engine may have answered in the meantime.
       if let Some(result) = sending.as_mut().now_or_never() {
         self.cancel_takeover();
         return result;
       }
-      return Err(PartError::Lost("no answer in time".into()));
+      return Err(StageError::Lost("no response in time".into()));
     }
   }
 
-  /// Finds a seat for a further try while the present endpoint is silent.
+  /// Reserves a slot for the next attempt while the current endpoint is silent.
   pub(crate) async fn prepare_takeover(&mut self) -> bool {
     if !self.gateway.settings.mechanisms.silence_takeover {
       return false;
     }
-    if self.request.is_barred(&self.gateway) {
+    if self.request.is_blocked(&self.gateway) {
       return false;
     }
     if !self.has_attempts_left() || !self.gateway.has_retry_left(&self.request.service) {
@@ -110,65 +112,70 @@
     if !self.is_split() {
       return true;
     }
-    self.seat = reserve_seat(&self.gateway, &self.request, &self.tried).await;
-    self.seat.is_some()
+    self.slot = reserve_slot(&self.gateway, &self.request, &self.tried).await;
+    self.slot.is_some()
   }
 
-  /// The present endpoint goes on after all.
+  /// Releases that slot: the current endpoint has continued.
   pub(crate) fn cancel_takeover(&mut self) {
-    self.seat = None;
+    self.slot = None;
   }
 
-  /// An endpoint answered: it has used up the seat and the prompt.
-  fn note_answer(&mut self, reservation: Option<Reservation>, export: Option<KeptExport>) {
+  /// Records a response: the endpoint has consumed the reservation and the export.
+  fn record_response(&mut self, reservation: Option<Reservation>, export: Option<ExportGuard>) {
     if let Some(mut export) = export {
       export.set_used();
     }
     if let Some(mut reservation) = reservation {
       reservation.set_used();
     }
-    self.blame_for_refusal();
+    self.blame_rejecting_engine();
   }
 
-  fn note_error(&mut self, entry: &EndpointEntry, error: &PartError, export: Option<KeptExport>) {
+  fn record_error(
+    &mut self,
+    entry: &EndpointEntry,
+    error: &StageError,
+    export: Option<ExportGuard>,
+  ) {
     if error.has_not_run() {
       self.attempts -= 1;
     }
     log::info!(
-      "E502 part failed: {} at {}: {error}",
+      "E502 stage failed: {} at {}: {error}",
       self.request.id(),
       entry.id
     );
     match error {
-      PartError::NotRun(_) => self.note_refusal(entry, export),
-      // No engine has fetched it.
-      PartError::Unreachable
-      | PartError::Unsent(_)
-      | PartError::Unavailable(_)
-      | PartError::Barred => self.export = export,
-      PartError::Lost(_) => {}
+      StageError::NotRun(_) => self.record_rejection(entry, export),
+      // No engine has fetched the export.
+      StageError::Unreachable
+      | StageError::Unsent(_)
+      | StageError::Unavailable(_)
+      | StageError::Blocked => self.export = export,
+      StageError::Lost(_) => {}
     }
   }
 
-  /// Another engine took the prompt: the one that refused it is at fault.
-  fn blame_for_refusal(&mut self) {
-    if let Some(engine) = self.refused_by.take() {
+  /// Another engine has accepted the export: the one that rejected it is at fault.
+  fn blame_rejecting_engine(&mut self) {
+    if let Some(engine) = self.rejected_by.take() {
       self.gateway.mark_faulty(&engine);
     }
   }
 
-  /// An engine with a seat refused: it, or the prompt that another engine keeps, may be at fault.
-  fn note_refusal(&mut self, entry: &EndpointEntry, export: Option<KeptExport>) {
-    self.refusals += 1;
-    match (export, self.refused_by.take()) {
+  /// Records that an engine rejected the request despite a reservation: the engine or the export may be at fault.
+  fn record_rejection(&mut self, entry: &EndpointEntry, export: Option<ExportGuard>) {
+    self.rejections += 1;
+    match (export, self.rejected_by.take()) {
       (None, _) => self.gateway.mark_faulty(&entry.id),
       (Some(export), None) => {
-        self.refused_by = Some(entry.id.clone());
+        self.rejected_by = Some(entry.id.clone());
         self.export = Some(export);
       }
       (Some(export), Some(_)) => {
         self.gateway.mark_faulty(export.engine());
-        self.reads_itself = true;
+        self.skips_prefill = true;
       }
     }
   }
--- a/src/gateway/state/gateway.rs
+++ b/src/gateway/state/gateway.rs
@@ -14,7 +14,7 @@
         EndpointCriteria, EndpointRegistry, LocalUsage, PermitTable, RetryWindow, SlotForecast,
         SlotQueue, Unavailable, UsageTable, retry_after_backoff_ms,
       },
-      edge::{ColdStart, Dialect, EndpointEntry, RouteTable, StoreLease},
+      edge::{ColdStart, EndpointEntry, PlatformCodec, RouteTable, StoreLease},
       settings::{GatewaySettings, RoutePolicy},
     },
     ids::Name,
@@ -65,7 +65,7 @@
 
 /// One gateway box.
 pub(crate) struct Gateway {
-  pub(crate) dialect: Rc<dyn Dialect>,
+  pub(crate) codec: Rc<dyn PlatformCodec>,
   pub(crate) settings: GatewaySettings,
   pub(crate) policy: RoutePolicy,
   pub(crate) endpoints: RefCell<EndpointRegistry>,
@@ -126,7 +126,7 @@
 
 impl Gateway {
   pub(crate) fn new(
-    dialect: Rc<dyn Dialect>,
+    codec: Rc<dyn PlatformCodec>,
     settings: GatewaySettings,
     policy: RoutePolicy,
     seed: u64,
@@ -139,7 +139,7 @@
       change_log: ChangeLog::default(),
       connections: Cell::new(0),
       counters: Counters::default(),
-      dialect,
+      codec,
       endpoints: RefCell::new(registry),
       exit_ms: Cell::new(None),
       has_leader: Cell::new(false),
@@ -199,7 +199,7 @@
     }
     let limits = table
       .limited()
-      .map(|(name, limit)| (name.clone(), self.settings.limits.kept(limit)));
+      .map(|(name, limit)| (name.clone(), self.settings.limits.enforced(limit)));
     self
       .usage_table
       .borrow_mut()
@@ -222,7 +222,7 @@
 
   /// Whether this box decides on limits as a coordinator.
   pub(crate) fn coordinates_usage(&self) -> bool {
-    self.settings.limits.way.uses_coordinators() && self.is_coordinator()
+    self.settings.limits.strategy.uses_coordinators() && self.is_coordinator()
   }
 
   /// Whether the last contact with the store is recent enough to trust this box's view of it.
@@ -272,7 +272,7 @@
     };
     let mut endpoints = self.endpoints.borrow_mut();
     let limits = endpoints.limits_mut();
-    limits.record_cold(&entry.id, entry.born_ms, period);
+    limits.record_cold(&entry.id, entry.started_ms, period);
   }
 
   /// Records the endpoints of a hall as cold. When its drain ends they may have just turned cold, and their entries lag behind.
@@ -284,7 +284,7 @@
     };
     for entry in entries {
       if let Some(cold_start) = self.cold_start(&entry.service) {
-        self.record_cold(&entry, cold_start.lasts_ms);
+        self.record_cold(&entry, cold_start.duration_ms);
       }
     }
   }
@@ -326,7 +326,9 @@
   /// Returns a connection to the pool after a complete response, which had these `headers`.
   pub(crate) fn keep_alive(&self, connection: Connection, headers: &HeaderMap) {
     let max_idle = self.max_idle(&connection.endpoint);
-    self.pool.put(connection, headers, max_idle, self.now_ms());
+    self
+      .pool
+      .put_idle(connection, headers, max_idle, self.now_ms());
   }
 
   /// This box's share of the idle connections to an endpoint.
@@ -338,7 +340,7 @@
       .and_then(|entry| table.as_ref()?.service(&entry.service));
     let Some(service) = service else { return 0 };
     let boxes = self.box_count();
-    let share = f64::from(service.most_connections) * IDLE_SHARE / boxes as f64;
+    let share = f64::from(service.max_connections) * IDLE_SHARE / boxes as f64;
     (share as usize).clamp(1, MAX_IDLE)
   }
 
--- a/tests/gateway/harness.rs
+++ b/tests/gateway/harness.rs
@@ -1,4 +1,4 @@
-//! One gateway box with its store and endpoints.
+//! Starts a gateway box with a store and endpoints.
 
 use {
   super::EndpointStandIn,
@@ -17,17 +17,17 @@
   tokio::task::JoinHandle,
 };
 
-/// Bound on all waiting; far above what is expected, so that a slow machine changes no verdict.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of all waiting; long enough for a slow machine.
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(30);
 
 pub(crate) const HOST: &str = "lectures.example";
 
-/// What a caller got.
+/// A response as the caller received it.
 #[derive(Debug)]
-pub(crate) struct Asked {
+pub(crate) struct CallerResponse {
   pub(crate) status: StatusCode,
   pub(crate) headers: HeaderMap,
-  /// The body; an error when it broke off.
+  /// The body, or an error when it was truncated.
   pub(crate) body: Result<String, String>,
 }
 
@@ -35,13 +35,13 @@
 pub(crate) struct GatewayTest {
   pub(crate) store: PlatformStore,
   pub(crate) configuration: Value,
-  /// Whether the address for figures is one that the box has already.
-  pub(crate) is_metrics_taken: bool,
-  /// Whose priority engines are told.
-  pub(crate) engine_marks: &'static str,
+  /// Whether the address for metrics is already in use.
+  pub(crate) metrics_port_taken: bool,
+  /// Which priority is sent to engines.
+  pub(crate) engine_priority: &'static str,
   name: String,
   stop_s: f64,
-  /// Where the box reaches the store.
+  /// The address by which the box reaches the store.
   store_address: SocketAddr,
 }
 
@@ -71,8 +71,8 @@
     let store = PlatformStore::start().await.unwrap();
     Self {
       configuration,
-      engine_marks: "route",
-      is_metrics_taken: false,
+      engine_priority: "route",
+      metrics_port_taken: false,
       name: "north-1".into(),
       stop_s: 6.0,
       store_address: store.address,
@@ -80,12 +80,12 @@
     }
   }
 
-  /// Another box on the same store, which it reaches at an address of its own.
-  pub(crate) fn beside(&self, name: &str, store_address: SocketAddr) -> Self {
+  /// Another box on the same store, which it reaches by another address.
+  pub(crate) fn second_box(&self, name: &str, store_address: SocketAddr) -> Self {
     Self {
       configuration: self.configuration.clone(),
-      engine_marks: self.engine_marks,
-      is_metrics_taken: false,
+      engine_priority: self.engine_priority,
+      metrics_port_taken: false,
       name: name.into(),
       stop_s: self.stop_s,
       store: self.store.clone(),
@@ -104,7 +104,7 @@
       .put("op/config", self.configuration.to_string().as_bytes());
   }
 
-  /// Enters an endpoint; engines have a stage.
+  /// Lists an endpoint in the store; engines have a stage.
   pub(crate) fn enter(
     &self,
     id: &str,
@@ -128,7 +128,7 @@
     });
   }
 
-  /// Enters an endpoint of a hall.
+  /// Lists an endpoint of a hall.
   pub(crate) fn enter_in_hall(
     &self,
     id: &str,
@@ -142,7 +142,7 @@
     });
   }
 
-  /// Enters an endpoint that says for how long it is cold.
+  /// Lists an endpoint with a remaining cold start.
   pub(crate) fn enter_cold(
     &self,
     id: &str,
@@ -177,8 +177,8 @@
       .put(&format!("servers/{id}"), entry.to_string().as_bytes());
   }
 
-  /// Enters a life of an engine, which may start again under its id.
-  pub(crate) fn enter_life(
+  /// Lists an incarnation of an engine, which may restart under the same id.
+  pub(crate) fn enter_incarnation(
     store: &PlatformStore,
     id: &str,
     stage: &str,
@@ -192,8 +192,13 @@
     store.put(&format!("servers/{id}"), entry.to_string().as_bytes());
   }
 
-  /// Enters a life of a plain endpoint.
-  pub(crate) fn enter_plain_life(store: &PlatformStore, id: &str, address: SocketAddr, born: u64) {
+  /// Lists an incarnation of a plain endpoint.
+  pub(crate) fn enter_plain_incarnation(
+    store: &PlatformStore,
+    id: &str,
+    address: SocketAddr,
+    born: u64,
+  ) {
     let entry = json!({
       "service": "portal", "address": address, "zone": "north", "version": "v1", "slots": 8, "state": "ready",
       "coldRemainingMs": 0, "callSeq": 0, "born": born,
@@ -201,13 +206,13 @@
     store.put(&format!("servers/{id}"), entry.to_string().as_bytes());
   }
 
-  /// A box with one plain endpoint.
+  /// Starts a box with one plain endpoint.
   pub(crate) async fn with_portal(self, one: &EndpointStandIn) -> GatewayBox {
     self.enter("p-1", "portal", None, one);
     self.start().await
   }
 
-  /// A box with both plain endpoints.
+  /// Starts a box with two plain endpoints.
   pub(crate) async fn with_portals(
     self,
     one: &EndpointStandIn,
@@ -218,7 +223,7 @@
     self.start().await
   }
 
-  /// A box with a prefill and a decode engine.
+  /// Starts a box with a prefill and a decode engine.
   pub(crate) async fn with_engines(
     self,
     prefill: &EndpointStandIn,
@@ -233,7 +238,7 @@
   pub(crate) async fn start(self) -> GatewayBox {
     self.put_configuration();
     let gateway = self.start_unready();
-    assert!(gateway.is_ready_soon().await, "the box is not ready");
+    assert!(gateway.becomes_ready().await, "the box is not ready");
     gateway
   }
 
@@ -267,14 +272,14 @@
 prefill_share = 0.25
 marks = "{}"
 "#,
-      self.name, self.store_address, self.stop_s, self.engine_marks
+      self.name, self.store_address, self.stop_s, self.engine_priority
     )
   }
 
-  /// Starts the box without waiting for anything.
+  /// Starts the box without waiting until it is ready.
   pub(crate) fn start_unready(self) -> GatewayBox {
     let mut addresses = own_addresses();
-    if self.is_metrics_taken {
+    if self.metrics_port_taken {
       addresses[3] = addresses[0];
     }
     let [callers, ready, boxes, metrics] = addresses;
@@ -331,8 +336,8 @@
       .is_ok_and(|response| response.status() == StatusCode::OK)
   }
 
-  pub(crate) async fn is_ready_soon(&self) -> bool {
-    eventually(PATIENCE, async || self.is_ready().await).await
+  pub(crate) async fn becomes_ready(&self) -> bool {
+    eventually(TIMEOUT, async || self.is_ready().await).await
   }
 
   pub(crate) fn request(&self, path: &str, id: &str) -> Request<Full<Bytes>> {
@@ -353,11 +358,11 @@
       .unwrap()
   }
 
-  pub(crate) async fn ask(&self, path: &str, id: &str) -> Asked {
+  pub(crate) async fn ask(&self, path: &str, id: &str) -> CallerResponse {
     self.send(self.request(path, id)).await
   }
 
-  /// Asks on a connection of its own, without waiting for the answer.
+  /// Sends a request on its own connection, without waiting for the response.
   pub(crate) fn ask_in_background(
     &self,
     path: &str,
@@ -368,11 +373,11 @@
     tokio::spawn(async move { Ok(client.send(request).await?.status()) })
   }
 
-  pub(crate) async fn send(&self, request: Request<Full<Bytes>>) -> Asked {
+  pub(crate) async fn send(&self, request: Request<Full<Bytes>>) -> CallerResponse {
     let response = self.client.send(request).await.unwrap();
     let (head, body) = response.into_parts();
     let body = body.collect().await;
-    Asked {
+    CallerResponse {
       body: body
         .map(|body| String::from_utf8(body.to_bytes().to_vec()).unwrap())
         .map_err(|error| error.to_string()),
@@ -381,25 +386,25 @@
     }
   }
 
-  /// What `rillford limits` shows of the box.
-  pub(crate) fn shown_limits(&self) -> String {
-    let shown = Command::new(env!("CARGO_BIN_EXE_rillford"))
+  /// The output of `rillford limits` for the box.
+  pub(crate) fn limits_output(&self) -> String {
+    let output = Command::new(env!("CARGO_BIN_EXE_rillford"))
       .args(["limits", "--metrics"])
       .arg(format!("http://{}/metrics", self.metrics))
       .output()
       .unwrap();
-    String::from_utf8(shown.stdout).unwrap()
+    String::from_utf8(output.stdout).unwrap()
   }
 
-  /// A figure of the box's metrics by its name; 0 where there is none.
-  pub(crate) async fn figure(&self, name: &str) -> f64 {
+  /// A metric of the box by name; 0 when it is missing.
+  pub(crate) async fn metric(&self, name: &str) -> f64 {
     let request = Request::get(format!("http://{}/metrics", self.metrics))
       .body(Full::default())
       .unwrap();
-    let Ok(figures) = HttpClient::default().fetch_bytes(request, PATIENCE).await else {
+    let Ok(metrics) = HttpClient::default().fetch_bytes(request, TIMEOUT).await else {
       return 0.0;
     };
-    let text = String::from_utf8_lossy(&figures);
+    let text = String::from_utf8_lossy(&metrics);
     let rows = text.lines().filter_map(|line| line.split_once(' '));
     rows
       .filter(|(row, _)| *row == name)
--- a/tests/gateway/slots.rs
+++ b/tests/gateway/slots.rs
@@ -1,7 +1,7 @@
 //! Order of requests for batch slots, and the size of reservations.
 
 use {
-  super::{EndpointStandIn, GatewayTest, PATIENCE, Reply, Seen, endpoint::engine_reply},
+  super::{EndpointStandIn, GatewayTest, Reply, Seen, TIMEOUT, endpoint::engine_reply},
   emulator::eventually,
   http::HeaderValue,
   rillford::gateway::{SlotForecast, SlotQueue, SlotUrgency},
@@ -56,14 +56,14 @@
   let new = gateway.ask("/stream/a", "new");
   let resumed = async {
     // The new request is waiting for a slot already.
-    assert!(eventually(PATIENCE, async || holds() > 0).await);
+    assert!(eventually(TIMEOUT, async || holds() > 0).await);
     let mut request = gateway.request("/resumable/a", "again");
     let event = HeaderValue::from_static("0");
     request.headers_mut().insert("last-event-id", event);
     gateway.send(request).await
   };
   let opened = async {
-    assert!(eventually(PATIENCE, async || holds() > 30).await);
+    assert!(eventually(TIMEOUT, async || holds() > 30).await);
     is_open.store(true, Ordering::Relaxed);
   };
   tokio::join!(new, resumed, opened);
--- a/tests/gateway/streams.rs
+++ b/tests/gateway/streams.rs
@@ -1,9 +1,7 @@
-//! Streams: a seat, the prompt, the events; resumed where that is allowed, broken off visibly where not.
+//! Streams: the slot, the prefill and the events; an interrupted stream is resumed if its route allows, otherwise aborted.
 
 use {
-  super::{
-    EndpointStandIn, GatewayBox, GatewayTest, PATIENCE, Reply, Seen, endpoint::engine_reply,
-  },
+  super::{EndpointStandIn, GatewayBox, GatewayTest, Reply, Seen, TIMEOUT, endpoint::engine_reply},
   emulator::eventually,
   http::StatusCode,
   rstest::rstest,
@@ -17,8 +15,8 @@
   seen.path.starts_with("/stream/") || seen.path.starts_with("/resumable/")
 }
 
-/// An engine that grants seats and then says that the stream did not run.
-fn refusing(seen: &Seen) -> Reply {
+/// An engine that grants slots and then states that the stream did not run.
+fn rejecting(seen: &Seen) -> Reply {
   if is_stream(seen) {
     Reply::not_run(seen)
   } else {
@@ -27,7 +25,7 @@
 }
 
 async fn serve(prefill: &EndpointStandIn, decode: &EndpointStandIn) -> GatewayBox {
-  // Longer than a test waits: nothing ends because the route's time is over.
+  // Longer than a test waits, so that nothing ends by the route's timeout.
   let test = GatewayTest::new().await.configure(|configuration| {
     configuration["routes"][2]["timeoutMs"] = 120_000.into();
   });
@@ -35,16 +33,16 @@
 }
 
 #[tokio::test]
-async fn prompt_is_read_for_a_reserved_seat_and_handed_over() {
+async fn prompt_is_prefilled_for_a_reserved_slot_and_transferred() {
   let prefill = EndpointStandIn::engine(EVENTS).await;
   let decode = EndpointStandIn::engine(EVENTS).await;
   let gateway = serve(&prefill, &decode).await;
-  let asked = gateway.ask("/stream/a", "r1").await;
-  assert_eq!(asked.status, StatusCode::OK);
-  assert_eq!(asked.headers["x-response-seal"], "s");
-  assert_eq!(asked.body.unwrap(), EVENTS);
-  let read = &prefill.requests()[0];
-  assert!(read.is_prompt());
+  let response = gateway.ask("/stream/a", "r1").await;
+  assert_eq!(response.status, StatusCode::OK);
+  assert_eq!(response.headers["x-response-seal"], "s");
+  assert_eq!(response.body.unwrap(), EVENTS);
+  let prefilled = &prefill.requests()[0];
+  assert!(prefilled.is_prompt());
   let seen = decode.seen();
   assert_eq!(seen[0].path, "/hold-take");
   assert!(String::from_utf8_lossy(&seen[0].body).contains("\"tokens\":125"));
@@ -57,23 +55,23 @@
 }
 
 #[tokio::test]
-async fn no_prompt_is_read_without_a_seat() {
+async fn no_prompt_is_prefilled_without_a_slot() {
   let prefill = EndpointStandIn::engine(EVENTS).await;
   let decode = EndpointStandIn::start(Reply::not_run).await;
   let gateway = serve(&prefill, &decode).await;
-  let asked = gateway.ask("/stream/a", "r1").await;
-  assert_eq!(asked.status, StatusCode::SERVICE_UNAVAILABLE);
-  assert!(asked.headers.contains_key("retry-after"));
+  let response = gateway.ask("/stream/a", "r1").await;
+  assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+  assert!(response.headers.contains_key("retry-after"));
   assert!(prefill.seen().is_empty());
 }
 
 #[tokio::test]
-async fn engine_reads_the_prompt_itself_when_no_other_can() {
+async fn decode_engine_prefills_when_no_prefill_engine_can() {
   let prefill = EndpointStandIn::start(|_| Reply::WriteAndClose(String::new())).await;
   let decode = EndpointStandIn::engine(EVENTS).await;
   let gateway = serve(&prefill, &decode).await;
-  let asked = gateway.ask("/stream/a", "r1").await;
-  assert_eq!(asked.body.unwrap(), EVENTS);
+  let response = gateway.ask("/stream/a", "r1").await;
+  assert_eq!(response.body.unwrap(), EVENTS);
   assert!(!decode.requests()[0].headers.contains_key("x-kv-source"));
 }
 
@@ -81,7 +79,7 @@
 #[case("/resumable/a", true)]
 #[case("/stream/a", false)]
 #[tokio::test]
-async fn stream_that_breaks_within_an_event(#[case] path: &str, #[case] resumes: bool) {
+async fn stream_interrupted_within_an_event(#[case] path: &str, #[case] resumes: bool) {
   let prefill = EndpointStandIn::engine(EVENTS).await;
   let script = |seen: &Seen| match seen.header("last-event-id") {
     "" if is_stream(seen) => Reply::WriteAndClose(Reply::stream_part(seen, BEGINNING)),
@@ -93,20 +91,20 @@
   let test = GatewayTest::new().await;
   test.enter("e-3", "llm", Some("decode"), &other);
   let gateway = test.with_engines(&prefill, &one).await;
-  let asked = gateway.ask(path, "r1").await;
+  let response = gateway.ask(path, "r1").await;
   let sends = one.requests().len() + other.requests().len();
   if resumes {
-    assert_eq!(asked.body.unwrap(), EVENTS);
+    assert_eq!(response.body.unwrap(), EVENTS);
     assert_eq!(sends, 2);
   } else {
-    // The caller sees that the end is missing.
-    assert!(asked.body.is_err());
+    // The caller sees that the stream is incomplete.
+    assert!(response.body.is_err());
     assert_eq!(sends, 1);
   }
 }
 
 #[tokio::test]
-async fn repeated_events_are_left_out_when_a_stream_is_resumed() {
+async fn duplicate_events_are_dropped_when_a_stream_is_resumed() {
   let prefill = EndpointStandIn::engine(EVENTS).await;
   let script = |seen: &Seen| match seen.header("last-event-id") {
     "" if is_stream(seen) => Reply::WriteAndClose(Reply::stream_part(seen, BEGINNING)),
@@ -124,21 +122,21 @@
 }
 
 #[tokio::test]
-async fn refused_prompt_is_offered_to_another_engine_without_reading_it_again() {
+async fn export_is_reused_at_another_engine_after_a_rejection() {
   let prefill = EndpointStandIn::engine(EVENTS).await;
-  let one = EndpointStandIn::start(refusing).await;
-  let other = EndpointStandIn::start(refusing).await;
+  let one = EndpointStandIn::start(rejecting).await;
+  let other = EndpointStandIn::start(rejecting).await;
   let third = EndpointStandIn::engine(EVENTS).await;
   let test = GatewayTest::new().await;
   test.enter("e-3", "llm", Some("decode"), &other);
   let gateway = test.with_engines(&prefill, &one).await;
-  let asked = gateway.ask("/stream/a", "r1").await;
-  assert_eq!(asked.status, StatusCode::SERVICE_UNAVAILABLE);
+  let response = gateway.ask("/stream/a", "r1").await;
+  assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
   assert_eq!(prefill.requests().len(), 1);
   assert_eq!((one.requests().len(), other.requests().len()), (1, 1));
   gateway.test.enter("e-4", "llm", Some("decode"), &third);
   assert!(
-    eventually(PATIENCE, async || gateway
+    eventually(TIMEOUT, async || gateway
       .ask("/stream/a", "r2")
       .await
       .status
@@ -148,20 +146,20 @@
 }
 
 #[tokio::test]
-async fn what_was_kept_for_a_request_is_freed_when_it_is_refused() {
+async fn export_and_reservation_are_released_when_the_request_is_rejected() {
   let prefill = EndpointStandIn::engine(EVENTS).await;
-  let decode = EndpointStandIn::start(refusing).await;
+  let decode = EndpointStandIn::start(rejecting).await;
   let gateway = serve(&prefill, &decode).await;
-  let asked = gateway.ask("/stream/a", "r1").await;
-  assert_eq!(asked.status, StatusCode::SERVICE_UNAVAILABLE);
-  let freed =
+  let response = gateway.ask("/stream/a", "r1").await;
+  assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+  let released =
     |endpoint: &EndpointStandIn, path: &str| endpoint.seen().iter().any(|seen| seen.path == path);
-  assert!(eventually(PATIENCE, async || freed(&prefill, "/kv-handle/e1")).await);
-  assert!(eventually(PATIENCE, async || freed(&decode, "/hold-drop/h1")).await);
+  assert!(eventually(TIMEOUT, async || released(&prefill, "/kv-handle/e1")).await);
+  assert!(eventually(TIMEOUT, async || released(&decode, "/hold-drop/h1")).await);
 }
 
 #[tokio::test]
-async fn engine_hears_of_a_caller_who_leaves() {
+async fn connection_to_the_engine_closes_when_the_caller_disconnects() {
   let prefill = EndpointStandIn::engine(EVENTS).await;
   let silent = |seen: &Seen| {
     if is_stream(seen) {
@@ -172,37 +170,36 @@
   };
   let decode = EndpointStandIn::start(silent).await;
   let gateway = serve(&prefill, &decode).await;
-  let asking = gateway.ask_in_background("/stream/a", "r1");
-  assert!(eventually(PATIENCE, async || decode.requests().len() == 1).await);
-  asking.abort();
-  assert!(eventually(PATIENCE, async || decode.closed().len() == 1).await);
+  let pending = gateway.ask_in_background("/stream/a", "r1");
+  assert!(eventually(TIMEOUT, async || decode.requests().len() == 1).await);
+  pending.abort();
+  assert!(eventually(TIMEOUT, async || decode.closed().len() == 1).await);
 }
 
 #[tokio::test]
-async fn prompt_is_not_kept_for_a_caller_who_leaves_while_it_is_read() {
+async fn reservation_is_released_when_the_caller_disconnects_during_prefill() {
   let prefill = EndpointStandIn::start(|_| Reply::NoResponse).await;
   let decode = EndpointStandIn::engine(EVENTS).await;
   let gateway = serve(&prefill, &decode).await;
-  let asking = gateway.ask_in_background("/stream/a", "r1");
-  assert!(eventually(PATIENCE, async || prefill.requests().len() == 1).await);
-  asking.abort();
-  assert!(eventually(PATIENCE, async || prefill.closed().len() == 1).await);
+  let pending = gateway.ask_in_background("/stream/a", "r1");
+  assert!(eventually(TIMEOUT, async || prefill.requests().len() == 1).await);
+  pending.abort();
+  assert!(eventually(TIMEOUT, async || prefill.closed().len() == 1).await);
   let dropped = async || {
     decode
       .seen()
       .iter()
       .any(|seen| seen.path == "/hold-drop/h1")
   };
-  assert!(eventually(PATIENCE, dropped).await);
+  assert!(eventually(TIMEOUT, dropped).await);
 }
 
-/// Found by a hunt (sariwa-ops, mix --seed 135855253762): a stream that paused for longer than the router's
-/// patience was given up before it was known that anyone could go on.
+/// Guards against a paused stream being abandoned before another engine has a slot (sariwa-ops, mix --seed 135855253762).
 #[rstest]
 #[case::no_other_engine(false)]
 #[case::the_other_is_full(true)]
 #[tokio::test]
-async fn stream_that_pauses_is_waited_for_when_nobody_can_go_on(#[case] has_other: bool) {
+async fn paused_stream_continues_when_no_other_engine_can_resume_it(#[case] has_other: bool) {
   let prefill = EndpointStandIn::engine(EVENTS).await;
   let pausing = |seen: &Seen| {
     if is_stream(seen) {
@@ -224,7 +221,7 @@
     test.enter("e-3", "llm", Some("decode"), &full);
   }
   let gateway = test.with_engines(&prefill, &decode).await;
-  let asked = gateway.ask("/resumable/a", "r1").await;
-  assert_eq!(asked.body.unwrap(), EVENTS);
+  let response = gateway.ask("/resumable/a", "r1").await;
+  assert_eq!(response.body.unwrap(), EVENTS);
   assert_eq!(decode.requests().len(), 1);
 }
