--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -1,66 +1,68 @@
-//! Choosing engines by predicted time to the first token, or by one of the ways it is measured against.
+//! Choice of engines: by predicted time to the first token, or by a baseline algorithm.
 
 use {
-  super::{Endpoint, ModelWork, PlacementMode, PoolKey, Role, Scene, SeatMode},
+  super::{Context, Endpoint, ModelWork, PlacementMode, PoolKey, Role, SlotMode},
   crate::ids::Name,
   rand::RngExt,
 };
 
-/// Engines looked at per role; the pools are in order of load, so the best is among the first.
+/// Engines considered per role. The pools are sorted by load, so that the best engine is among the first.
 const CANDIDATES: usize = 4;
 
-/// The engines chosen for an attempt, and what is expected of them.
+/// The engines chosen for an attempt, with the predictions for it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Placement {
-  /// Reads the prompt.
+  /// The prefill engine.
   pub prefill: Name,
-  /// Writes the answer.
+  /// The decode engine.
   pub decode: Name,
-  /// When the prompt is expected to be read, counted from now.
+  /// Predicted time until prefill is done.
   pub ready_in_ms: u64,
-  /// When the first token is expected, counted from now.
+  /// Predicted time to the first token.
   pub first_token_in_ms: u64,
-  /// Tokens expected to be read anew.
+  /// Prompt tokens expected not to be in the prefix cache.
   pub uncached_tokens: u64,
-  /// Bytes expected to be moved.
+  /// Expected size of the KV cache to transfer.
   pub kv_bytes: u64,
 }
 
-/// Why no engines could be chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum NoPermit {
+pub enum PlacementError {
   /// No live engine serves the model.
   NoEngine,
-  /// All decode seats are taken for now.
-  NoSeat,
+  /// All engines are full or in a backoff.
+  NoSlot,
 }
 
-struct Reading {
+struct PrefillChoice {
   engine: Name,
   ready_in_ms: u64,
   uncached_tokens: u64,
 }
 
-impl Scene {
-  /// Chooses a prefill and a decode engine for a completion; engines that failed it are the last
-  /// resort.
-  pub(crate) fn place(&mut self, work: &ModelWork, tried: &[Name]) -> Result<Placement, NoPermit> {
-    let reading = self.best_prefill(work, tried)?;
-    let decode = self.best_decode(work, tried)?;
-    let engine = self.fleet.get(&decode).ok_or(NoPermit::NoEngine)?;
+impl Context {
+  /// Chooses a prefill and a decode engine for a completion; engines at which it has failed are the last resort.
+  pub(crate) fn place_completion(
+    &mut self,
+    work: &ModelWork,
+    tried: &[Name],
+  ) -> Result<Placement, PlacementError> {
+    let prefill = self.choose_prefill(work, tried)?;
+    let decode = self.choose_decode(work, tried)?;
+    let engine = self.fleet.get(&decode).ok_or(PlacementError::NoEngine)?;
     let transfer_ms = engine.transfer_ms(work.prompt_tokens);
     Ok(Placement {
       decode,
-      first_token_in_ms: reading.ready_in_ms + transfer_ms + self.tuning().token_ms,
+      first_token_in_ms: prefill.ready_in_ms + transfer_ms + self.tuning().token_ms,
       kv_bytes: work.prompt_tokens * engine.spec.kv_bytes_per_token,
-      prefill: reading.engine,
-      ready_in_ms: reading.ready_in_ms,
-      uncached_tokens: reading.uncached_tokens,
+      prefill: prefill.engine,
+      ready_in_ms: prefill.ready_in_ms,
+      uncached_tokens: prefill.uncached_tokens,
     })
   }
 
-  /// A decode engine other than a full one that has a seat by its last report.
-  pub(crate) fn free_decode(&self, work: &ModelWork, full: &Name) -> Option<Name> {
+  /// A decode engine, other than `full`, that has a free slot by its last report.
+  pub(crate) fn free_decode_engine(&self, work: &ModelWork, full: &Name) -> Option<Name> {
     let role = Some(Role::Decode);
     let hall = self
       .fleet
@@ -76,34 +78,38 @@
       .take(CANDIDATES)
       .find(|engine| {
         engine.spec.name != *full
-          && engine.is_open(self.now_ms)
-          && engine.used_seats() < engine.seats()
+          && engine.is_available(self.now_ms)
+          && engine.used_slots() < engine.slots()
       })
       .map(|engine| engine.spec.name.clone())
   }
 
-  /// Least time to a first token that any engine could give now, without regard to seats.
-  pub(crate) fn least_first_token_ms(&mut self, work: &ModelWork) -> Option<u64> {
-    let reading = match self.best_prefill(work, &[]) {
-      Ok(reading) => reading,
-      Err(NoPermit::NoSeat) => return Some(self.tuning().token_ms),
-      Err(NoPermit::NoEngine) => return None,
+  /// Least predicted time to a first token, without regard to decode slots.
+  pub(crate) fn min_first_token_ms(&mut self, work: &ModelWork) -> Option<u64> {
+    let prefill = match self.choose_prefill(work, &[]) {
+      Ok(prefill) => prefill,
+      Err(PlacementError::NoSlot) => return Some(self.tuning().token_ms),
+      Err(PlacementError::NoEngine) => return None,
     };
-    Some(reading.ready_in_ms + self.tuning().token_ms)
+    Some(prefill.ready_in_ms + self.tuning().token_ms)
   }
 
-  /// Chooses an instance of a plain service with a free place.
-  pub(crate) fn place_call(&mut self, service: &Name, tried: &[Name]) -> Result<Name, NoPermit> {
+  /// Chooses an instance of a plain service with a free slot.
+  pub(crate) fn place_service_call(
+    &mut self,
+    service: &Name,
+    tried: &[Name],
+  ) -> Result<Name, PlacementError> {
     let hall = self
       .fleet
       .serving_hall(&self.identity.hall, service, None)
-      .ok_or(NoPermit::NoEngine)?;
+      .ok_or(PlacementError::NoEngine)?;
     let key = PoolKey {
       hall,
       role: None,
       subject: service.clone(),
     };
-    let boxes = self.boxes_of(&key.hall);
+    let boxes = self.count_live_boxes(&key.hall);
     let mut untried = self
       .fleet
       .pool(&key)
@@ -111,43 +117,47 @@
       .take(CANDIDATES)
       .peekable();
     if untried.peek().is_none() {
-      return Err(NoPermit::NoEngine);
+      return Err(PlacementError::NoEngine);
     }
-    let mode = SeatMode::LaggingLoad;
+    let mode = SlotMode::LaggingLoad;
     untried
-      .find(|endpoint| has_seat(endpoint, mode, self.now_ms, boxes))
+      .find(|endpoint| has_free_slot(endpoint, mode, self.now_ms, boxes))
       .map(|endpoint| endpoint.spec.name.clone())
-      .ok_or(NoPermit::NoSeat)
+      .ok_or(PlacementError::NoSlot)
   }
 
-  fn best_prefill(&mut self, work: &ModelWork, tried: &[Name]) -> Result<Reading, NoPermit> {
+  fn choose_prefill(
+    &mut self,
+    work: &ModelWork,
+    tried: &[Name],
+  ) -> Result<PrefillChoice, PlacementError> {
     let hall = self
       .fleet
       .serving_hall(&self.identity.hall, &work.model, Some(Role::Prefill))
-      .ok_or(NoPermit::NoEngine)?;
+      .ok_or(PlacementError::NoEngine)?;
     let key = PoolKey {
       hall,
       role: Some(Role::Prefill),
       subject: work.model.clone(),
     };
     let candidates = match self.tuning().placement {
-      PlacementMode::PredictedTime => self.likely_prefill(&key, work),
-      PlacementMode::RoundRobin => self.next_in_turn(&key),
-      PlacementMode::TwoChoices => self.two_of(&key),
+      PlacementMode::PredictedTime => self.prefill_candidates(&key, work),
+      PlacementMode::RoundRobin => self.next_in_rotation(&key),
+      PlacementMode::TwoChoices => self.two_at_random(&key),
     };
     candidates
       .into_iter()
-      .filter_map(|name| self.read_by(name, work))
-      .min_by_key(|reading| (tried.contains(&reading.engine), reading.ready_in_ms))
-      .ok_or(NoPermit::NoSeat)
+      .filter_map(|name| self.predict_prefill(name, work))
+      .min_by_key(|prefill| (tried.contains(&prefill.engine), prefill.ready_in_ms))
+      .ok_or(PlacementError::NoSlot)
   }
 
-  /// The least loaded engines, and those that probably have the prompt's prefix.
-  fn likely_prefill(&self, key: &PoolKey, work: &ModelWork) -> Vec<Name> {
+  /// The least loaded engines, and those that probably have the prompt's prefix in their cache.
+  fn prefill_candidates(&self, key: &PoolKey, work: &ModelWork) -> Vec<Name> {
     let mut names = self
       .fleet
       .pool(key)
-      .filter(|engine| engine.is_open(self.now_ms))
+      .filter(|engine| engine.is_available(self.now_ms))
       .take(CANDIDATES)
       .map(|engine| engine.spec.name.clone())
       .collect::<Vec<_>>();
@@ -162,9 +172,9 @@
     names
   }
 
-  fn read_by(&self, name: Name, work: &ModelWork) -> Option<Reading> {
+  fn predict_prefill(&self, name: Name, work: &ModelWork) -> Option<PrefillChoice> {
     let engine = self.fleet.get(&name)?;
-    if !engine.is_open(self.now_ms) || engine.used_seats() >= engine.seats() {
+    if !engine.is_available(self.now_ms) || engine.used_slots() >= engine.slots() {
       return None;
     }
     let cached = match self.tuning().placement {
@@ -173,19 +183,19 @@
     };
     let uncached_tokens = work.prompt_tokens.saturating_sub(cached).max(1);
     let queue_ms = engine.prefill_free_at_ms().saturating_sub(self.now_ms);
-    Some(Reading {
-      ready_in_ms: queue_ms + engine.read_ms(uncached_tokens),
+    Some(PrefillChoice {
+      ready_in_ms: queue_ms + engine.prefill_ms(uncached_tokens),
       uncached_tokens,
       engine: name,
     })
   }
 
-  fn best_decode(&mut self, work: &ModelWork, tried: &[Name]) -> Result<Name, NoPermit> {
+  fn choose_decode(&mut self, work: &ModelWork, tried: &[Name]) -> Result<Name, PlacementError> {
     let role = Some(Role::Decode);
     let hall = self
       .fleet
       .serving_hall(&self.identity.hall, &work.model, role)
-      .ok_or(NoPermit::NoEngine)?;
+      .ok_or(PlacementError::NoEngine)?;
     let key = PoolKey {
       hall,
       role,
@@ -193,11 +203,11 @@
     };
     let candidates = match self.tuning().placement {
       PlacementMode::PredictedTime => None,
-      PlacementMode::RoundRobin => Some(self.next_in_turn(&key)),
-      PlacementMode::TwoChoices => Some(self.two_of(&key)),
+      PlacementMode::RoundRobin => Some(self.next_in_rotation(&key)),
+      PlacementMode::TwoChoices => Some(self.two_at_random(&key)),
     };
-    let boxes = self.boxes_of(&key.hall);
-    let mode = self.tuning().seat_mode;
+    let boxes = self.count_live_boxes(&key.hall);
+    let mode = self.tuning().slot_mode;
     let now_ms = self.now_ms;
     if !self.tuning().reserve_before_prefill {
       let any = candidates.map_or_else(
@@ -210,48 +220,48 @@
         },
         |names| names.into_iter().next(),
       );
-      return any.ok_or(NoPermit::NoEngine);
+      return any.ok_or(PlacementError::NoEngine);
     }
     let free = match candidates {
       Some(names) => names
         .into_iter()
         .filter_map(|name| self.fleet.get(&name))
-        .filter(|engine| has_seat(engine, mode, now_ms, boxes))
-        .min_by_key(|engine| (tried.contains(&engine.spec.name), engine.pool_key())),
+        .filter(|engine| has_free_slot(engine, mode, now_ms, boxes))
+        .min_by_key(|engine| (tried.contains(&engine.spec.name), engine.load_key())),
       None => self
         .fleet
         .pool(&key)
-        .filter(|engine| has_seat(engine, mode, now_ms, boxes))
+        .filter(|engine| has_free_slot(engine, mode, now_ms, boxes))
         .take(CANDIDATES)
         .min_by_key(|engine| tried.contains(&engine.spec.name)),
     };
     free
       .map(|engine| engine.spec.name.clone())
-      .ok_or(NoPermit::NoSeat)
+      .ok_or(PlacementError::NoSlot)
   }
 
-  fn boxes_of(&self, hall: &Name) -> u32 {
-    let boxes = self.members.candidates(hall, self.stopping).len();
+  fn count_live_boxes(&self, hall: &Name) -> u32 {
+    let boxes = self.members.owner_candidates(hall, self.stopping).len();
     u32::try_from(boxes).unwrap_or(u32::MAX).max(1)
   }
 
-  fn next_in_turn(&mut self, key: &PoolKey) -> Vec<Name> {
+  fn next_in_rotation(&mut self, key: &PoolKey) -> Vec<Name> {
     let mut names = self
       .fleet
       .pool(key)
       .map(|engine| engine.spec.name.clone())
       .collect::<Vec<_>>();
     names.sort();
-    self.turn = self.turn.wrapping_add(1);
+    self.rotation = self.rotation.wrapping_add(1);
     let size = names.len();
     names
       .into_iter()
-      .nth(self.turn % size.max(1))
+      .nth(self.rotation % size.max(1))
       .into_iter()
       .collect()
   }
 
-  fn two_of(&mut self, key: &PoolKey) -> Vec<Name> {
+  fn two_at_random(&mut self, key: &PoolKey) -> Vec<Name> {
     let size = self.fleet.pool_size(key);
     if size == 0 {
       return Vec::new();
@@ -268,14 +278,14 @@
   }
 }
 
-fn has_seat(endpoint: &Endpoint, mode: SeatMode, now_ms: u64, boxes: u32) -> bool {
-  if !endpoint.is_open(now_ms) {
+fn has_free_slot(endpoint: &Endpoint, mode: SlotMode, now_ms: u64, boxes: u32) -> bool {
+  if !endpoint.is_available(now_ms) {
     return false;
   }
   match mode {
-    // The home counts on seats that end in time, so a full engine is still worth asking.
-    SeatMode::HomeGrants => true,
-    SeatMode::LaggingLoad => endpoint.used_seats() < endpoint.seats(),
-    SeatMode::FixedShares => endpoint.own_seats < (endpoint.seats() / boxes).max(1),
+    // The owner counts on slots that become free in time, so that a full engine may still grant one.
+    SlotMode::OwnerGrants => true,
+    SlotMode::LaggingLoad => endpoint.used_slots() < endpoint.slots(),
+    SlotMode::FixedShares => endpoint.own_slots < (endpoint.slots() / boxes).max(1),
   }
 }
--- a/src/gateway/settings/route_policy.rs
+++ b/src/gateway/settings/route_policy.rs
@@ -6,7 +6,7 @@
     gateway::edge::{CallerAttributes, Organisation, Route, RouteKind},
     ids::Name,
     observe::unix_ms,
-    policy::{Clock, PoolFacts, Program, RequestFacts},
+    policy::{Clock, PoolStats, Program, RequestAttributes},
   },
   std::{path::Path, sync::Arc},
 };
@@ -69,7 +69,7 @@
       RouteKind::Stream { .. } => "model",
       RouteKind::Retryable | RouteKind::NonRetryable => "service",
     };
-    let request = RequestFacts {
+    let request = RequestAttributes {
       kind: kind.into(),
       max_tokens: attributes.answer_tokens,
       organisation: organisation.map_or_else(
@@ -101,7 +101,7 @@
   }
 
   /// The program's target fraction of prefill engines, if it sets one.
-  pub fn prefill_share(&self, pool: &PoolFacts) -> Option<f64> {
+  pub fn prefill_share(&self, pool: &PoolStats) -> Option<f64> {
     let program = self.program.as_ref()?;
     match program.shift(self.clock(), std::slice::from_ref(pool)) {
       Ok(splits) => splits
--- a/src/observe/observer.rs
+++ b/src/observe/observer.rs
@@ -3,7 +3,7 @@
 use {
   super::{HybridClock, MetricSink, StampedEvent, Timeline},
   crate::{
-    decide::{Note, NoteKind, Status},
+    decide::{EventKind, Status, TimelineEvent},
     ids::Name,
     ring::{Receiver, Sender},
   },
@@ -60,7 +60,7 @@
   }
 
   /// Timestamps an event and sends it.
-  pub(crate) fn record(&self, note: Note) {
+  pub(crate) fn record(&self, note: TimelineEvent) {
     let stamped = StampedEvent {
       box_name: self.box_name.clone(),
       detail: note.detail,
@@ -79,8 +79,8 @@
     }
   }
 
-  pub(crate) fn record_event(&self, kind: NoteKind, subject: &str, detail: &str) {
-    self.record(Note::new(kind, subject, detail));
+  pub(crate) fn record_event(&self, kind: EventKind, subject: &str, detail: &str) {
+    self.record(TimelineEvent::new(kind, subject, detail));
   }
 }
 
--- a/tests/gateway/responses.rs
+++ b/tests/gateway/responses.rs
@@ -148,8 +148,8 @@
 
 #[tokio::test]
 async fn request_times_out_after_the_routes_timeout() {
-  let one = EndpointStandIn::start(|_| Reply::Silence).await;
-  let other = EndpointStandIn::start(|_| Reply::Silence).await;
+  let one = EndpointStandIn::start(|_| Reply::NoResponse).await;
+  let other = EndpointStandIn::start(|_| Reply::NoResponse).await;
   let test = GatewayTest::new().await.configure(|configuration| {
     configuration["routes"][1]["timeoutMs"] = 300.into();
   });
@@ -215,7 +215,7 @@
 /// Guards against requests being sent again and again to an endpoint that never responds.
 #[tokio::test]
 async fn silent_endpoint_gets_no_more_requests_after_its_first_timeout() {
-  let one = EndpointStandIn::start(|_| Reply::Silence).await;
+  let one = EndpointStandIn::start(|_| Reply::NoResponse).await;
   let other = EndpointStandIn::start(|seen| Reply::ok(seen, "fine")).await;
   let test = GatewayTest::new().await.configure(|configuration| {
     configuration["routes"][1]["timeoutMs"] = 200.into();
--- a/tests/gateway/streams.rs
+++ b/tests/gateway/streams.rs
@@ -163,7 +163,7 @@
   let prefill = EndpointStandIn::engine(EVENTS).await;
   let silent = |seen: &Seen| {
     if is_stream(seen) {
-      Reply::Silence
+      Reply::NoResponse
     } else {
       engine_reply(seen, EVENTS)
     }
@@ -178,7 +178,7 @@
 
 #[tokio::test]
 async fn reservation_is_released_when_the_caller_disconnects_during_prefill() {
-  let prefill = EndpointStandIn::start(|_| Reply::Silence).await;
+  let prefill = EndpointStandIn::start(|_| Reply::NoResponse).await;
   let decode = EndpointStandIn::engine(EVENTS).await;
   let gateway = serve(&prefill, &decode).await;
   let pending = gateway.ask_in_background("/stream/a", "r1");
@@ -205,7 +205,7 @@
     if is_stream(seen) {
       let rest = "id: 3\ndata: c\n\n";
       let first = Reply::stream_part(seen, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-      Reply::WriteInTwo(
+      Reply::WriteInTwoParts(
         first,
         Duration::from_millis(2_000),
         format!("{:x}\r\n{rest}\r\n0\r\n\r\n", rest.len()),
