--- a/src/gateway/requests/resume_slot.rs
+++ b/src/gateway/requests/resume_slot.rs
@@ -30,8 +30,8 @@
   };
   for engine in engines {
     let entry = {
-      let book = gateway.endpoints.borrow();
-      book.entry(&engine).cloned()
+      let endpoints = gateway.endpoints.borrow();
+      endpoints.entry(&engine).cloned()
     };
     let may_decode = |entry: &EndpointEntry| {
       entry.role == Some(Role::Decode)
@@ -79,8 +79,8 @@
 }
 
 fn decode_engines(gateway: &Gateway, service: &Name) -> Vec<EndpointEntry> {
-  let book = gateway.endpoints.borrow();
-  book
+  let endpoints = gateway.endpoints.borrow();
+  endpoints
     .entries()
     .filter(|entry| entry.service == *service && entry.role == Some(Role::Decode))
     .filter(|entry| gateway.check(entry).is_ok())
--- a/src/gateway/stages/send_check.rs
+++ b/src/gateway/stages/send_check.rs
@@ -49,9 +49,9 @@
 
 /// Whether a fingerprint is quarantined. The fingerprint is computed only when the registry has entries.
 fn is_quarantined(gateway: &Gateway, fingerprint: impl FnOnce() -> Fingerprint) -> bool {
-  let book = gateway.quarantine.registry.borrow();
-  if book.is_empty() || gateway.settings.quarantine.strategy == QuarantineStrategy::Off {
+  let registry = gateway.quarantine.registry.borrow();
+  if registry.is_empty() || gateway.settings.quarantine.strategy == QuarantineStrategy::Off {
     return false;
   }
-  book.verdict(fingerprint(), gateway.now_ms()) != QuarantineVerdict::Allowed
+  registry.verdict(fingerprint(), gateway.now_ms()) != QuarantineVerdict::Allowed
 }
--- a/src/gateway/stages/stage.rs
+++ b/src/gateway/stages/stage.rs
@@ -350,10 +350,10 @@
   purpose: Purpose,
 ) -> Result<(), StageError> {
   let now_ms = gateway.now_ms();
-  let mut book = gateway.endpoints.borrow_mut();
-  match (book.check(entry, now_ms), purpose) {
+  let mut endpoints = gateway.endpoints.borrow_mut();
+  match (endpoints.check(entry, now_ms), purpose) {
     (Ok(()), Purpose::Request | Purpose::Call) => {
-      if let Some(requested_ms) = book.record_probe(&entry.id, now_ms) {
+      if let Some(requested_ms) = endpoints.record_probe(&entry.id, now_ms) {
         log::info!(
           "E537 first request after its backoff: {}, requested {} ms ago",
           entry.id,
