--- a/src/gateway/roles/role_leader.rs
+++ b/src/gateway/roles/role_leader.rs
@@ -226,13 +226,13 @@
 
   /// The target share of a service's engines in the prefill role: the policy's, or that of the settings.
   fn prefill_share(&self, service: &Name, engines: &[EndpointEntry]) -> f64 {
-    let pool = self.pool_facts(service, engines);
+    let pool = self.pool_stats(service, engines);
     let share = self.gateway.policy.prefill_share(&pool);
     share.unwrap_or(self.gateway.settings.engines.prefill_share)
   }
 
   /// The input of a policy for a service. The load is extrapolated from this box's own to all boxes.
-  fn pool_facts(&self, service: &Name, engines: &[EndpointEntry]) -> PoolStats {
+  fn pool_stats(&self, service: &Name, engines: &[EndpointEntry]) -> PoolStats {
     let boxes = self.gateway.boxes.borrow().len().max(1) as u64;
     let endpoints = self.gateway.endpoints.borrow();
     let load = |role| {
