--- a/src/gateway/requests/event_relay.rs
+++ b/src/gateway/requests/event_relay.rs
@@ -5,7 +5,7 @@
     event_splitter::EventSplitter,
     response::{ResponseBody, StreamAborted},
     stream_request::StreamRequest,
-    stream_send::SILENCE_MS,
+    stream_send::SILENCE_TIMEOUT_MS,
   },
   crate::gateway::{
     decisions::AttemptOutcome,
@@ -116,7 +116,7 @@
       .request
       .remaining_ms(self.stream.gateway.now_ms());
     let timeout_ms = if self.stream.may_retry() {
-      remaining_ms.min(SILENCE_MS)
+      remaining_ms.min(SILENCE_TIMEOUT_MS)
     } else {
       remaining_ms
     };
--- a/src/gateway/requests/prefill.rs
+++ b/src/gateway/requests/prefill.rs
@@ -36,8 +36,8 @@
 impl PrefillResult {
   fn without_export(was_received: bool) -> Self {
     Self {
-      was_received,
       export: None,
+      was_received,
     }
   }
 }
--- a/src/gateway/requests/slot.rs
+++ b/src/gateway/requests/slot.rs
@@ -17,7 +17,7 @@
 };
 
 /// Lifetime of a reservation: long enough for a prefill and a retry.
-const RESERVATION_MS: u64 = 1_500;
+const RESERVATION_TTL_MS: u64 = 1_500;
 /// How long an interrupted stream waits for a slot: callers give up after two seconds.
 const RESUME_TIMEOUT_MS: u64 = 900;
 /// Delay before the next request for a slot when every engine is full.
@@ -194,7 +194,7 @@
     Ok(permit) => permit,
     Err(_) => return None,
   };
-  let call = gateway.codec.reservation_call(tokens, RESERVATION_MS);
+  let call = gateway.codec.reservation_call(tokens, RESERVATION_TTL_MS);
   let mut load_guard = LoadGuard::new(gateway, &entry.id, request.expected_tokens(), 1);
   match call_engine(gateway, entry, call, Purpose::Call).await {
     Ok(body) => match gateway.codec.reservation(&body) {
--- a/src/gateway/requests/stream_send.rs
+++ b/src/gateway/requests/stream_send.rs
@@ -14,7 +14,7 @@
 };
 
 /// How long a retryable stream may be silent before another engine takes it over: less than callers' timeouts.
-pub(crate) const SILENCE_MS: u64 = 1_200;
+pub(crate) const SILENCE_TIMEOUT_MS: u64 = 1_200;
 
 impl StreamRequest {
   pub(super) async fn send(
@@ -81,7 +81,7 @@
     };
     let mut sending = pin!(send_stage(&gateway, &request, stage));
     loop {
-      let silence = Duration::from_millis(SILENCE_MS);
+      let silence = Duration::from_millis(SILENCE_TIMEOUT_MS);
       if let Ok(result) = timeout(silence, sending.as_mut()).await {
         return result;
       }
--- a/src/gateway/stages/engine_call.rs
+++ b/src/gateway/stages/engine_call.rs
@@ -24,9 +24,9 @@
   tokio::{task::spawn_local, time::timeout},
 };
 
-/// Timeout of such a call; engines answer them without queueing.
+/// Timeout of a call to an engine, which answers calls without queueing them.
 const CALL_TIMEOUT: Duration = Duration::from_millis(150);
-/// The longest response to such a call.
+/// The longest response to a call.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 /// An export is not used this shortly before it expires.
 const EXPORT_EXPIRY_MARGIN_MS: u64 = 120;
