--- a/emulator/src/limits/replay.rs
+++ b/emulator/src/limits/replay.rs
@@ -13,8 +13,8 @@
   rand_chacha::ChaCha8Rng,
   rillford::{
     gateway::{
-      BoxList, LimitSettings, LimitStrategy, LocalVerdict, ReportScope, UsageRequest, UsageTotals,
-      UsageVerdict, UseLimit,
+      BoxList, LimitSettings, LimitStrategy, LocalVerdict, ReportScope, UsageLimit, UsageRequest,
+      UsageTotals, UsageVerdict,
     },
     ids::Name,
   },
@@ -29,7 +29,7 @@
 const SETTINGS: LimitSettings = LimitSettings {
   overage: 0.1,
   slack_units: 190_000.0,
-  way: LimitStrategy::AskNearLimit,
+  strategy: LimitStrategy::AskNearLimit,
 };
 /// Bytes of an entry with a name and a number in a message.
 const ENTRY_BYTES: usize = 14;
@@ -134,19 +134,19 @@
   }
 
   /// The operators' limit of an organisation.
-  fn limit(&self, organisation: usize, now_ms: u64) -> UseLimit {
+  fn limit(&self, organisation: usize, now_ms: u64) -> UsageLimit {
     let limit = self.fleet.limit(organisation);
     let share = self.pattern.limit_share(now_ms);
-    UseLimit {
+    UsageLimit {
       burst: limit.burst * share,
       rate_per_s: limit.rate_per_s * share,
     }
   }
 
   fn put_limits(&mut self, now_ms: u64) {
-    let limits: Vec<(Name, UseLimit)> = (0..self.fleet.organisations)
+    let limits: Vec<(Name, UsageLimit)> = (0..self.fleet.organisations)
       .map(|number| {
-        let kept = SETTINGS.kept(self.limit(number, now_ms));
+        let kept = SETTINGS.enforced(self.limit(number, now_ms));
         (self.names[number].clone(), kept)
       })
       .collect();
@@ -214,7 +214,12 @@
     verdict == UsageVerdict::WithinLimit
   }
 
-  fn request<'a>(&self, organisation: &'a Name, limit: UseLimit, now_ms: u64) -> UsageRequest<'a> {
+  fn request<'a>(
+    &self,
+    organisation: &'a Name,
+    limit: UsageLimit,
+    now_ms: u64,
+  ) -> UsageRequest<'a> {
     UsageRequest {
       boxes: self.fleet.boxes,
       limit,
@@ -225,7 +230,7 @@
   }
 
   /// Asks the first box that counts and is reached; in the replay it answers at once.
-  fn ask(&mut self, at: usize, name: &Name, limit: UseLimit, now_ms: u64) -> UsageVerdict {
+  fn ask(&mut self, at: usize, name: &Name, limit: UsageLimit, now_ms: u64) -> UsageVerdict {
     let Some(counting) = self.first_reached(at, now_ms) else {
       let request = self.request(name, limit, now_ms);
       let ledger = &mut self.boxes[at].ledger;
--- a/emulator/src/load/replay.rs
+++ b/emulator/src/load/replay.rs
@@ -12,7 +12,7 @@
   rillford::{
     decide::Role,
     gateway::{
-      AllowedHalls, AttemptOutcome, EndpointCriteria, EndpointEntry, EndpointRegistry, ToldLoad,
+      AllowedHalls, AttemptOutcome, EndpointCriteria, EndpointEntry, EndpointRegistry, LoadHeader,
     },
     ids::Name,
   },
@@ -133,13 +133,13 @@
   let port = FIRST_PORT + number as u16;
   EndpointEntry {
     address: ([127, 0, 0, 1], port).into(),
-    born_ms: None,
+    started_ms: None,
     cold_ms: 0,
     hall: hall_name(number),
     id: engine_name(number),
     leaving: false,
     role: Some(Role::Decode),
-    seats: SEATS,
+    slots: SEATS,
     service: "llm".into(),
   }
 }
@@ -276,9 +276,9 @@
     self.figures.served += u32::from(request.counts);
     let at_box = request.at_box;
     if self.variant.heeds_told_load {
-      let load = ToldLoad {
+      let load = LoadHeader {
         running: self.running[engine],
-        seats: SEATS,
+        slots: SEATS,
         waiting: 0,
       };
       self.books[at_box].record_load(&engine_name(engine), load, now_ms);
--- a/src/gateway/decisions/advertised_limits.rs
+++ b/src/gateway/decisions/advertised_limits.rs
@@ -6,7 +6,7 @@
 
 use {
   crate::{
-    gateway::edge::{EndpointEntry, NamedLimit},
+    gateway::edge::{EndpointEntry, LimitHeader},
     ids::Name,
   },
   std::collections::HashMap,
@@ -81,7 +81,7 @@
 
   /// What an incarnation of an endpoint advertised last.
   pub fn advertised(&self, entry: &EndpointEntry) -> Option<AdvertisedLimit> {
-    self.advertised_by(&entry.id, entry.born_ms)
+    self.advertised_by(&entry.id, entry.started_ms)
   }
 
   /// Like [`advertised`](Self::advertised), for an incarnation that may be unlisted.
@@ -98,29 +98,29 @@
   pub fn record_response(
     &mut self,
     entry: &EndpointEntry,
-    limit: NamedLimit,
+    limit: LimitHeader,
     sent_ms: u64,
     now_ms: u64,
   ) -> LimitChange {
-    let before = self.record(&entry.id, entry.born_ms).cloned();
+    let before = self.record(&entry.id, entry.started_ms).cloned();
     let per_s = match (limit, before) {
-      (NamedLimit::Unreadable, _) | (NamedLimit::Unsaid, None) => return LimitChange::Unchanged,
-      (NamedLimit::Unsaid, Some(before)) if !before.may_be_ended(sent_ms, now_ms) => {
+      (LimitHeader::Unreadable, _) | (LimitHeader::Absent, None) => return LimitChange::Unchanged,
+      (LimitHeader::Absent, Some(before)) if !before.may_be_ended(sent_ms, now_ms) => {
         return LimitChange::Unchanged;
       }
-      (NamedLimit::Unsaid, Some(_)) => None,
+      (LimitHeader::Absent, Some(_)) => None,
       // The requests overlapped, so the order of the responses is unknown: the lower limit applies.
-      (NamedLimit::PerS(per_s), Some(before)) if sent_ms < before.limit.received_ms => {
+      (LimitHeader::PerSecond(per_s), Some(before)) if sent_ms < before.limit.received_ms => {
         Some(before.limit.per_s.map_or(per_s, |known| known.min(per_s)))
       }
-      (NamedLimit::PerS(per_s), _) => Some(per_s),
+      (LimitHeader::PerSecond(per_s), _) => Some(per_s),
     };
     let limit = AdvertisedLimit {
       received_ms: now_ms,
       per_s,
       source: LimitSource::Answer,
     };
-    self.put(&entry.id, entry.born_ms, limit)
+    self.put(&entry.id, entry.started_ms, limit)
   }
 
   /// Applies a limit that another box reported, if it is newer.
--- a/src/gateway/decisions/coordinator_limit.rs
+++ b/src/gateway/decisions/coordinator_limit.rs
@@ -4,7 +4,7 @@
 //! bursts besides, whichever messages between them are late or lost: there is one coordinator, and the boxes that grant
 //! permits in isolation from it are the same few for all.
 
-use crate::gateway::edge::UseLimit;
+use crate::gateway::edge::UsageLimit;
 
 /// Share of a limit that is granted. The rest is for permits that are used later than they were granted.
 const GRANTED_SHARE: f64 = 0.94;
@@ -27,11 +27,11 @@
 /// assert_eq!(coordinator_limit(100.0).rate_per_s, 94.0);
 /// assert_eq!(coordinator_limit(0.0).rate_per_s, coordinator_limit(0.2).rate_per_s);
 /// ```
-pub fn coordinator_limit(per_s: f64) -> UseLimit {
+pub fn coordinator_limit(per_s: f64) -> UsageLimit {
   let effective_per_s = per_s.max(MIN_PER_S);
   // The minimum rate exceeds a lower limit already, so it gets no extra burst.
   let min_burst = if per_s < MIN_PER_S { 1.0 } else { BURST };
-  UseLimit {
+  UsageLimit {
     burst: min_burst.max(1.0 + effective_per_s * BURST_INTERVAL_S),
     rate_per_s: effective_per_s * GRANTED_SHARE,
   }
@@ -44,8 +44,8 @@
 /// assert_eq!(isolated_limit(100.0).rate_per_s, coordinator_limit(100.0).rate_per_s / 4.0);
 /// assert_eq!(isolated_limit(100.0).burst, 1.0);
 /// ```
-pub fn isolated_limit(per_s: f64) -> UseLimit {
-  UseLimit {
+pub fn isolated_limit(per_s: f64) -> UsageLimit {
+  UsageLimit {
     burst: 1.0,
     rate_per_s: coordinator_limit(per_s).rate_per_s * ISOLATED_SHARE / ISOLATED_BOXES as f64,
   }
--- a/src/gateway/decisions/permit_table.rs
+++ b/src/gateway/decisions/permit_table.rs
@@ -5,7 +5,7 @@
     endpoint_incarnation::EndpointIncarnation,
     permit_account::{PermitAccount, PermitRequest, PermitVerdict},
   },
-  crate::gateway::edge::UseLimit,
+  crate::gateway::edge::UsageLimit,
   std::collections::HashMap,
 };
 
@@ -23,7 +23,7 @@
   pub fn request(
     &mut self,
     incarnation: EndpointIncarnation,
-    limit: UseLimit,
+    limit: UsageLimit,
     permit_request: &PermitRequest,
     now_ms: u64,
   ) -> PermitVerdict {
--- a/src/gateway/limits/admission.rs
+++ b/src/gateway/limits/admission.rs
@@ -8,7 +8,7 @@
   crate::{
     gateway::{
       decisions::{LocalVerdict, UsageRequest, UsageVerdict},
-      edge::{CallerFacts, Organisation, UseLimit},
+      edge::{CallerAttributes, Organisation, UsageLimit},
       state::Gateway,
     },
     ids::Name,
@@ -72,7 +72,7 @@
 pub(crate) async fn admit(
   gateway: &Rc<Gateway>,
   organisation: &Organisation,
-  facts: &CallerFacts,
+  facts: &CallerAttributes,
 ) -> Result<Charge, OverLimit> {
   let units = organisation.units(facts);
   let name = &organisation.name;
@@ -111,7 +111,7 @@
 async fn admit_by_local_usage(
   gateway: &Gateway,
   name: &Name,
-  limit: UseLimit,
+  limit: UsageLimit,
   units: u64,
 ) -> UsageVerdict {
   let request = || UsageRequest {
@@ -121,7 +121,7 @@
     organisation: name,
     units,
   };
-  let strategy = gateway.settings.limits.way;
+  let strategy = gateway.settings.limits.strategy;
   let local = gateway.local_usage.borrow_mut().admit(request(), strategy);
   match local {
     LocalVerdict::Settled(verdict) => verdict,
@@ -173,7 +173,13 @@
 }
 
 /// Logs a rejection with the data that it was based on.
-fn log_over_limit(gateway: &Gateway, facts: &CallerFacts, name: &Name, units: u64, remaining: f64) {
+fn log_over_limit(
+  gateway: &Gateway,
+  facts: &CallerAttributes,
+  name: &Name,
+  units: u64,
+  remaining: f64,
+) {
   let version = gateway.route_table().map(|table| table.version());
   let limit = gateway.usage_table.borrow().limit(name);
   let age_ms = if gateway.coordinates_usage() {
--- a/src/gateway/limits/reporting.rs
+++ b/src/gateway/limits/reporting.rs
@@ -29,7 +29,9 @@
   let mut round = 0_u32;
   loop {
     sleep(REPORT_INTERVAL).await;
-    if gateway.usage_table.borrow().is_empty() || !gateway.settings.limits.way.uses_coordinators() {
+    if gateway.usage_table.borrow().is_empty()
+      || !gateway.settings.limits.strategy.uses_coordinators()
+    {
       continue;
     }
     if gateway.is_coordinator() {
--- a/src/gateway/membership/relay.rs
+++ b/src/gateway/membership/relay.rs
@@ -4,7 +4,7 @@
   crate::{
     CallError, HttpClient,
     gateway::{
-      connections::{message_answer, serve_port, status_answer},
+      connections::{message_response, serve_port, status_response},
       edge::StoreChanges,
       limits::{TOTALS_PATH, USAGE_PATH, handle_totals, handle_usage},
       permits::{LIMITS_PATH, PERMITS_PATH, handle_limit, handle_permits},
@@ -79,7 +79,7 @@
     .strip_prefix("/changes/")
     .and_then(|text| text.parse().ok());
   let Some(revision) = revision else {
-    return status_answer(StatusCode::NOT_FOUND);
+    return status_response(StatusCode::NOT_FOUND);
   };
   let contact_ms = gateway.store_contact_ms.get();
   let is_fresh =
@@ -96,5 +96,5 @@
       .get()
       .map(|contact_ms| gateway.now_ms() - contact_ms),
   };
-  message_answer(&response)
+  message_response(&response)
 }
--- a/src/gateway/permits/acquisition.rs
+++ b/src/gateway/permits/acquisition.rs
@@ -138,7 +138,7 @@
   limit: AdvertisedLimit,
   permit_request: &PermitRequest,
 ) -> (PermitVerdict, DecidedBy) {
-  let incarnation = EndpointIncarnation::of(&entry.id, entry.born_ms);
+  let incarnation = EndpointIncarnation::of(&entry.id, entry.started_ms);
   let order = coordinator_order(
     &gateway.boxes.borrow(),
     &entry.id,
@@ -183,13 +183,13 @@
     let limits = endpoints.limits();
     (
       limits.advertised(entry),
-      limits.cold_period(&entry.id, entry.born_ms, now_ms),
+      limits.cold_period(&entry.id, entry.started_ms, now_ms),
     )
   };
   let message = PermitRequestMessage {
     advertised: advertised.map(|limit| RelayedLimit::new(limit, now_ms)),
     box_name: permit_request.box_name.clone(),
-    born_ms: entry.born_ms,
+    started_ms: entry.started_ms,
     cold: cold.map(|period| ColdPeriodMessage::new(period, now_ms)),
     endpoint: entry.id.clone(),
     hall: entry.hall.clone(),
@@ -205,7 +205,7 @@
         let mut endpoints = gateway.endpoints.borrow_mut();
         let limits = endpoints.limits_mut();
         let limit = advertised.on_local_clock(now_ms);
-        limits.record_reported(&entry.id, entry.born_ms, limit);
+        limits.record_reported(&entry.id, entry.started_ms, limit);
       }
       Some(response)
     }
--- a/src/gateway/permits/announcement.rs
+++ b/src/gateway/permits/announcement.rs
@@ -5,7 +5,7 @@
   super::relayed_limit::RelayedLimit,
   crate::{
     gateway::{
-      connections::{read_message, send_message, status_answer},
+      connections::{read_message, send_message, status_response},
       decisions::{AdvertisedLimit, LimitChange},
       state::Gateway,
     },
@@ -31,19 +31,19 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct LimitAnnouncement {
   endpoint: Name,
-  born_ms: Option<u64>,
+  started_ms: Option<u64>,
   limit: RelayedLimit,
   /// Whether a store reader forwarded it to the boxes of its hall, which do not forward it again.
   is_forwarded: bool,
 }
 
 /// Announces a limit that an endpoint has begun to advertise to this box; does not wait for the calls.
-pub(crate) fn announce_limit(gateway: &Rc<Gateway>, endpoint: &Name, born_ms: Option<u64>) {
+pub(crate) fn announce_limit(gateway: &Rc<Gateway>, endpoint: &Name, started_ms: Option<u64>) {
   let limit = gateway
     .endpoints
     .borrow()
     .limits()
-    .advertised_by(endpoint, born_ms);
+    .advertised_by(endpoint, started_ms);
   let Some(limit) = limit else {
     return;
   };
@@ -56,7 +56,7 @@
     )
   };
   let message = LimitAnnouncement {
-    born_ms,
+    started_ms,
     endpoint: endpoint.clone(),
     is_forwarded: false,
     limit: RelayedLimit::new(limit, gateway.now_ms()),
@@ -94,11 +94,11 @@
   match read_message::<LimitAnnouncement>(request, MAX_BODY_BYTES).await {
     Ok(message) => {
       receive_announcement(gateway, message);
-      status_answer(StatusCode::OK)
+      status_response(StatusCode::OK)
     }
     Err(error) => {
       log::info!("E609 limit announcement rejected: {error}");
-      status_answer(StatusCode::BAD_REQUEST)
+      status_response(StatusCode::BAD_REQUEST)
     }
   }
 }
@@ -106,10 +106,12 @@
 fn receive_announcement(gateway: &Rc<Gateway>, message: LimitAnnouncement) {
   let now_ms = gateway.now_ms();
   let LimitAnnouncement {
-    endpoint, born_ms, ..
+    endpoint,
+    started_ms,
+    ..
   } = &message;
   let limit = message.limit.on_local_clock(now_ms);
-  let change = record_relayed_limit(gateway, endpoint, *born_ms, limit);
+  let change = record_relayed_limit(gateway, endpoint, *started_ms, limit);
   if change == LimitChange::Started && !message.is_forwarded {
     let addresses = {
       let boxes = gateway.boxes.borrow();
@@ -124,16 +126,16 @@
 pub(super) fn record_relayed_limit(
   gateway: &Gateway,
   endpoint: &Name,
-  born_ms: Option<u64>,
+  started_ms: Option<u64>,
   limit: AdvertisedLimit,
 ) -> LimitChange {
   let mut endpoints = gateway.endpoints.borrow_mut();
   let change = endpoints
     .limits_mut()
-    .record_reported(endpoint, born_ms, limit);
+    .record_reported(endpoint, started_ms, limit);
   if change == LimitChange::Started {
     log::info!(
-      "E540 limit advertised: {endpoint} started {born_ms:?} takes {} requests per second from all boxes, received by another box {} ms ago",
+      "E540 limit advertised: {endpoint} started {started_ms:?} takes {} requests per second from all boxes, received by another box {} ms ago",
       limit.per_s.unwrap_or_default(),
       gateway.now_ms().saturating_sub(limit.received_ms)
     );
--- a/src/gateway/quarantine/crash_detection.rs
+++ b/src/gateway/quarantine/crash_detection.rs
@@ -7,7 +7,7 @@
       EndpointIncarnation, Fingerprint, QuarantineKey, QuarantineMark, QuarantineStrategy,
     },
     edge::EndpointEntry,
-    parts::RoutedRequest,
+    stages::RoutedRequest,
     state::Gateway,
   },
   std::{fmt, net::SocketAddr, rc::Rc, time::Duration},
@@ -90,13 +90,13 @@
     "E528 stage lost: {} ({fingerprint}) at {} started {:?}, {ran_ms} ms after it was sent: {error}; endpoint {state}",
     request.id(),
     entry.id,
-    entry.born_ms
+    entry.started_ms
   );
   if state != EndpointState::Terminated {
     return;
   }
   gateway.counters.lost_with_endpoint.inc();
-  if gateway.settings.quarantine.way != QuarantineStrategy::Off {
+  if gateway.settings.quarantine.strategy != QuarantineStrategy::Off {
     let incarnation = reached_incarnation(&gateway, &entry, fingerprint, sent_ms).await;
     record_crash(&gateway, fingerprint, incarnation);
   }
@@ -110,7 +110,7 @@
   fingerprint: Fingerprint,
   sent_ms: u64,
 ) -> EndpointIncarnation {
-  let incarnation = EndpointIncarnation::of(&chosen.id, chosen.born_ms);
+  let incarnation = EndpointIncarnation::of(&chosen.id, chosen.started_ms);
   let crashed_ms = gateway
     .quarantine
     .registry
@@ -121,13 +121,13 @@
   }
   let until_ms = gateway.now_ms() + ENTRY_TIMEOUT_MS;
   loop {
-    let born_ms = gateway
+    let started_ms = gateway
       .endpoints
       .borrow()
       .entry(&chosen.id)
-      .and_then(|current| current.born_ms);
-    if born_ms.is_some() && born_ms != chosen.born_ms {
-      return EndpointIncarnation::of(&chosen.id, born_ms);
+      .and_then(|current| current.started_ms);
+    if started_ms.is_some() && started_ms != chosen.started_ms {
+      return EndpointIncarnation::of(&chosen.id, started_ms);
     }
     if gateway.now_ms() >= until_ms {
       return incarnation;
@@ -155,12 +155,12 @@
 
 /// Finds out whether an endpoint has terminated.
 async fn endpoint_state(gateway: &Gateway, entry: &EndpointEntry) -> EndpointState {
-  let (is_leaving, born_ms) = {
+  let (is_leaving, started_ms) = {
     let endpoints = gateway.endpoints.borrow();
     match endpoints.entry(&entry.id) {
       Some(current) => (
         endpoints.is_leaving(current, gateway.now_ms()),
-        current.born_ms,
+        current.started_ms,
       ),
       None => return EndpointState::Unknown,
     }
@@ -168,7 +168,7 @@
   if is_leaving {
     return EndpointState::Unknown;
   }
-  if born_ms != entry.born_ms {
+  if started_ms != entry.started_ms {
     return EndpointState::Terminated;
   }
   probe(entry.address).await
--- a/src/gateway/quarantine/mod.rs
+++ b/src/gateway/quarantine/mod.rs
@@ -2,8 +2,8 @@
 //! records, under a request's fingerprint, that an endpoint crashed on it, or that a box claimed a probe: the one run that a
 //! quarantined request is allowed at a time.
 //!
-//! Imports the folders up to `parts`. The decisions are in `decisions::quarantine_registry`; the last check before each send is in
-//! `parts`.
+//! Imports the folders up to `stages`. The decisions are in `decisions::quarantine_registry`; the last check before each send is in
+//! `stages`.
 
 mod crash_detection;
 mod messages;
--- a/src/gateway/roles/mod.rs
+++ b/src/gateway/roles/mod.rs
@@ -1,6 +1,6 @@
 //! Role assignment: one box, the role leader, assigns engines to prefill or decode.
 //!
-//! Imports `parts` and the folders below it. `decisions` computes which engines change their role; the calls to the engines are
+//! Imports `stages` and the folders below it. `decisions` computes which engines change their role; the calls to the engines are
 //! made here.
 
 mod role_leader;
--- a/src/gateway/roles/role_leader.rs
+++ b/src/gateway/roles/role_leader.rs
@@ -6,7 +6,7 @@
     gateway::{
       decisions::{RecentEngines, RolePlan, plan_roles, stable_engines, with_role},
       edge::{EndpointEntry, EngineReport, RoleChange, Store},
-      parts::{Purpose, call_engine},
+      stages::{Purpose, call_engine},
       state::{Gateway, Phase},
     },
     ids::Name,
@@ -126,7 +126,7 @@
     }
     self.gateway.counters.store_calls.inc();
     let name = self.gateway.settings.identity.name.clone();
-    match self.store.become_steward(&name, held.lease).await {
+    match self.store.try_become_role_leader(&name, held.lease).await {
       Ok(Some(fence)) => {
         log::info!("E420 elected role leader: fence {fence}");
         self.fence = Some(fence);
@@ -243,7 +243,7 @@
     let (_, queue_tokens) = load(Role::Prefill);
     let (slots_taken, _) = load(Role::Decode);
     let slots: u64 = with_role(engines, Role::Decode)
-      .map(|engine| u64::from(engine.seats))
+      .map(|engine| u64::from(engine.slots))
       .sum();
     PoolStats {
       decode_engines: with_role(engines, Role::Decode).count() as u64,
@@ -260,7 +260,7 @@
       let Some(report) = self.report(&engine).await else {
         continue;
       };
-      if report.order_under_way || report.role == Some(plan.role) {
+      if report.command_in_progress || report.role == Some(plan.role) {
         self.record_command(&engine, plan.role);
         continue;
       }
@@ -271,7 +271,7 @@
         endpoint_id: engine.id.clone(),
         fence,
         holder: self.gateway.settings.identity.name.clone(),
-        orders_taken: report.orders_taken,
+        commands_accepted: report.commands_accepted,
         role: plan.role,
       };
       self.send(&engine, &change).await;
@@ -283,7 +283,7 @@
     let response = call_engine(
       &self.gateway,
       engine,
-      self.gateway.dialect.ask_report(),
+      self.gateway.codec.report_call(),
       Purpose::Call,
     )
     .await;
@@ -292,7 +292,7 @@
       .and_then(|body| {
         self
           .gateway
-          .dialect
+          .codec
           .report(&body)
           .map_err(|error| error.to_string())
       });
@@ -305,7 +305,7 @@
   async fn confirmed_fence(&mut self) -> Option<u64> {
     let requested_ms = self.gateway.now_ms();
     self.gateway.counters.store_calls.inc();
-    let leader = self.store.steward().await;
+    let leader = self.store.role_leader().await;
     let name = &self.gateway.settings.identity.name;
     match leader {
       Ok(Some(leader)) if leader.holder == *name && Some(leader.fence) == self.fence => {
@@ -342,7 +342,7 @@
   async fn send(&mut self, engine: &EndpointEntry, change: &RoleChange) {
     let RoleChange { role, fence, .. } = change;
     self.record_command(engine, *role);
-    let call = self.gateway.dialect.change_role(change);
+    let call = self.gateway.codec.role_change_call(change);
     match call_engine(&self.gateway, engine, call, Purpose::Call).await {
       Ok(_) => log::info!(
         "E423 role assigned: {} becomes {role:?}, fence {fence}",
--- a/tests/gateway/choice.rs
+++ b/tests/gateway/choice.rs
@@ -4,7 +4,7 @@
   rillford::{
     decide::Role,
     gateway::{
-      AllowedHalls, AttemptOutcome, EndpointCriteria, EndpointEntry, EndpointRegistry, ToldLoad,
+      AllowedHalls, AttemptOutcome, EndpointCriteria, EndpointEntry, EndpointRegistry, LoadHeader,
       Unavailable,
     },
   },
@@ -15,13 +15,13 @@
 fn entry(id: &str, hall: &str, role: Option<Role>) -> EndpointEntry {
   EndpointEntry {
     address: "127.0.0.1:1".parse().unwrap(),
-    born_ms: None,
+    started_ms: None,
     cold_ms: 0,
     hall: hall.into(),
     id: id.into(),
     leaving: false,
     role,
-    seats: 8,
+    slots: 8,
     service: "portal".into(),
   }
 }
@@ -69,9 +69,9 @@
   assert_eq!(chosen(&registry, criteria(), 0), "b");
   registry.record_load(
     "b",
-    ToldLoad {
+    LoadHeader {
       running: 5,
-      seats: 8,
+      slots: 8,
       waiting: 2,
     },
     0,
@@ -243,8 +243,8 @@
 /// slot reservation was lost, and the crash of the new incarnation was attributed to the old one.
 #[test]
 fn new_incarnation_gets_no_requests_chosen_for_the_former_one() {
-  let incarnation = |born_ms| EndpointEntry {
-    born_ms: Some(born_ms),
+  let incarnation = |started_ms| EndpointEntry {
+    started_ms: Some(started_ms),
     ..entry("a", "north", None)
   };
   let mut registry = EndpointRegistry::default();
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -7,8 +7,8 @@
   proptest::{prelude::*, proptest},
   rillford::{
     gateway::{
-      LimitStrategy, LocalUsage, LocalVerdict, ReportScope, UsageRequest, UsageTable, UsageTotals,
-      UsageVerdict, UseLimit,
+      LimitStrategy, LocalUsage, LocalVerdict, ReportScope, UsageLimit, UsageRequest, UsageTable,
+      UsageTotals, UsageVerdict,
     },
     ids::Name,
   },
@@ -92,8 +92,8 @@
   assert!(most_used(&replays) < 1.25, "{replays:?}");
 }
 
-fn limit() -> UseLimit {
-  UseLimit {
+fn limit() -> UsageLimit {
+  UsageLimit {
     burst: 100.0,
     rate_per_s: 100.0,
   }
@@ -174,7 +174,7 @@
 #[test]
 fn limit_that_is_lowered_or_raised_holds_at_once() {
   let mut table = table(0);
-  let lower = UseLimit {
+  let lower = UsageLimit {
     burst: 10.0,
     rate_per_s: 10.0,
   };
@@ -300,7 +300,7 @@
   gateway: &GatewayBox,
   key: &str,
   tokens: Option<&'static str>,
-) -> super::harness::Asked {
+) -> super::harness::CallerResponse {
   let mut request = gateway.request("/unsafe/a", "r");
   let headers = request.headers_mut();
   headers.remove("x-token-counts");
@@ -349,7 +349,7 @@
   let test = GatewayTest::new().await.configure(with_a_limit);
   let gateway = test.with_portal(&one).await;
   assert_eq!(ask(&gateway, "key-a", None).await.status, StatusCode::OK);
-  let text = gateway.shown_limits();
+  let text = gateway.limits_output();
   let row: Vec<&str> = text.lines().nth(1).unwrap().split_whitespace().collect();
   assert_eq!(row[0], "captions", "{text}");
   let left: f64 = row[1].parse().unwrap();
--- a/tests/gateway/mod.rs
+++ b/tests/gateway/mod.rs
@@ -1,6 +1,6 @@
-//! Gateway boxes as processes, against stand-ins that speak the platform's published protocol.
+//! Tests of gateway boxes: processes against stand-ins that implement the platform's published protocol, and unit tests.
 
-mod answers;
+mod allowed_regions;
 mod budget;
 mod callers;
 mod choice;
@@ -11,7 +11,6 @@
 mod endpoint_limits;
 mod hall_drain;
 mod harness;
-mod homes;
 mod leaving;
 mod limits;
 mod load;
@@ -22,6 +21,7 @@
 mod policy;
 mod quarantine;
 mod relay;
+mod responses;
 mod resume;
 mod role_plan;
 mod roles;
@@ -30,6 +30,6 @@
 mod streams;
 
 pub(crate) use self::{
-  endpoint::{EndpointStandIn, Reply, Seen},
-  harness::{GatewayBox, GatewayTest, PATIENCE},
+  endpoint::{EndpointStandIn, ReceivedRequest, Reply},
+  harness::{GatewayBox, GatewayTest, TIMEOUT},
 };
