--- a/emulator/src/experiment/variant.rs
+++ b/emulator/src/experiment/variant.rs
@@ -31,7 +31,7 @@
   ///
   /// ```
   /// use emulator::experiment::Variant;
-  /// let variant = Variant::parse("no orders:mechanisms.role_commands=false").unwrap();
+  /// let variant = Variant::parse("no orders:mechanisms.role_orders=false").unwrap();
   /// let settings = "[engines]\nprefill_share = 0.25\n";
   /// assert_eq!(
   ///   variant.apply(settings),
