--- a/emulator/src/quarantine/replay.rs
+++ b/emulator/src/quarantine/replay.rs
@@ -218,7 +218,7 @@
       crashing,
       engine: None,
       fingerprint,
-      is_trial: false,
+      is_probe: false,
       run: 0,
       tries_left: TRIES - 1,
       until_ms: now_ms + PATIENCE_MS,
@@ -235,7 +235,7 @@
         if !self.take_trial(&request, trial, now_ms) {
           return self.held(number, 1_000, now_ms);
         }
-        self.requests[number].is_trial = true;
+        self.requests[number].is_probe = true;
       }
       // Held between two engines: the try is over.
       QuarantineVerdict::Probe { .. } => return self.comes_again(number, RETURN_MS, now_ms),
@@ -317,7 +317,7 @@
     }
     request.tries_left -= 1;
     request.attempts_left = ATTEMPTS;
-    request.is_trial = false;
+    request.is_probe = false;
     request.at = at;
     self.queue.put(again_ms, Event::Sent { request: number });
   }
@@ -392,7 +392,7 @@
         mark: QuarantineMark::Crashed(life),
       };
       self.note_end(request.at, key, now_ms);
-      if request.attempts_left > 0 && !request.is_trial {
+      if request.attempts_left > 0 && !request.is_probe {
         self
           .queue
           .put(now_ms + NEXT_MS, Event::Sent { request: number });
--- a/emulator/src/quarantine/request.rs
+++ b/emulator/src/quarantine/request.rs
@@ -13,7 +13,7 @@
   /// Engines that it may still be sent to.
   pub(super) attempts_left: u32,
   /// Whether it is a trial.
-  pub(super) is_trial: bool,
+  pub(super) is_probe: bool,
   /// Tries that its caller has left.
   pub(super) tries_left: u32,
   /// When its caller gives up.
--- a/src/gateway/decisions/endpoint_limits.rs
+++ b/src/gateway/decisions/endpoint_limits.rs
@@ -8,7 +8,7 @@
     local_permits::LocalPermits,
   },
   crate::{
-    gateway::edge::{EndpointEntry, NamedLimit},
+    gateway::edge::{EndpointEntry, LimitHeader},
     ids::Name,
   },
 };
@@ -56,7 +56,7 @@
     if self.is_disabled {
       return None;
     }
-    self.lowest_limit(&entry.id, entry.born_ms, now_ms)
+    self.lowest_limit(&entry.id, entry.started_ms, now_ms)
   }
 
   fn lowest_limit(
@@ -114,7 +114,7 @@
   pub fn record_response(
     &mut self,
     entry: &EndpointEntry,
-    limit: NamedLimit,
+    limit: LimitHeader,
     sent_ms: u64,
     now_ms: u64,
   ) -> LimitChange {
--- a/src/gateway/decisions/endpoint_registry.rs
+++ b/src/gateway/decisions/endpoint_registry.rs
@@ -14,7 +14,7 @@
   },
   crate::{
     decide::Role,
-    gateway::edge::{EndpointEntry, EndpointNotice, NamedLimit, ToldLoad},
+    gateway::edge::{EndpointEntry, EndpointNotice, LimitHeader, LoadHeader},
     ids::Name,
   },
   std::collections::{BTreeMap, HashMap},
@@ -140,7 +140,7 @@
   pub fn check(&self, chosen: &EndpointEntry, now_ms: u64) -> Result<(), Unavailable> {
     let entry = self
       .entry(&chosen.id)
-      .filter(|entry| entry.born_ms == chosen.born_ms)
+      .filter(|entry| entry.started_ms == chosen.started_ms)
       .ok_or(Unavailable::Unlisted)?;
     self.check_listed(entry, now_ms)
   }
@@ -319,7 +319,7 @@
   pub fn record_limit(
     &mut self,
     entry: &EndpointEntry,
-    limit: NamedLimit,
+    limit: LimitHeader,
     sent_ms: u64,
     now_ms: u64,
   ) -> LimitChange {
@@ -353,7 +353,7 @@
   fn has_newer_incarnation(&self, entry: &EndpointEntry) -> bool {
     self
       .entry(&entry.id)
-      .is_some_and(|now| now.born_ms != entry.born_ms)
+      .is_some_and(|now| now.started_ms != entry.started_ms)
   }
 
   /// Whether an incarnation of an endpoint accepts work, according to its own signals.
@@ -437,7 +437,7 @@
   }
 
   /// Records the load that an endpoint reported; this box's open request is still part of it.
-  pub fn record_load(&mut self, id: &str, load: ToldLoad, now_ms: u64) {
+  pub fn record_load(&mut self, id: &str, load: LoadHeader, now_ms: u64) {
     if let Some(endpoint) = self.endpoints.get_mut(id) {
       let other_requests = load
         .running
--- a/src/gateway/decisions/notice_tracker.rs
+++ b/src/gateway/decisions/notice_tracker.rs
@@ -99,7 +99,7 @@
     notice: &EndpointNotice,
     now_ms: u64,
   ) -> NoticeChange {
-    if !notice.leaving && notice.pause_ms.is_none_or(|pause_ms| pause_ms == 0) {
+    if !notice.leaving && notice.backoff_ms.is_none_or(|pause_ms| pause_ms == 0) {
       return NoticeChange::default();
     }
     let before = self.availability(entry, now_ms);
@@ -107,13 +107,13 @@
       .signals
       .entry(entry.id.clone())
       .or_insert(Signals::new(entry));
-    if signals.started_ms != entry.born_ms {
+    if signals.started_ms != entry.started_ms {
       *signals = Signals::new(entry);
     }
     if notice.leaving {
       signals.leaving_signalled_ms = Some(now_ms);
     }
-    if let Some(pause_ms) = notice.pause_ms {
+    if let Some(pause_ms) = notice.backoff_ms {
       signals.back_off(pause_ms, now_ms);
     }
     NoticeChange::between(before, self.availability(entry, now_ms))
@@ -124,7 +124,7 @@
     let signals = self
       .signals
       .get(&entry.id)
-      .filter(|signals| signals.started_ms == entry.born_ms);
+      .filter(|signals| signals.started_ms == entry.started_ms);
     match signals {
       Some(Signals {
         leaving_signalled_ms: Some(signalled_ms),
@@ -169,7 +169,7 @@
     let mut readmitted = Vec::new();
     for (id, signals) in &mut self.signals {
       let lists_ready =
-        entry(id).is_some_and(|entry| !entry.leaving && entry.born_ms == signals.started_ms);
+        entry(id).is_some_and(|entry| !entry.leaving && entry.started_ms == signals.started_ms);
       let ready_since_ms = store_since_ms.filter(|_| lists_ready);
       if signals.is_mistaken(ready_since_ms, now_ms) {
         signals.leaving_signalled_ms = None;
@@ -221,7 +221,7 @@
 impl Signals {
   fn new(entry: &EndpointEntry) -> Self {
     Self {
-      started_ms: entry.born_ms,
+      started_ms: entry.started_ms,
       leaving_signalled_ms: None,
       backoff: None,
     }
--- a/src/gateway/limits/messages.rs
+++ b/src/gateway/limits/messages.rs
@@ -1,10 +1,10 @@
-//! What boxes tell each other of organisations' use, and the answers.
+//! Messages between boxes on organisations' usage.
 
 use {
   crate::{
     CallError, HttpClient,
     gateway::{
-      connections::{message_answer, read_message, send_message, status_answer},
+      connections::{message_response, read_message, send_message, status_response},
       decisions::{UsageTotals, UsageVerdict},
       state::Gateway,
     },
@@ -18,101 +18,100 @@
   std::{net::SocketAddr, time::Duration},
 };
 
-/// The path on which a box that counts is told of use.
-pub(crate) const USE_PATH: &str = "/use";
-/// The path on which boxes that count tell each other their totals.
+/// The path on which a coordinator receives usage reports.
+pub(crate) const USAGE_PATH: &str = "/use";
+/// The path on which coordinators exchange their totals.
 pub(crate) const TOTALS_PATH: &str = "/totals";
-/// The longest message: 4,000 organisations with names of 60 bytes.
-const MOST_BYTES: usize = 256 * 1024;
+/// Limit of a message body: room for 4,000 organisations with names of 60 bytes.
+const MAX_BODY_BYTES: usize = 256 * 1024;
 
-/// What a box tells one that counts.
+/// A box's report to a coordinator.
 #[derive(Debug, Deserialize, Serialize)]
-pub(crate) struct UseReport {
-  /// The box.
+pub(crate) struct UsageReport {
   pub(crate) box_name: Name,
-  /// Units admitted since its last report, by organisation; below 0 when more were given back.
+  /// Units admitted since the last report, by organisation; negative when more were refunded.
   pub(crate) used: Vec<(Name, i64)>,
-  /// A request of an organisation that is short, to be counted if it is within the limit.
-  pub(crate) asks: Option<(Name, u64)>,
+  /// A request of an organisation that is near its limit, with its units: to be charged if it is within the limit.
+  pub(crate) pending: Option<(Name, u64)>,
 }
 
-/// What the box that counts answers.
+/// A coordinator's response to a report.
 #[derive(Debug, Deserialize, Serialize)]
-pub(crate) struct UseAnswer {
-  /// The organisations that are short, each with the units that are left.
-  pub(crate) short: Vec<(Name, f64)>,
-  /// What becomes of the request that was asked for.
+pub(crate) struct UsageResponse {
+  /// The organisations near their limits, each with its remaining units.
+  pub(crate) near_limit: Vec<(Name, f64)>,
+  /// The decision on the request in `pending`.
   pub(crate) verdict: Option<UsageVerdict>,
 }
 
-/// Tells a box that counts of use, and asks it.
-pub(super) async fn report(
+/// Sends a usage report to a coordinator.
+pub(super) async fn send_usage(
   http: &HttpClient,
   address: SocketAddr,
-  message: &UseReport,
-  limit: Duration,
-) -> Result<UseAnswer, CallError> {
-  let body = send_message(http, address, USE_PATH, message, limit).await?;
+  report: &UsageReport,
+  timeout: Duration,
+) -> Result<UsageResponse, CallError> {
+  let body = send_message(http, address, USAGE_PATH, report, timeout).await?;
   postcard::from_bytes(&body).map_err(|error| CallError::InvalidResponse(error.to_string()))
 }
 
-/// Tells another box that counts this one's totals.
-pub(super) async fn tell_totals(
+/// Sends this coordinator's totals to another one.
+pub(super) async fn send_totals(
   http: &HttpClient,
   address: SocketAddr,
   totals: &UsageTotals,
-  limit: Duration,
+  timeout: Duration,
 ) -> Result<(), CallError> {
-  send_message(http, address, TOTALS_PATH, totals, limit)
+  send_message(http, address, TOTALS_PATH, totals, timeout)
     .await
     .map(drop)
 }
 
-/// Counts what another box reports, and answers it.
-pub(crate) async fn answer_use(
+/// Charges the usage that another box reports, and decides on the request that it asks for.
+pub(crate) async fn handle_usage(
   gateway: &Gateway,
   request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-  let Some(report) = read::<UseReport>(request).await else {
-    return status_answer(StatusCode::BAD_REQUEST);
+  let Some(report) = decode_message::<UsageReport>(request).await else {
+    return status_response(StatusCode::BAD_REQUEST);
   };
   let now_ms = gateway.now_ms();
-  let mut book = gateway.use_book.borrow_mut();
-  book.record_reporter(&report.box_name, now_ms);
+  let mut usage = gateway.usage_table.borrow_mut();
+  usage.record_reporter(&report.box_name, now_ms);
   for (organisation, units) in &report.used {
-    book.charge(organisation, *units, now_ms);
+    usage.charge(organisation, *units, now_ms);
   }
   let verdict = report
-    .asks
-    .map(|(organisation, units)| book.admit(&organisation, units, now_ms));
-  let answer = UseAnswer {
-    short: book.near_limit(now_ms),
+    .pending
+    .map(|(organisation, units)| usage.admit(&organisation, units, now_ms));
+  let response = UsageResponse {
+    near_limit: usage.near_limit(now_ms),
     verdict,
   };
-  message_answer(&answer)
+  message_response(&response)
 }
 
-/// Takes over the totals of another box that counts.
-pub(crate) async fn answer_totals(
+/// Applies the totals of another coordinator.
+pub(crate) async fn handle_totals(
   gateway: &Gateway,
   request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-  let Some(totals) = read::<UsageTotals>(request).await else {
-    return status_answer(StatusCode::BAD_REQUEST);
+  let Some(totals) = decode_message::<UsageTotals>(request).await else {
+    return status_response(StatusCode::BAD_REQUEST);
   };
   let now_ms = gateway.now_ms();
-  // This box's clock starts with its process.
+  // `now_ms` counts from the start of this process.
   let uptime_ms = now_ms;
   gateway
-    .use_book
+    .usage_table
     .borrow_mut()
     .merge_totals(&totals, uptime_ms, now_ms);
-  status_answer(StatusCode::OK)
+  status_response(StatusCode::OK)
 }
 
-async fn read<M: DeserializeOwned>(request: Request<Incoming>) -> Option<M> {
-  read_message(request, MOST_BYTES)
+async fn decode_message<M: DeserializeOwned>(request: Request<Incoming>) -> Option<M> {
+  read_message(request, MAX_BODY_BYTES)
     .await
-    .inspect_err(|error| log::info!("E609 counts not read: {error}"))
+    .inspect_err(|error| log::info!("E609 usage message rejected: {error}"))
     .ok()
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,27 +1,27 @@
-//! A box that routes requests by host and path to endpoints that come and go.
+//! A gateway box: routes requests by host and path to endpoints, which come and go.
 //!
-//! A request's way: [`front`](requests) reads it and finds its [`Route`], `requests` choose endpoints from the
-//! [`EndpointRegistry`] within the [`RetryWindow`], `parts` send it over `connections`, and the answer goes back unchanged.
-//! `membership` keeps routes and endpoints as the store has them. What a platform calls all this stands behind [`Dialect`]
-//! and [`Store`].
+//! `requests` reads a request, finds its [`Route`] and chooses endpoints from the [`EndpointRegistry`] within the retry budget
+//! ([`RetryWindow`]); `stages` sends it over `connections`; the response is forwarded unchanged. `membership` keeps routes and
+//! endpoints in sync with the store. The platform is accessed through [`PlatformCodec`] and [`Store`] only.
 //!
-//! The folders in order, each importing only those before it: `edge`, `decisions`, `settings`, `connections`, `state`,
-//! `permits`, `parts`, `limits` and `quarantine`, then `requests`, `roles` and `membership` side by side, and `process`. A test holds that order.
+//! The modules in order, each importing only those before it: `edge`, `decisions`, `settings`, `connections`, `state`,
+//! `permits`, `stages`, then `limits` and `quarantine`, then `requests`, `roles` and `membership`, and `process`. A test enforces
+//! this order.
 //!
-//! One thread serves everything: a box has a fraction of a core, and each thread costs it memory.
+//! One thread serves everything, since a box has only a fraction of a core and little memory.
 
 mod connections;
 mod decisions;
 mod edge;
 mod limits;
 mod membership;
-mod parts;
 mod permits;
 mod process;
 mod quarantine;
 mod requests;
 mod roles;
 mod settings;
+mod stages;
 mod state;
 
 pub use self::{
@@ -40,16 +40,17 @@
     retry_after_backoff_ms, stable_engines, store_retry_delay_ms,
   },
   edge::{
-    AnswerFacts, CallerFacts, CallerLimits, ColdStart, DecodeError, Dialect, EndpointCall,
-    EndpointEntry, EndpointNotice, EngineReport, EngineSpec, Export, Homes, Marks, NamedLimit,
-    Organisation, Organisations, PageAge, Part, PromptPart, RoleChange, Route, RouteKind,
-    RouteTable, ServiceSpec, Stewardship, Store, StoreChanges, StoreError, StoreItem, StoreKey,
-    StoreLease, StorePage, ToldLoad, UnreadableNotice, UseLimit, UseUnit, WeightedService,
+    CallerAttributes, CallerLimits, ColdStart, DecodeError, EndpointCall, EndpointEntry,
+    EndpointNotice, EngineReport, EngineSpec, Export, LimitHeader, LoadHeader, Organisation,
+    Organisations, PlatformCodec, PromptSegment, ProxyHeaders, ReadConsistency, RegionSet,
+    ResponseAttributes, RoleChange, RoleLeadership, Route, RouteKind, RouteTable, ServiceSpec,
+    Stage, Store, StoreChanges, StoreError, StoreItem, StoreKey, StoreLease, StorePage,
+    UnreadableNotice, UsageLimit, UsageUnit, WeightedService,
   },
   process::run_gateway,
-  requests::{EventCutter, WholeEvent},
+  requests::{EventSplitter, SseEvent},
   settings::{
-    EngineMarks, EngineSettings, GatewayBounds, GatewayIdentity, GatewayListen, GatewaySettings,
+    EnginePriority, EngineSettings, GatewayBounds, GatewayIdentity, GatewayListen, GatewaySettings,
     LimitSettings, Mechanisms, PolicySettings, QuarantineSettings, RoutePolicy, RouteRank,
     StoreSettings,
   },
--- a/src/gateway/quarantine/mod.rs
+++ b/src/gateway/quarantine/mod.rs
@@ -1,16 +1,18 @@
-//! Requests that end the endpoints that run them: what was seen, what is shared with other boxes, and who may be sent.
+//! Quarantine of requests that crash the endpoints that run them: crash detection, marks shared with all boxes, and screening. A mark
+//! records, under a request's fingerprint, that an endpoint crashed on it, or that a box claimed a probe: the one run that a
+//! quarantined request is allowed at a time.
 //!
-//! Imports the folders up to `parts`. What is decided stands in `decisions::quarantine_book`; the last look before each send is
-//! in `parts`.
+//! Imports the folders up to `stages`. The decisions are in `decisions::quarantine_registry`; the last check before each send is in
+//! `stages`.
 
-mod endpoint_end;
+mod crash_detection;
 mod messages;
-mod sharing;
-mod vetting;
+mod screening;
+mod sync;
 
 pub(crate) use self::{
-  endpoint_end::{LostPart, note_lost},
-  messages::{MARKS_PATH, answer_marks},
-  sharing::{keep_quarantine, mark_age_ms},
-  vetting::{Held, note_whole, release_unsent, vet},
+  crash_detection::{LostStage, record_lost_stage},
+  messages::{MARKS_PATH, handle_marks},
+  screening::{Quarantined, record_success, release_unsent_probe, screen},
+  sync::{mark_age_ms, sync_quarantine},
 };
--- /dev/null
+++ b/src/gateway/requests/event_relay.rs
@@ -0,0 +1,255 @@
+//! Forwards the events of a stream to the caller, across all engines that generate it.
+
+use {
+  super::{
+    event_splitter::EventSplitter,
+    response::{ResponseBody, StreamAborted},
+    stream_request::StreamRequest,
+    stream_send::SILENCE_MS,
+  },
+  crate::gateway::{
+    decisions::AttemptOutcome,
+    quarantine::{LostStage, record_lost_stage, record_success},
+    stages::{ResponseHead, RoutedRequest, StageError},
+    state::InFlight,
+  },
+  bytes::Bytes,
+  futures_util::{FutureExt, stream},
+  http_body_util::{BodyExt, StreamBody},
+  hyper::body::Frame,
+  std::time::Duration,
+  tokio::time::timeout,
+};
+
+/// Forwards the events of a stream, and resumes it at another engine when it is interrupted.
+pub(crate) struct EventRelay {
+  stream: StreamRequest,
+  head: Option<ResponseHead>,
+  splitter: EventSplitter,
+  is_finished: bool,
+  first_event_recorded: bool,
+  /// When the last event was forwarded.
+  last_event_ms: Option<u64>,
+  /// The longest time between two events so far.
+  longest_pause_ms: u64,
+  /// Held until the last event was forwarded.
+  _in_flight: InFlight,
+}
+
+impl EventRelay {
+  pub(crate) fn new(stream: StreamRequest, head: ResponseHead, in_flight: InFlight) -> Self {
+    Self {
+      first_event_recorded: false,
+      head: Some(head),
+      _in_flight: in_flight,
+      is_finished: false,
+      last_event_ms: None,
+      longest_pause_ms: 0,
+      splitter: EventSplitter::default(),
+      stream,
+    }
+  }
+
+  /// The body of the response to the caller.
+  pub(crate) fn into_body(self) -> ResponseBody {
+    let events = stream::unfold(self, |mut source| async move {
+      let item = source.next().await?;
+      Some((item.map(Frame::data), source))
+    });
+    Box::pin(StreamBody::new(events))
+  }
+
+  /// The next bytes for the caller; `None` after the stream's end.
+  async fn next(&mut self) -> Option<Result<Bytes, StreamAborted>> {
+    loop {
+      if self.is_finished {
+        return None;
+      }
+      if let Some(event) = self.splitter.next_event() {
+        if let (Some(id), Some(last)) = (event.id, self.stream.last_event_id)
+          && id <= last
+        {
+          continue;
+        }
+        self.record_event(event.id);
+        return Some(Ok(event.bytes));
+      }
+      match self.read().await {
+        Ok(true) => {}
+        Ok(false) => return self.finish(),
+        Err(error) => {
+          if let Err(error) = self.resume(error).await {
+            return Some(Err(self.abort(error)));
+          }
+        }
+      }
+    }
+  }
+
+  /// Records that an event is forwarded: a resumed stream continues after it.
+  fn record_event(&mut self, id: Option<u64>) {
+    if id.is_some() {
+      self.stream.last_event_id = id;
+    }
+    let now_ms = self.stream.gateway.now_ms();
+    if let Some(last_ms) = self.last_event_ms.replace(now_ms) {
+      self.longest_pause_ms = self.longest_pause_ms.max(now_ms - last_ms);
+    }
+    if !self.first_event_recorded {
+      self.first_event_recorded = true;
+      let took_ms = self.stream.gateway.now_ms() - self.stream.request.arrived_ms;
+      self.stream.gateway.counters.first_event_ms.record(took_ms);
+      log::info!(
+        "E509 first event: {} after {took_ms} ms",
+        self.stream.request.id()
+      );
+    }
+  }
+
+  /// Reads the next bytes from the engine; `false` at the stream's end.
+  async fn read(&mut self) -> Result<bool, String> {
+    let Some(head) = &mut self.head else {
+      return Err("no endpoint".into());
+    };
+    let remaining_ms = self
+      .stream
+      .request
+      .remaining_ms(self.stream.gateway.now_ms());
+    let timeout_ms = if self.stream.may_retry() {
+      remaining_ms.min(SILENCE_MS)
+    } else {
+      remaining_ms
+    };
+    let Ok(frame) = timeout(Duration::from_millis(timeout_ms), head.body.frame()).await else {
+      return self.handle_silence(timeout_ms, remaining_ms).await;
+    };
+    self.push_frame(frame)
+  }
+
+  /// Handles a silent engine: it is abandoned once another one has a free slot, or at the deadline.
+  async fn handle_silence(&mut self, silent_ms: u64, remaining_ms: u64) -> Result<bool, String> {
+    let Some(head) = &mut self.head else {
+      return Err("no endpoint".into());
+    };
+    self.stream.gateway.mark_overdue(&head.connection.endpoint);
+    let silent = format!("silent for {silent_ms} ms");
+    if silent_ms >= remaining_ms {
+      return Err(silent);
+    }
+    if !self.stream.prepare_takeover().await {
+      return Ok(true);
+    }
+    // The engine may have sent more in the meantime.
+    if let Some(frame) = head.body.frame().now_or_never() {
+      self.stream.cancel_takeover();
+      return self.push_frame(frame);
+    }
+    Err(silent)
+  }
+
+  fn push_frame(&mut self, frame: Option<hyper::Result<Frame<Bytes>>>) -> Result<bool, String> {
+    match frame {
+      Some(Ok(frame)) => {
+        if let Some(data) = frame.data_ref() {
+          self.splitter.push(data);
+        }
+        if self.splitter.is_overlong() {
+          return Err("event too long".into());
+        }
+        Ok(true)
+      }
+      Some(Err(error)) => Err(error.to_string()),
+      None if self.splitter.has_partial_event() && !self.is_framed() => {
+        Err("stream ended within an event".into())
+      }
+      None => Ok(false),
+    }
+  }
+
+  fn is_framed(&self) -> bool {
+    self.head.as_ref().is_some_and(ResponseHead::is_framed)
+  }
+
+  /// Completes the stream; returns the remaining bytes, if any.
+  fn finish(&mut self) -> Option<Result<Bytes, StreamAborted>> {
+    self.is_finished = true;
+    let gateway = self.stream.gateway.clone();
+    log::info!(
+      "E515 stream complete: {} to event {:?}, {} ms after arrival, tried {}, longest pause {} ms",
+      self.stream.request.id(),
+      self.stream.last_event_id,
+      gateway.now_ms() - self.stream.request.arrived_ms,
+      self.stream.tried().len(),
+      self.longest_pause_ms
+    );
+    record_success(&gateway, &self.stream.request, RoutedRequest::fingerprint);
+    let took_ms = gateway.now_ms() - self.stream.request.arrived_ms;
+    gateway.slot_forecast.borrow_mut().record_stream(took_ms);
+    if let Some(mut head) = self.head.take() {
+      head.load_guard.answered();
+      gateway.keep_alive(head.connection, &head.raw_headers);
+    }
+    let remaining = self.splitter.take_partial_event();
+    (!remaining.is_empty()).then_some(Ok(remaining))
+  }
+
+  /// Resumes the stream at another engine, after the last complete event.
+  async fn resume(&mut self, error: String) -> Result<(), String> {
+    let request = self.stream.request.clone();
+    log::info!(
+      "E506 stream interrupted: {} after event {:?}: {error}",
+      request.id(),
+      self.stream.last_event_id
+    );
+    if let Some(mut head) = self.head.take() {
+      head.load_guard.settle(AttemptOutcome::Lost);
+      let lost = LostStage {
+        entry: head.entry.clone(),
+        error: error.clone(),
+        fingerprint: request.fingerprint(),
+        sent_ms: head.sent_ms,
+      };
+      record_lost_stage(&self.stream.gateway, &request, lost).await;
+      self.stream.interrupted_at = Some(head.connection.endpoint.clone());
+    }
+    self.splitter = EventSplitter::default();
+    let remaining_ms = request.remaining_ms(self.stream.gateway.now_ms());
+    if remaining_ms == 0
+      || !self
+        .stream
+        .may_continue_after(&StageError::Lost(String::new()))
+    {
+      return Err(error);
+    }
+    match timeout(Duration::from_millis(remaining_ms), self.stream.begin()).await {
+      Ok(Ok(head)) => {
+        self.stream.gateway.counters.resumed.inc();
+        self.head = Some(head);
+        Ok(())
+      }
+      Ok(Err(_)) => Err(format!("no endpoint resumed the stream after: {error}")),
+      Err(_) => Err("deadline exceeded".into()),
+    }
+  }
+
+  /// Aborts the stream, so that the caller sees that it is incomplete.
+  fn abort(&mut self, error: String) -> StreamAborted {
+    self.is_finished = true;
+    self.stream.gateway.counters.interrupted_streams.inc();
+    log::info!("E507 stream aborted: {}: {error}", self.stream.request.id());
+    StreamAborted(error)
+  }
+}
+
+impl Drop for EventRelay {
+  fn drop(&mut self) {
+    if !self.is_finished {
+      self.stream.gateway.counters.caller_disconnects.inc();
+      log::info!(
+        "E516 caller disconnected: {} after event {:?}",
+        self.stream.request.id(),
+        self.stream.last_event_id
+      );
+    }
+  }
+}
--- /dev/null
+++ b/src/gateway/requests/event_splitter.rs
@@ -0,0 +1,72 @@
+//! Splits a byte stream into server-sent events, so that an interrupted stream ends between two of them.
+
+use bytes::{Bytes, BytesMut};
+
+/// The longest event.
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
+/// The blank line that ends an event.
+const EVENT_END: &[u8] = b"\n\n";
+
+/// One complete event.
+#[derive(Clone, Debug, Eq, PartialEq)]
+pub struct SseEvent {
+  /// The bytes as received, including the blank line.
+  pub bytes: Bytes,
+  /// Its id; `None` when it is missing or not a number.
+  pub id: Option<u64>,
+}
+
+/// Buffers the incomplete event at the end of the stream.
+///
+/// ```
+/// use rillford::gateway::EventSplitter;
+/// let mut splitter = EventSplitter::default();
+/// splitter.push(b"id: 7\ndata: a\n\nid: 8\nda");
+/// let event = splitter.next_event().unwrap();
+/// assert_eq!(event.id, Some(7));
+/// assert!(splitter.next_event().is_none());
+/// assert!(splitter.has_partial_event());
+/// ```
+#[derive(Debug, Default)]
+pub struct EventSplitter {
+  buffer: BytesMut,
+}
+
+impl EventSplitter {
+  /// Appends received bytes.
+  pub fn push(&mut self, bytes: &[u8]) {
+    self.buffer.extend_from_slice(bytes);
+  }
+
+  /// Removes and returns the next complete event.
+  pub fn next_event(&mut self) -> Option<SseEvent> {
+    let end = self
+      .buffer
+      .windows(EVENT_END.len())
+      .position(|window| window == EVENT_END)?;
+    let bytes = self.buffer.split_to(end + EVENT_END.len()).freeze();
+    let id = event_id(&bytes);
+    Some(SseEvent { bytes, id })
+  }
+
+  /// Whether an incomplete event is buffered.
+  pub fn has_partial_event(&self) -> bool {
+    !self.buffer.is_empty()
+  }
+
+  /// Whether the incomplete event exceeds the longest event.
+  pub fn is_overlong(&self) -> bool {
+    self.buffer.len() > MAX_EVENT_BYTES
+  }
+
+  /// Removes and returns the incomplete event.
+  pub fn take_partial_event(&mut self) -> Bytes {
+    self.buffer.split().freeze()
+  }
+}
+
+fn event_id(bytes: &[u8]) -> Option<u64> {
+  let text = std::str::from_utf8(bytes).ok()?;
+  let id = text.lines().find_map(|line| line.strip_prefix("id:"))?;
+  id.trim().parse().ok()
+}
--- a/tests/gateway/permits.rs
+++ b/tests/gateway/permits.rs
@@ -5,9 +5,9 @@
   emulator::places::{PlaceFleet, PlacePattern, PlaceWay, replay_places},
   rillford::gateway::{
     AdvertisedLimit, AllowedHalls, BoxEntry, BoxList, EndpointCriteria, EndpointEntry,
-    EndpointLimits, EndpointRegistry, ISOLATED_BOXES, LimitChange, LimitSource, LocalPermitVerdict,
-    LocalPermits, NamedLimit, PermitAccount, PermitRequest, PermitVerdict, coordinator_limit,
-    coordinator_order, isolated_limit,
+    EndpointLimits, EndpointRegistry, ISOLATED_BOXES, LimitChange, LimitHeader, LimitSource,
+    LocalPermitVerdict, LocalPermits, PermitAccount, PermitRequest, PermitVerdict,
+    coordinator_limit, coordinator_order, isolated_limit,
   },
   rstest::rstest,
 };
@@ -19,16 +19,16 @@
 /// The share of a limit that has to be used where enough requests arrive.
 const MIN_USED: f64 = 0.9;
 
-fn entry(id: &str, born_ms: u64) -> EndpointEntry {
+fn entry(id: &str, started_ms: u64) -> EndpointEntry {
   EndpointEntry {
     address: "127.0.0.1:1".parse().unwrap(),
-    born_ms: Some(born_ms),
+    started_ms: Some(started_ms),
     cold_ms: 0,
     hall: "north".into(),
     id: id.into(),
     leaving: false,
     role: None,
-    seats: 8,
+    slots: 8,
     service: "portal".into(),
   }
 }
@@ -220,7 +220,7 @@
 
 fn limits(entry: &EndpointEntry, per_s: f64, at_ms: u64) -> EndpointLimits {
   let mut limits = EndpointLimits::default();
-  limits.record_response(entry, NamedLimit::PerS(per_s), at_ms, at_ms);
+  limits.record_response(entry, LimitHeader::PerSecond(per_s), at_ms, at_ms);
   limits
 }
 
@@ -230,21 +230,21 @@
   let mut limits = limits(&entry, 2.0, 10_000);
   // Sent before the limit was received: the order of the two responses is unknown.
   assert_eq!(
-    limits.record_response(&entry, NamedLimit::Unsaid, 9_990, 12_000),
+    limits.record_response(&entry, LimitHeader::Absent, 9_990, 12_000),
     LimitChange::Unchanged
   );
   // A limit that only some responses repeat stays in force.
   assert_eq!(
-    limits.record_response(&entry, NamedLimit::Unsaid, 10_100, 10_200),
+    limits.record_response(&entry, LimitHeader::Absent, 10_100, 10_200),
     LimitChange::Unchanged
   );
   assert_eq!(
-    limits.record_response(&entry, NamedLimit::Unreadable, 11_900, 12_000),
+    limits.record_response(&entry, LimitHeader::Unreadable, 11_900, 12_000),
     LimitChange::Unchanged
   );
   assert_eq!(limits.per_s(&entry, 0), Some(2.0));
   assert_eq!(
-    limits.record_response(&entry, NamedLimit::Unsaid, 11_900, 12_000),
+    limits.record_response(&entry, LimitHeader::Absent, 11_900, 12_000),
     LimitChange::Ended
   );
   assert_eq!(limits.per_s(&entry, 0), None);
@@ -263,9 +263,9 @@
 fn of_overlapping_responses_the_lower_limit_wins() {
   let entry = entry("e-1", 1);
   let mut limits = limits(&entry, 2.0, 10_000);
-  limits.record_response(&entry, NamedLimit::PerS(5.0), 9_990, 10_010);
+  limits.record_response(&entry, LimitHeader::PerSecond(5.0), 9_990, 10_010);
   assert_eq!(limits.per_s(&entry, 0), Some(2.0));
-  limits.record_response(&entry, NamedLimit::PerS(5.0), 10_020, 10_030);
+  limits.record_response(&entry, LimitHeader::PerSecond(5.0), 10_020, 10_030);
   assert_eq!(limits.per_s(&entry, 0), Some(5.0));
 }
 
@@ -278,12 +278,12 @@
     per_s,
     source: LimitSource::Box,
   };
-  let older = limits.record_reported(&entry.id, entry.born_ms, reported(Some(9.0), 9_000));
+  let older = limits.record_reported(&entry.id, entry.started_ms, reported(Some(9.0), 9_000));
   assert_eq!(older, LimitChange::Unchanged);
-  let newer = limits.record_reported(&entry.id, entry.born_ms, reported(Some(3.0), 11_000));
+  let newer = limits.record_reported(&entry.id, entry.started_ms, reported(Some(3.0), 11_000));
   assert_eq!(newer, LimitChange::Changed(2.0));
   assert_eq!(limits.per_s(&entry, 0), Some(3.0));
-  let ended = limits.record_reported(&entry.id, entry.born_ms, reported(None, 12_000));
+  let ended = limits.record_reported(&entry.id, entry.started_ms, reported(None, 12_000));
   assert_eq!(ended, LimitChange::Ended);
   assert_eq!(limits.per_s(&entry, 0), None);
 }
@@ -312,7 +312,7 @@
     let choice = registry.choose(criteria, now_ms, || 0.5);
     choice.map(|choice| choice.entry.id.to_string())
   };
-  registry.record_limit(&one, NamedLimit::PerS(2.0), 1_000, 1_000);
+  registry.record_limit(&one, LimitHeader::PerSecond(2.0), 1_000, 1_000);
   assert_eq!(chosen(&registry, 1_000), Some("a".into()));
   let rejected = PermitVerdict::Rejected { wait_ms: 400 };
   registry
@@ -321,7 +321,7 @@
     .record_verdict(&one.id, rejected, 1_000);
   assert_eq!(chosen(&registry, 1_100), Some("b".into()));
   assert_eq!(registry.available_in_ms("portal", 1_100), None);
-  registry.record_limit(&other, NamedLimit::PerS(2.0), 1_000, 1_000);
+  registry.record_limit(&other, LimitHeader::PerSecond(2.0), 1_000, 1_000);
   let rejected = PermitVerdict::Rejected { wait_ms: 900 };
   registry
     .limits_mut()
@@ -337,7 +337,7 @@
   let mut registry = EndpointRegistry::default().ignoring_limits();
   let one = entry("a", 1);
   registry.put(one.clone());
-  registry.record_limit(&one, NamedLimit::PerS(0.0), 1_000, 1_000);
+  registry.record_limit(&one, LimitHeader::PerSecond(0.0), 1_000, 1_000);
   assert!(!registry.limits().are_enforced());
   assert_eq!(registry.limits().per_s(&one, 0), None);
 }
--- a/tests/gateway/store_path.rs
+++ b/tests/gateway/store_proxy.rs
@@ -1,4 +1,4 @@
-//! A path from one box to the store that a test can cut, while other boxes keep theirs.
+//! A TCP proxy between one box and the store, which a test can cut while other boxes keep their connections.
 
 use {
   std::{
@@ -16,16 +16,15 @@
   },
 };
 
-/// How soon a cut is noticed on open connections.
-const POLL: Duration = Duration::from_millis(5);
+/// How often an open connection checks for a cut.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A running path.
-pub(crate) struct StorePath {
+pub(crate) struct StoreProxy {
   pub(crate) address: SocketAddr,
   is_cut: Arc<AtomicBool>,
 }
 
-impl StorePath {
+impl StoreProxy {
   pub(crate) async fn to(store: SocketAddr) -> Self {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -33,35 +32,35 @@
     let cut = is_cut.clone();
     tokio::spawn(async move {
       while let Ok((stream, _)) = listener.accept().await {
-        tokio::spawn(pass(stream, store, cut.clone()));
+        tokio::spawn(forward(stream, store, cut.clone()));
       }
     });
     Self { address, is_cut }
   }
 
-  /// Closes all connections, and each new one; ends when none is left.
+  /// Closes all open connections and every new one; returns when none is open.
   pub(crate) async fn cut(&self) {
     self.is_cut.store(true, Ordering::Relaxed);
-    // Each open connection holds the mark, as do this and the listener.
+    // Each open connection holds a reference, besides `self` and the listener.
     while Arc::strong_count(&self.is_cut) > 2 {
-      sleep(POLL).await;
+      sleep(POLL_INTERVAL).await;
     }
   }
 }
 
-async fn pass(mut stream: TcpStream, store: SocketAddr, is_cut: Arc<AtomicBool>) {
+async fn forward(mut stream: TcpStream, store: SocketAddr, is_cut: Arc<AtomicBool>) {
   let cut = async {
     while !is_cut.load(Ordering::Relaxed) {
-      sleep(POLL).await;
+      sleep(POLL_INTERVAL).await;
     }
   };
-  let passed = async {
-    let mut onward = TcpStream::connect(store).await?;
-    copy_bidirectional(&mut stream, &mut onward).await
+  let copy = async {
+    let mut upstream = TcpStream::connect(store).await?;
+    copy_bidirectional(&mut stream, &mut upstream).await
   };
   tokio::select! {
     () = cut => {}
-    // A connection that ends is the peers' own affair.
-    _ = passed => {}
+    // Errors are handled by the peers.
+    _ = copy => {}
   }
 }
