--- a/tests/gateway/configuration.rs
+++ b/tests/gateway/configuration.rs
@@ -210,13 +210,8 @@
   let test = GatewayTest::new().await;
   test.put_configuration();
   test.enter("p-1", "portal", None, first);
-<<<<<<< HEAD
-  test.enter("p-2", "portal", None, left);
-  test.store.freeze_stale_reads();
-=======
   test.enter("p-2", "portal", None, removed);
-  test.store.lag();
->>>>>>> ready/decisions
+  test.store.freeze_stale_reads();
   test.store.remove("servers/p-2");
   test.enter("p-3", "portal", None, added);
   test
@@ -244,15 +239,9 @@
     test.store.compact_history();
   }
   let gateway = test.start().await;
-<<<<<<< HEAD
   assert!(gateway.test.store.stale_pages() > 0);
-  assert!(is_reached(&gateway, &came).await);
-  let before = left.requests().len();
-=======
-  assert!(gateway.test.store.old_pages() > 0);
   assert!(is_reached(&gateway, &added).await);
   let before = removed.requests().len();
->>>>>>> ready/decisions
   for _ in 0..10 {
     gateway.ask("/unsafe/a", "r").await;
   }
@@ -268,25 +257,14 @@
   let gateway = test.start().await;
   gateway.test.store.freeze_stale_reads();
   gateway.test.store.remove("servers/p-1");
-<<<<<<< HEAD
-  gateway.test.enter("p-2", "portal", None, &came);
-  assert!(is_reached(&gateway, &came).await);
-  let (listings, stale_pages) = (
-=======
   gateway.test.enter("p-2", "portal", None, &added);
   assert!(is_reached(&gateway, &added).await);
-  let (listings, old_pages) = (
->>>>>>> ready/decisions
+  let (listings, stale_pages) = (
     gateway.test.store.listings(),
     gateway.test.store.stale_pages(),
   );
-<<<<<<< HEAD
   gateway.test.store.compact_history();
-  assert!(eventually(PATIENCE, async || gateway.test.store.listings() > listings).await);
-=======
-  gateway.test.store.forget_history();
   assert!(eventually(TIMEOUT, async || gateway.test.store.listings() > listings).await);
->>>>>>> ready/decisions
   assert_eq!(
     gateway.ask("/safe/a", "r").await.body.as_deref(),
     Ok("added")
