--- a/emulator/src/deployment.rs
+++ b/emulator/src/deployment.rs
@@ -424,7 +424,7 @@
          models = [\"lecture\"]\nurl = \"{}\"\nseats = {}\nchecks_fence = {}\n\
          prefill_tokens_per_s = {}\nkv_bytes_per_token = {}\nlink_bytes_per_s = {}\n",
         host.url(),
-        options.seats,
+        options.slots,
         options.checks_fence,
         options.prefill_tokens_per_s,
         options.kv_bytes_per_token,
--- a/emulator/src/engine/answer_text.rs
+++ b/emulator/src/engine/answer_text.rs
@@ -1,19 +1,19 @@
-//! What the stand-in answers: text that only its own prompt gives.
+//! Deterministic completions: the text is derived from a hash of the prompt, so that a mix-up of requests is detected.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-fn mark(prompt: &str) -> u64 {
+fn prompt_hash(prompt: &str) -> u64 {
   let mut hasher = DefaultHasher::new();
   prompt.hash(&mut hasher);
   hasher.finish() & 0xffff_ffff
 }
 
-/// One token of the answer to a prompt.
+/// One token of the completion of a prompt.
 pub fn token_text(prompt: &str, index: u64) -> String {
-  format!("{:08x}-{index} ", mark(prompt))
+  format!("{:08x}-{index} ", prompt_hash(prompt))
 }
 
-/// The whole answer to a prompt.
+/// The full completion of a prompt.
 ///
 /// ```
 /// use emulator::answer_text;
@@ -23,12 +23,12 @@
   (0..tokens).map(|index| token_text(prompt, index)).collect()
 }
 
-/// A token that carries the time, in microseconds of the Unix epoch; always of the same length.
+/// A token of fixed length that carries the current time in microseconds since the Unix epoch.
 pub(crate) fn stamped_token(index: u64) -> String {
   format!("{:016}-{index:06} ", unix_us())
 }
 
-/// Microseconds of the Unix epoch.
+/// Current time in microseconds since the Unix epoch.
 pub(crate) fn unix_us() -> u64 {
   std::time::SystemTime::now()
     .duration_since(std::time::UNIX_EPOCH)
--- a/emulator/src/engine/faults.rs
+++ b/emulator/src/engine/faults.rs
@@ -1,45 +1,48 @@
-//! Fault switches of an engine.
+//! Faults that can be injected into an engine.
 
 use serde::{Deserialize, Serialize};
 
-/// Fault switches of an engine.
+/// Injected faults; all are off by default. The JSON names are those of `POST /switch`.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-  /// Prefill orders are taken and never answered.
+  /// Prefill calls are accepted and never complete.
   pub stall_prefill: bool,
-  /// Imports are taken and never finish.
+  /// Imports are accepted and never complete.
   pub stall_transfer: bool,
-  /// Streams fall silent after so many tokens.
+  /// Streams stall after this many tokens, with the connection left open.
   pub stall_decode_after: Option<u64>,
-  /// Streams are cut after so many tokens.
+  /// Streams are closed after this many tokens.
   pub cut_decode_after: Option<u64>,
   /// Each chunk is sent twice.
   pub double_chunks: bool,
-  /// Pairs of chunks are swapped.
+  /// Adjacent chunks are sent in reverse order.
   pub swap_chunks: bool,
-  /// Chunks carry this many bytes too much in their offset.
+  /// Bytes added to the offset of each chunk.
   pub shift_offset: u64,
-  /// Each chunk is followed by one of another attempt.
+  /// Each chunk is preceded by one that belongs to another attempt.
   pub foreign_chunks: bool,
-  /// Streams carry a line that is no chunk.
+  /// Each chunk is preceded by a line that does not parse as a chunk.
   pub malformed_line: bool,
-  /// Streams carry a line without end.
+  /// Each chunk is preceded by 128 KiB without a line break.
   pub endless_line: bool,
-  /// Orders are refused as full.
+  /// Calls are rejected because no slot is free.
   pub full: bool,
-  /// Orders are refused with 500 before anything began.
+  /// Calls fail with status 500 before any work starts.
   pub fail_before: bool,
-  /// Prefills are answered with 500 after the work was done.
+  /// Prefills fail with status 500 after the work is done.
   pub fail_after: bool,
-  /// This many cancels take effect but lose their answer.
-  pub lose_cancel_answers: u32,
-  /// Load is not reported.
-  pub silent_load: bool,
-  /// Load reports are this old.
+  /// Number of further cancels that take effect but never receive a response.
+  #[serde(rename = "lose_cancel_answers")]
+  pub drop_cancel_responses: u32,
+  /// Load polls fail with status 503.
+  #[serde(rename = "silent_load")]
+  pub reject_load_polls: bool,
+  /// A load report is repeated until it is this old.
   pub load_lag_ms: u64,
-  /// Reports say that the engine is leaving; orders are still obeyed.
+  /// Load reports signal that the engine is leaving; calls are still served.
   pub leaving: bool,
-  /// Holds are not extended.
-  pub deaf_to_holds: bool,
+  /// Hold extensions fail with status 503.
+  #[serde(rename = "deaf_to_holds")]
+  pub reject_hold_extensions: bool,
 }
--- a/emulator/src/engine/mod.rs
+++ b/emulator/src/engine/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a model engine. It holds memory until it is told to let go: a caller's closed
-//! connection alone frees nothing, so that a router that forgets is found out.
+//! A stand-in for a model engine. An attempt keeps its slot and memory until it finishes, expires or is cancelled: a closed
+//! connection frees nothing, so that tests detect a router that leaks attempts.
 
 mod answer_text;
 mod faults;
--- a/emulator/src/engine/routes.rs
+++ b/emulator/src/engine/routes.rs
@@ -1,4 +1,4 @@
-//! The engine's calls.
+//! The HTTP API of the engine stand-in.
 
 use {
   super::{
@@ -33,10 +33,9 @@
 };
 
 const BLOCK_TOKENS: u64 = 128;
-const CHUNKS_AHEAD: usize = 16;
+const CHUNK_BUFFER: usize = 16;
 
 impl EngineStandIn {
-  /// The routes of the stand-in.
   pub fn router(&self) -> Router {
     Router::new()
       .route("/v1/prefill", post(prefill))
@@ -55,20 +54,20 @@
   }
 }
 
-fn refuse(status: StatusCode, refusal: CommandRejection) -> Response {
-  (status, Json(RejectionReply { refusal })).into_response()
+fn reject(status: StatusCode, rejection: CommandRejection) -> Response {
+  (status, Json(RejectionReply { refusal: rejection })).into_response()
 }
 
 fn full() -> Response {
-  refuse(StatusCode::TOO_MANY_REQUESTS, CommandRejection::Full)
+  reject(StatusCode::TOO_MANY_REQUESTS, CommandRejection::Full)
 }
 
 fn cancelled() -> Response {
-  refuse(StatusCode::CONFLICT, CommandRejection::Cancelled)
+  reject(StatusCode::CONFLICT, CommandRejection::Cancelled)
 }
 
 impl EngineStandIn {
-  /// Takes an attempt in, or says why not.
+  /// Registers an attempt, or returns the response that rejects it.
   fn admit(
     &self,
     attempt: &AttemptId,
@@ -83,13 +82,13 @@
       return Err(Box::new(cancelled()));
     }
     if inner.role != role {
-      let refusal = refuse(
+      let rejection = reject(
         StatusCode::SERVICE_UNAVAILABLE,
         CommandRejection::NotServing,
       );
-      return Err(Box::new(refusal));
+      return Err(Box::new(rejection));
     }
-    if inner.faults.full || inner.attempts.len() >= self.options.seats as usize {
+    if inner.faults.full || inner.attempts.len() >= self.options.slots as usize {
       return Err(Box::new(full()));
     }
     let cancelled = Arc::new(Notify::new());
@@ -106,13 +105,13 @@
     Ok(cancelled)
   }
 
-  fn begin(&self, attempt: &AttemptId) {
+  fn mark_begun(&self, attempt: &AttemptId) {
     if let Some(held) = self.inner().attempts.get_mut(attempt) {
       held.began = true;
     }
   }
 
-  async fn read(&self, request: PrefillRequest, cancelled: Arc<Notify>) -> Response {
+  async fn run_prefill(&self, request: PrefillRequest, cancelled: Arc<Notify>) -> Response {
     let text = format!("{}{}", request.prompt, request.answered);
     let prompt_tokens = (text.len() as u64).div_ceil(BYTES_PER_TOKEN);
     let blocks = prefix_blocks(&request.prompt);
@@ -126,15 +125,15 @@
     let uncached = prompt_tokens.saturating_sub(cached_tokens);
     self.inner().queue_tokens += uncached;
     let work = async {
-      let _turn = self.reading.lock().await;
-      self.begin(&request.attempt);
+      let _guard = self.prefill_lock.lock().await;
+      self.mark_begun(&request.attempt);
       self.inner().tally.prefills += 1;
       if self.inner().faults.stall_prefill {
         std::future::pending::<()>().await;
       }
-      let read_us = uncached * 1_000_000 / self.options.prefill_tokens_per_s.max(1);
-      sleep(Duration::from_micros(read_us)).await;
-      self.inner().tally.read_tokens += uncached;
+      let prefill_us = uncached * 1_000_000 / self.options.prefill_tokens_per_s.max(1);
+      sleep(Duration::from_micros(prefill_us)).await;
+      self.inner().tally.prefilled_tokens += uncached;
     };
     let done = tokio::select! {
       () = work => true,
@@ -163,7 +162,7 @@
       prompt: request.prompt.to_string(),
     });
     drop(inner);
-    self.lapse_later(request.attempt);
+    self.schedule_export_expiry(request.attempt);
     Json(PrefillResponse {
       cached_tokens,
       kv_bytes,
@@ -172,14 +171,14 @@
     .into_response()
   }
 
-  /// A result that nobody fetches is dropped.
-  fn lapse_later(&self, attempt: AttemptId) {
+  /// Drops the export of an attempt once its retention period is over.
+  fn schedule_export_expiry(&self, attempt: AttemptId) {
     let engine = self.clone();
     tokio::spawn(async move {
-      sleep(Duration::from_millis(engine.options.keep_ms)).await;
+      sleep(Duration::from_millis(engine.options.export_ttl_ms)).await;
       let mut inner = engine.inner();
       if inner.attempts.remove(&attempt).is_some() {
-        inner.tally.lapsed_exports += 1;
+        inner.tally.expired_exports += 1;
       }
     });
   }
@@ -192,10 +191,10 @@
   let admitted = engine.admit(&request.attempt, Role::Prefill, request.hold_ms);
   let cancelled = match admitted {
     Ok(cancelled) => cancelled,
-    Err(refusal) => return *refusal,
+    Err(rejection) => return *rejection,
   };
-  // The work goes on when the connection closes: only a cancel stops it.
-  let work = tokio::spawn(async move { engine.read(request, cancelled).await });
+  // The work continues when the connection closes: only a cancel stops it.
+  let work = tokio::spawn(async move { engine.run_prefill(request, cancelled).await });
   work
     .await
     .unwrap_or_else(|_| StatusCode::INTERNAL_SERVER_ERROR.into_response())
@@ -215,7 +214,7 @@
       inner.attempts.remove(&request.attempt);
       Json(export).into_response()
     }
-    None => refuse(StatusCode::GONE, CommandRejection::ExportGone),
+    None => reject(StatusCode::GONE, CommandRejection::ExportGone),
   }
 }
 
@@ -226,31 +225,35 @@
   let admitted = engine.admit(&request.attempt, Role::Decode, request.hold_ms);
   let cancelled = match admitted {
     Ok(cancelled) => cancelled,
-    Err(refusal) => return *refusal,
+    Err(rejection) => return *rejection,
   };
-  let work = tokio::spawn(async move { pull(&engine, &request, &cancelled).await });
+  let work = tokio::spawn(async move { transfer_kv(&engine, &request, &cancelled).await });
   work
     .await
     .unwrap_or_else(|_| StatusCode::INTERNAL_SERVER_ERROR.into_response())
 }
 
-async fn pull(engine: &EngineStandIn, request: &ImportRequest, cancelled: &Notify) -> Response {
+async fn transfer_kv(
+  engine: &EngineStandIn,
+  request: &ImportRequest,
+  cancelled: &Notify,
+) -> Response {
   let fetch = async {
     if engine.inner().faults.stall_transfer {
       std::future::pending::<()>().await;
     }
-    let _turn = engine.link.lock().await;
-    let question = CancelRequest {
+    let _guard = engine.link_lock.lock().await;
+    let export_request = CancelRequest {
       attempt: request.attempt.clone(),
     };
     let uri = format!("{}/v1/export", request.source_url);
-    let limit = Duration::from_secs(2);
+    let timeout = Duration::from_secs(2);
     let export = rillford::HttpClient::default()
-      .post::<_, Export>(&uri, &question, limit)
+      .post::<_, Export>(&uri, &export_request, timeout)
       .await
       .ok()?;
-    let move_us = export.kv_bytes * 1_000_000 / engine.options.link_bytes_per_s.max(1);
-    sleep(Duration::from_micros(move_us)).await;
+    let transfer_us = export.kv_bytes * 1_000_000 / engine.options.link_bytes_per_s.max(1);
+    sleep(Duration::from_micros(transfer_us)).await;
     Some(export)
   };
   let fetched = tokio::select! {
@@ -260,7 +263,7 @@
   let mut inner = engine.inner();
   let Some(export) = fetched else {
     inner.attempts.remove(&request.attempt);
-    return refuse(StatusCode::GONE, CommandRejection::ExportGone);
+    return reject(StatusCode::GONE, CommandRejection::ExportGone);
   };
   let kv_bytes = export.kv_bytes;
   match inner.attempts.get_mut(&request.attempt) {
@@ -277,20 +280,20 @@
   let (cancelled, export) = {
     let mut inner = engine.inner();
     let Some(held) = inner.attempts.get_mut(&request.attempt) else {
-      return refuse(StatusCode::GONE, CommandRejection::ExportGone);
+      return reject(StatusCode::GONE, CommandRejection::ExportGone);
     };
     let Some(export) = held.imported.clone() else {
-      return refuse(StatusCode::GONE, CommandRejection::ExportGone);
+      return reject(StatusCode::GONE, CommandRejection::ExportGone);
     };
     held.began = true;
     let cancelled = held.cancelled.clone();
     inner.tally.decodes += 1;
     (cancelled, export)
   };
-  let (sender, receiver) = mpsc::channel::<Bytes>(CHUNKS_AHEAD);
+  let (sender, receiver) = mpsc::channel::<Bytes>(CHUNK_BUFFER);
   tokio::spawn(async move {
     tokio::select! {
-      () = write(&engine, &request, &export, sender) => {}
+      () = stream_tokens(&engine, &request, &export, sender) => {}
       () = cancelled.notified() => {}
     }
   });
@@ -301,14 +304,14 @@
   Body::from_stream(lines).into_response()
 }
 
-fn line(chunk: &DecodeChunk) -> Bytes {
+fn ndjson_line(chunk: &DecodeChunk) -> Bytes {
   let mut bytes = serde_json::to_vec(chunk).unwrap_or_default();
   bytes.push(b'\n');
   bytes.into()
 }
 
-/// Writes the answer token by token. A caller that went away is not noticed: sends just fail.
-async fn write(
+/// Streams the completion token by token. Generation continues after the caller disconnects: failed sends are ignored.
+async fn stream_tokens(
   engine: &EngineStandIn,
   request: &DecodeRequest,
   export: &Export,
@@ -366,18 +369,18 @@
         text: "foreign ".into(),
         ..chunk.clone()
       };
-      let _ = sender.send(line(&foreign)).await;
+      let _ = sender.send(ndjson_line(&foreign)).await;
     }
     if faults.swap_chunks && !last && held_back.is_none() {
       held_back = Some(chunk);
       continue;
     }
-    let _ = sender.send(line(&chunk)).await;
+    let _ = sender.send(ndjson_line(&chunk)).await;
     if faults.double_chunks {
-      let _ = sender.send(line(&chunk)).await;
+      let _ = sender.send(ndjson_line(&chunk)).await;
     }
     if let Some(earlier) = held_back.take() {
-      let _ = sender.send(line(&earlier)).await;
+      let _ = sender.send(ndjson_line(&earlier)).await;
     }
   }
   let mut inner = engine.inner();
@@ -389,11 +392,11 @@
   State(engine): State<EngineStandIn>,
   Json(request): Json<CancelRequest>,
 ) -> Response {
-  let loses = {
+  let drops_response = {
     let mut inner = engine.inner();
-    let loses = inner.faults.lose_cancel_answers > 0;
-    inner.faults.lose_cancel_answers = inner.faults.lose_cancel_answers.saturating_sub(1);
-    loses
+    let drops_response = inner.faults.drop_cancel_responses > 0;
+    inner.faults.drop_cancel_responses = inner.faults.drop_cancel_responses.saturating_sub(1);
+    drops_response
   };
   let answer = {
     let mut inner = engine.inner();
@@ -411,14 +414,14 @@
       None => CancelAnswer::UnknownAttempt,
     }
   };
-  if loses {
+  if drops_response {
     std::future::pending::<()>().await;
   }
   Json(CancelReply { answer }).into_response()
 }
 
 async fn holds(State(engine): State<EngineStandIn>, Json(request): Json<HoldsRequest>) -> Response {
-  if engine.inner().faults.deaf_to_holds {
+  if engine.inner().faults.reject_hold_extensions {
     return StatusCode::SERVICE_UNAVAILABLE.into_response();
   }
   let until = Instant::now() + Duration::from_millis(request.hold_ms);
@@ -435,12 +438,12 @@
 
 async fn attempts(State(engine): State<EngineStandIn>) -> Json<AttemptsReply> {
   Json(AttemptsReply {
-    attempts: engine.listed(),
+    attempts: engine.held_attempts(),
   })
 }
 
 async fn load(State(engine): State<EngineStandIn>) -> Response {
-  if engine.inner().faults.silent_load {
+  if engine.inner().faults.reject_load_polls {
     return StatusCode::SERVICE_UNAVAILABLE.into_response();
   }
   Json(engine.load()).into_response()
@@ -467,13 +470,13 @@
 async fn role(State(engine): State<EngineStandIn>, Json(request): Json<RoleRequest>) -> Response {
   let mut inner = engine.inner();
   if engine.options.checks_fence && request.fence < inner.fence {
-    inner.tally.old_fences += 1;
-    return refuse(StatusCode::CONFLICT, CommandRejection::OldFence);
+    inner.tally.stale_fences += 1;
+    return reject(StatusCode::CONFLICT, CommandRejection::OldFence);
   }
   inner.fence = inner.fence.max(request.fence);
-  inner.tally.role_orders.push(request.fence);
+  inner.tally.applied_roles.push(request.fence);
   inner.role = request.role;
-  inner.shown = None;
+  inner.last_report = None;
   Json(serde_json::json!({})).into_response()
 }
 
--- a/emulator/src/engine/state.rs
+++ b/emulator/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! What an engine holds, and what it has done.
+//! Options, state and counters of an engine stand-in.
 
 use {
   super::faults::EngineFaults,
@@ -19,26 +19,26 @@
   },
 };
 
-/// What an engine is like.
+/// Options of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
-  /// Its first role.
+  /// Role at the start.
   pub role: Role,
-  /// Requests that it can hold.
-  pub seats: u32,
-  /// Prompt tokens read a second.
+  /// Attempts that it can hold at once.
+  pub slots: u32,
+  /// Prefill rate.
   pub prefill_tokens_per_s: u64,
-  /// Time that a prefill result is kept.
-  pub keep_ms: u64,
-  /// Time a token takes to write.
+  /// Retention period of a prefill result that no decode engine imports.
+  pub export_ttl_ms: u64,
+  /// Decode time of one token.
   pub token_ms: u64,
-  /// Size of a token in the KV cache.
+  /// KV cache size of one token.
   pub kv_bytes_per_token: u64,
-  /// Rate of its link.
+  /// Bandwidth for KV cache transfers.
   pub link_bytes_per_s: u64,
-  /// Whether it refuses orders with an old fence.
+  /// Whether role changes with a stale fence are rejected.
   pub checks_fence: bool,
-  /// Whether its tokens carry the time at which they were sent, for measurements.
+  /// Whether each token carries the time at which it was sent, for latency measurements.
   pub stamps_tokens: bool,
 }
 
@@ -46,40 +46,44 @@
   fn default() -> Self {
     Self {
       checks_fence: true,
-      keep_ms: 800,
+      export_ttl_ms: 800,
       kv_bytes_per_token: 131_072,
       link_bytes_per_s: 12_500_000_000,
       prefill_tokens_per_s: 100_000,
       role: Role::Decode,
-      seats: 16,
+      slots: 16,
       stamps_tokens: false,
       token_ms: 5,
     }
   }
 }
 
-/// What an engine has done so far.
+/// Counters of an engine. The JSON names are those of `GET /tally`.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct EngineTally {
-  /// Prefills begun.
+  /// Prefills started.
   pub prefills: u64,
-  /// Prompt tokens read.
-  pub read_tokens: u64,
-  /// Prefill results that nobody fetched in time.
-  pub lapsed_exports: u64,
-  /// Answers begun.
+  /// Prompt tokens prefilled, without cached ones.
+  #[serde(rename = "read_tokens")]
+  pub prefilled_tokens: u64,
+  /// Prefill results that expired before an import.
+  #[serde(rename = "lapsed_exports")]
+  pub expired_exports: u64,
+  /// Decodes started.
   pub decodes: u64,
-  /// Answers ended whole.
+  /// Decodes that streamed all their tokens.
   pub finished: u64,
-  /// Cancels that stopped something.
+  /// Cancels of an attempt that was held.
   pub cancels: u64,
-  /// Role orders obeyed, by fence.
-  pub role_orders: Vec<u64>,
-  /// Role orders refused for their fence.
-  pub old_fences: u64,
+  /// Fences of the role changes that were applied.
+  #[serde(rename = "role_orders")]
+  pub applied_roles: Vec<u64>,
+  /// Role changes rejected because of a stale fence.
+  #[serde(rename = "old_fences")]
+  pub stale_fences: u64,
 }
 
-/// What an attempt is at.
+/// State of an attempt that holds a slot.
 #[derive(Clone, Debug)]
 pub(super) struct Attempt {
   pub(super) hold_until: Instant,
@@ -89,7 +93,7 @@
   pub(super) imported: Option<Export>,
 }
 
-/// A prompt that has been read.
+/// The result of a prefill, as another engine imports it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(super) struct Export {
   pub(super) prompt: String,
@@ -108,7 +112,7 @@
   pub(super) fence: u64,
   pub(super) cached: BTreeSet<u64>,
   pub(super) cache_events: Vec<u64>,
-  pub(super) shown: Option<(Instant, LoadReply)>,
+  pub(super) last_report: Option<(Instant, LoadReply)>,
 }
 
 /// An engine. Clones share its state.
@@ -116,14 +120,14 @@
 pub struct EngineStandIn {
   pub(super) options: EngineOptions,
   pub(super) inner: Arc<Mutex<Inner>>,
-  /// One prompt is read at a time.
-  pub(super) reading: Arc<FairMutex<()>>,
-  /// One KV cache is moved at a time.
-  pub(super) link: Arc<FairMutex<()>>,
+  /// Serialises prefills: one prompt at a time.
+  pub(super) prefill_lock: Arc<FairMutex<()>>,
+  /// Serialises KV cache transfers over the link.
+  pub(super) link_lock: Arc<FairMutex<()>>,
 }
 
 impl EngineStandIn {
-  /// An engine that holds nothing.
+  /// Creates an idle engine.
   pub fn new(options: EngineOptions) -> Self {
     let inner = Inner {
       attempts: BTreeMap::new(),
@@ -134,15 +138,15 @@
       incarnation: 1,
       queue_tokens: 0,
       role: options.role,
-      shown: None,
+      last_report: None,
       tally: EngineTally::default(),
       tombstones: BTreeSet::new(),
     };
     Self {
       inner: Arc::new(Mutex::new(inner)),
-      link: Arc::default(),
+      link_lock: Arc::default(),
       options,
-      reading: Arc::default(),
+      prefill_lock: Arc::default(),
     }
   }
 
@@ -150,39 +154,38 @@
     self.inner.lock().unwrap_or_else(PoisonError::into_inner)
   }
 
-  /// Sets the fault switches.
+  /// Replaces the injected faults.
   pub fn set_faults(&self, faults: EngineFaults) {
     self.inner().faults = faults;
   }
 
-  /// What it has done so far.
   pub fn tally(&self) -> EngineTally {
     self.inner().tally.clone()
   }
 
-  /// Its present role.
+  /// The current role.
   pub fn role(&self) -> Role {
     self.inner().role
   }
 
-  /// Attempts that it holds memory for.
+  /// Attempts that occupy a slot.
   pub fn held(&self) -> Vec<AttemptId> {
     self.inner().attempts.keys().cloned().collect()
   }
 
-  /// Starts anew: all memory is gone, and the incarnation is higher.
+  /// Simulates a restart: all attempts are lost and the incarnation increases.
   pub fn restart(&self) {
     let mut inner = self.inner();
     inner.incarnation += 1;
     inner.attempts.clear();
     inner.tombstones.clear();
-    inner.shown = None;
+    inner.last_report = None;
     inner.queue_tokens = 0;
   }
 
-  pub(super) fn listed(&self) -> Vec<HeldAttempt> {
+  pub(super) fn held_attempts(&self) -> Vec<HeldAttempt> {
     let now = Instant::now();
-    let left = |until: Instant| {
+    let remaining_ms = |until: Instant| {
       let ahead = until.saturating_duration_since(now).as_millis();
       let behind = now.saturating_duration_since(until).as_millis();
       i64::try_from(ahead).unwrap_or(i64::MAX) - i64::try_from(behind).unwrap_or(i64::MAX)
@@ -193,7 +196,7 @@
       .iter()
       .map(|(attempt, held)| HeldAttempt {
         attempt: attempt.clone(),
-        hold_left_ms: left(held.hold_until),
+        hold_left_ms: remaining_ms(held.hold_until),
       })
       .collect()
   }
@@ -202,13 +205,13 @@
     let mut inner = self.inner();
     let now = Instant::now();
     let lag = Duration::from_millis(inner.faults.load_lag_ms);
-    if let Some((made, shown)) = &inner.shown
-      && now - *made < lag
+    if let Some((created, report)) = &inner.last_report
+      && now - *created < lag
     {
-      let age_ms = u64::try_from((now - *made).as_millis()).unwrap_or(0);
+      let age_ms = u64::try_from((now - *created).as_millis()).unwrap_or(0);
       return LoadReply {
         age_ms,
-        ..shown.clone()
+        ..report.clone()
       };
     }
     let reply = LoadReply {
@@ -217,10 +220,10 @@
       leaving: inner.faults.leaving,
       queue_tokens: inner.queue_tokens,
       role: Some(inner.role),
-      seats: self.options.seats,
+      seats: self.options.slots,
       used_seats: u32::try_from(inner.attempts.len()).unwrap_or(u32::MAX),
     };
-    inner.shown = Some((now, reply.clone()));
+    inner.last_report = Some((now, reply.clone()));
     reply
   }
 }
--- a/emulator/src/path_bench.rs
+++ b/emulator/src/path_bench.rs
@@ -73,16 +73,16 @@
   }
 }
 
-fn plan(program: &Path, token_ms: u64, seats: u32) -> Plan {
-  plan_with(program, token_ms, seats, DECODERS)
+fn plan(program: &Path, token_ms: u64, slots: u32) -> Plan {
+  plan_with(program, token_ms, slots, DECODERS)
 }
 
-fn plan_with(program: &Path, token_ms: u64, seats: u32, decoders: u32) -> Plan {
-  let engine = |role, seats| {
+fn plan_with(program: &Path, token_ms: u64, slots: u32, decoders: u32) -> Plan {
+  let engine = |role, slots| {
     EndpointPlan::Engine(EngineOptions {
       prefill_tokens_per_s: 50_000_000,
       role,
-      seats,
+      slots,
       stamps_tokens: true,
       token_ms,
       ..EngineOptions::default()
@@ -90,7 +90,7 @@
   };
   let mut endpoints = vec![("prefill".to_string(), engine(Role::Prefill, 4_096))];
   for index in 0..decoders {
-    endpoints.push((format!("decode-{index}"), engine(Role::Decode, seats)));
+    endpoints.push((format!("decode-{index}"), engine(Role::Decode, slots)));
   }
   let hall = HallPlan {
     boxes: vec!["box-1".into()],
--- a/emulator/src/subcommand.rs
+++ b/emulator/src/subcommand.rs
@@ -196,7 +196,7 @@
       } => {
         let options = EngineOptions {
           role: if prefill { Role::Prefill } else { Role::Decode },
-          seats,
+          slots: seats,
           token_ms,
           ..EngineOptions::default()
         };
