--- a/emulator/src/bound/day_report.rs
+++ b/emulator/src/bound/day_report.rs
@@ -1,52 +1,52 @@
-//! The parts of the bench's report that the bound is worked out from.
+//! The parts of the bench's report that the bound is computed from.
 
 use serde::Deserialize;
 
-/// A stretch of some seconds.
+/// A time window of the day.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Window {
-  /// The second at which it begins.
+  /// Start, in seconds since the start of the day.
   #[serde(rename = "name")]
   pub from_s: String,
-  /// Requests that came in it.
+  /// Requests that arrived in the window.
   #[serde(rename = "n")]
-  pub asked: u64,
-  /// What they earned of what they owed.
+  pub requests: u64,
+  /// Fraction of the attainable worth that they earned.
   #[serde(rename = "worth")]
   pub earned: f64,
 }
 
-/// What went wrong.
+/// An injected fault.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Fault {
-  /// When it began.
+  /// Start, in seconds since the start of the day.
   pub at_s: f64,
-  /// When it ended.
+  /// End, in seconds since the start of the day.
   pub to_s: f64,
-  /// Its kind, with a variant in brackets.
+  /// Kind, with a variant in brackets.
   pub kind: String,
 }
 
-/// A day.
+/// The report of a simulated day.
 ///
 /// ```
 /// use emulator::bound::DayReport;
 /// let text = r#"{"windows": [{"name": "0", "n": 9, "worth": 0.9}], "events": [], "other": 1}"#;
 /// let report = DayReport::parse(text).unwrap();
-/// assert_eq!(report.windows[0].asked, 9);
+/// assert_eq!(report.windows[0].requests, 9);
 /// assert!(DayReport::parse("{}").unwrap_err().contains("windows"));
 /// ```
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct DayReport {
-  /// Its stretches in order.
+  /// Windows by start.
   pub windows: Vec<Window>,
-  /// Its faults in order.
+  /// Faults by start.
   #[serde(rename = "events")]
   pub faults: Vec<Fault>,
 }
 
 impl DayReport {
-  /// Reads a report.
+  /// Parses a report from JSON. The error names the field that is missing or invalid.
   pub fn parse(text: &str) -> Result<Self, String> {
     serde_json::from_str(text).map_err(|error| error.to_string())
   }
--- a/emulator/src/bound/mod.rs
+++ b/emulator/src/bound/mod.rs
@@ -1,8 +1,9 @@
-//! What a router that knew everything could have earned on a day that the users' bench played, from the day's report and a
-//! model of what no router can save: streams under way when power goes, and what comes while no box runs.
+//! Upper bound of the worth that an ideal router could earn on a simulated day of the users' bench. It is computed from the
+//! day's report and a model of the losses that no router can avoid: streams in progress at a power failure, and requests that
+//! arrive while no box runs.
 //!
-//! The bound is too high where a fault takes more than the model says (engines that crash, answers that are lost), so a gap
-//! to it is no proof of a mistake; it is what is left to look for.
+//! The model leaves out some losses (engine crashes, lost responses), so the bound may be too high, and a gap to it is not by
+//! itself evidence of a fault.
 
 mod day_report;
 mod model;
@@ -17,18 +18,18 @@
   std::{fs, io, path::PathBuf},
 };
 
-/// What to work out.
+/// Options of the subcommand.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(bound_options))]
 pub struct BoundOptions {
-  /// The report that the bench wrote of a day (`run --report FILE`)
+  /// The report of a day that the bench wrote (`run --report FILE`)
   #[bpaf(long, argument("FILE"))]
   pub report: PathBuf,
   #[bpaf(external(bound_model))]
   pub model: BoundModel,
 }
 
-/// Prints a row for each stretch of the day that is far below its bound, and the bound of the whole day.
+/// Prints the windows whose gap to the bound exceeds the threshold, and the totals of the day.
 pub fn print_bound(options: &BoundOptions) -> io::Result<()> {
   let text = fs::read_to_string(&options.report)
     .map_err(|error| io::Error::other(format!("{}: {error}", options.report.display())))?;
@@ -39,12 +40,12 @@
   let rows = options.model.rows(&report);
   for row in rows
     .iter()
-    .filter(|row| row.bound - row.earned > options.model.shown_gap)
+    .filter(|row| row.bound - row.earned > options.model.min_gap)
   {
     println!(
       "| {} | {} | {:.3} | {:.3} | {} |",
       row.from_s,
-      row.asked,
+      row.requests,
       row.earned,
       row.bound,
       row.faults.join(", ")
@@ -55,8 +56,8 @@
     "whole day {:.3} of {:.3}, two worst stretches {:.3} of {:.3}, worth without prices at most {:.3}",
     BoundModel::whole_day(&rows, |row| row.earned),
     BoundModel::whole_day(&rows, |row| row.bound),
-    BoundModel::worst_stretches(&rows, |row| row.earned),
-    BoundModel::worst_stretches(&rows, |row| row.bound),
+    BoundModel::worst_windows(&rows, |row| row.earned),
+    BoundModel::worst_windows(&rows, |row| row.bound),
     BoundModel::worth(&rows, |row| row.bound)
   );
   Ok(())
--- a/emulator/src/bound/model.rs
+++ b/emulator/src/bound/model.rs
@@ -1,95 +1,95 @@
-//! The model behind the bound.
+//! The model of unavoidable losses that the bound is computed from.
 
 use {
   super::day_report::{DayReport, Fault},
   bpaf::Bpaf,
 };
 
-/// Length of a stretch in the bench's report, in seconds.
-const STRETCH_S: f64 = 2.0;
-/// Moments of a stretch at which the model looks.
-const SAMPLES: u32 = 40;
-/// Weights of the whole day with its worst zone and kind of request, and of the two worst stretches, on the large site.
+/// Length of a window in the bench's report.
+const WINDOW_S: f64 = 2.0;
+/// Points in time at which the model is evaluated in each window.
+const SAMPLES_PER_WINDOW: u32 = 40;
+/// Weights of the bench's large site. The worst zone and the worst kind of request are counted as the whole day.
 const WHOLE_DAY_WEIGHT: f64 = 0.8;
-const WORST_STRETCHES_WEIGHT: f64 = 0.2;
+const WORST_WINDOWS_WEIGHT: f64 = 0.2;
 
-/// What is taken as known of the load and of what faults take.
+/// Assumptions about the load and the effect of faults.
 #[derive(Clone, Debug, PartialEq, Bpaf)]
 #[bpaf(generate(bound_model))]
 pub struct BoundModel {
-  /// Mean length of a stream, in seconds; the users' large site: 3.3
+  /// Mean duration of a stream, in seconds
   #[bpaf(long("stream-s"), argument("S"), fallback(3.3))]
   pub stream_s: f64,
-  /// Part of what is owed that streams owe; 115 streams of 9.4 beside 178 lookups of 1 a second: 0.86
+  /// Fraction of the attainable worth that belongs to streams
   #[bpaf(long("stream-share"), argument("SHARE"), fallback(0.86))]
   pub stream_share: f64,
-  /// What a late stream earns of its worth: 1.9 of 9.4
+  /// Fraction of its worth that a late stream earns
   #[bpaf(long("late-share"), argument("SHARE"), fallback(0.2))]
   pub late_share: f64,
-  /// Time from the loss of all boxes until the first ones serve again, in seconds
+  /// Time from the loss of all boxes until the first of them serves again, in seconds
   #[bpaf(long("dark-s"), argument("S"), fallback(1.2))]
-  pub dark_s: f64,
-  /// Halls, of which a cut takes one
+  pub outage_s: f64,
+  /// Number of data halls; a zone cut takes one of them
   #[bpaf(long, argument("N"), fallback(5))]
   pub halls: u32,
-  /// Stretches are shown from this gap on
+  /// Windows are printed when their gap to the bound exceeds this worth
   #[bpaf(long("shown-gap"), argument("WORTH"), fallback(0.05))]
-  pub shown_gap: f64,
+  pub min_gap: f64,
 }
 
 impl Default for BoundModel {
   fn default() -> Self {
     Self {
-      dark_s: 1.2,
       halls: 5,
       late_share: 0.2,
-      shown_gap: 0.05,
+      min_gap: 0.05,
+      outage_s: 1.2,
       stream_s: 3.3,
       stream_share: 0.86,
     }
   }
 }
 
-/// One stretch beside its bound.
+/// A window with its bound.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BoundRow {
-  /// The second at which it begins.
+  /// Start, in seconds since the start of the day.
   pub from_s: f64,
-  /// Requests that came in it.
-  pub asked: u64,
-  /// What they earned of what they owed.
+  /// Requests that arrived in the window.
+  pub requests: u64,
+  /// Fraction of the attainable worth that they earned.
   pub earned: f64,
-  /// What they could have earned.
+  /// Highest fraction that an ideal router could have earned.
   pub bound: f64,
-  /// The kinds of faults in it.
+  /// Kinds of the faults that overlap the window.
   pub faults: Vec<String>,
 }
 
 impl BoundModel {
-  /// All stretches of a day.
+  /// Computes the bound of each window of a day.
   ///
   /// ```
   /// use emulator::bound::{BoundModel, DayReport};
   /// let text = r#"{"windows": [{"name": "38", "n": 9, "worth": 0.4}, {"name": "50", "n": 9, "worth": 0.9}],
   ///   "events": [{"at_s": 40.0, "to_s": 50.0, "kind": "closing (power_off_all)"}]}"#;
   /// let rows = BoundModel::default().rows(&DayReport::parse(text).unwrap());
-  /// // Most streams that begin in the 2 s before the power goes are under way then.
+  /// // Most streams that start in the 2 s before a power failure are still in progress when it comes.
   /// assert!((0.4..0.6).contains(&rows[0].bound));
   /// assert_eq!(rows[1].bound, 1.0);
   /// ```
   pub fn rows(&self, report: &DayReport) -> Vec<BoundRow> {
     let row = |window: &super::Window| {
       let from_s: f64 = window.from_s.parse().unwrap_or(0.0);
-      let touches = |fault: &&Fault| fault.at_s < from_s + STRETCH_S && from_s < fault.to_s;
-      let bound = self.stretch(from_s, &report.faults);
+      let overlaps = |fault: &&Fault| fault.at_s < from_s + WINDOW_S && from_s < fault.to_s;
+      let bound = self.window_bound(from_s, &report.faults);
       BoundRow {
-        asked: window.asked,
+        requests: window.requests,
         bound: bound.max(window.earned),
         earned: window.earned,
         faults: report
           .faults
           .iter()
-          .filter(touches)
+          .filter(overlaps)
           .map(|fault| fault.kind.clone())
           .collect(),
         from_s,
@@ -98,62 +98,66 @@
     report.windows.iter().map(row).collect()
   }
 
-  /// The bound of a stretch: the mean over its moments.
-  fn stretch(&self, from_s: f64, faults: &[Fault]) -> f64 {
-    let moment = |sample| from_s + STRETCH_S * (f64::from(sample) + 0.5) / f64::from(SAMPLES);
-    let sum: f64 = (0..SAMPLES)
-      .map(|sample| self.earnable(moment(sample), faults))
+  /// The mean of the attainable fraction over the samples of a window.
+  fn window_bound(&self, from_s: f64, faults: &[Fault]) -> f64 {
+    let sample_s =
+      |sample| from_s + WINDOW_S * (f64::from(sample) + 0.5) / f64::from(SAMPLES_PER_WINDOW);
+    let sum: f64 = (0..SAMPLES_PER_WINDOW)
+      .map(|sample| self.attainable(sample_s(sample), faults))
       .sum();
-    sum / f64::from(SAMPLES)
+    sum / f64::from(SAMPLES_PER_WINDOW)
   }
 
-  /// What requests that come at a moment can earn.
-  fn earnable(&self, at_s: f64, faults: &[Fault]) -> f64 {
-    faults
-      .iter()
-      .fold(1.0, |earnable, fault| earnable * self.left_by(fault, at_s))
+  /// Attainable fraction of the worth of requests that arrive at `at_s`.
+  fn attainable(&self, at_s: f64, faults: &[Fault]) -> f64 {
+    faults.iter().fold(1.0, |attainable, fault| {
+      attainable * self.fraction_after(fault, at_s)
+    })
   }
 
-  /// What a fault leaves of it.
-  fn left_by(&self, fault: &Fault, at_s: f64) -> f64 {
-    let part = if fault.kind.contains("power_off_all") || fault.kind.contains("kill_all") {
+  /// Fraction that a single fault leaves attainable.
+  fn fraction_after(&self, fault: &Fault, at_s: f64) -> f64 {
+    let affected = if fault.kind.contains("power_off_all") || fault.kind.contains("kill_all") {
       1.0
     } else if fault.kind.starts_with("zone_cut") {
       1.0 / f64::from(self.halls)
     } else {
       return 1.0;
     };
-    let before_s = fault.at_s - at_s;
-    if before_s >= 0.0 {
-      // A stream is under way still when the fault comes: at best it goes on later.
-      let under_way = (-before_s / self.stream_s).exp();
-      return 1.0 - part * under_way * self.stream_share * (1.0 - self.late_share);
+    let until_fault_s = fault.at_s - at_s;
+    if until_fault_s >= 0.0 {
+      // Streams still in progress at the fault resume late at best.
+      let in_progress = (-until_fault_s / self.stream_s).exp();
+      return 1.0 - affected * in_progress * self.stream_share * (1.0 - self.late_share);
     }
-    if part == 1.0 && -before_s < self.dark_s {
-      // Nobody is there; lookups are not worth waiting for.
+    if affected == 1.0 && -until_fault_s < self.outage_s {
+      // No box runs: streams are served late, and lookups expire.
       return self.late_share * self.stream_share;
     }
     1.0
   }
 
-  /// What the whole day earned, or could have.
+  /// The mean of `share` over the day, weighted by requests.
   pub fn whole_day(rows: &[BoundRow], share: impl Fn(&BoundRow) -> f64) -> f64 {
-    let asked: u64 = rows.iter().map(|row| row.asked).sum();
-    let earned: f64 = rows.iter().map(|row| row.asked as f64 * share(row)).sum();
-    earned / asked.max(1) as f64
+    let requests: u64 = rows.iter().map(|row| row.requests).sum();
+    let earned: f64 = rows
+      .iter()
+      .map(|row| row.requests as f64 * share(row))
+      .sum();
+    earned / requests.max(1) as f64
   }
 
-  /// The mean of the two worst stretches.
-  pub fn worst_stretches(rows: &[BoundRow], share: impl Fn(&BoundRow) -> f64) -> f64 {
+  /// The mean of `share` over the two worst windows.
+  pub fn worst_windows(rows: &[BoundRow], share: impl Fn(&BoundRow) -> f64) -> f64 {
     let mut shares: Vec<f64> = rows.iter().map(share).collect();
     shares.sort_by(f64::total_cmp);
     let worst = &shares[..shares.len().min(2)];
     worst.iter().sum::<f64>() / worst.len().max(1) as f64
   }
 
-  /// Whole day and worst stretches, weighed as on the large site; the worst zone and kind of request count as the whole day.
+  /// The weighted sum of the whole day and its two worst windows.
   pub fn worth(rows: &[BoundRow], share: impl Fn(&BoundRow) -> f64) -> f64 {
     WHOLE_DAY_WEIGHT * Self::whole_day(rows, &share)
-      + WORST_STRETCHES_WEIGHT * Self::worst_stretches(rows, &share)
+      + WORST_WINDOWS_WEIGHT * Self::worst_windows(rows, &share)
   }
 }
