--- a/emulator/src/regress/regress_error.rs
+++ b/emulator/src/regress/regress_error.rs
@@ -1,56 +1,56 @@
-//! Why a regression run came to no end, or to a bad one.
+//! Errors of a regression run.
 
 use std::{io, path::PathBuf, process::ExitStatus};
 
-/// What went wrong.
+/// Why a regression run failed.
 #[derive(Debug, thiserror::Error)]
 pub enum RegressError {
-  /// A file that was named is not there.
+  /// A required file does not exist.
   #[error("{} does not exist", .0.display())]
   Missing(PathBuf),
-  /// The list of sites can't be read.
-  #[error("the list of sites {}: {message}", path.display())]
+  /// The list of sites can't be read or parsed.
+  #[error("site list {}: {message}", path.display())]
   List {
-    /// The list.
+    /// Path of the list.
     path: PathBuf,
-    /// What is wrong with it.
+    /// What is wrong with the list.
     message: String,
   },
-  /// What was printed can't be kept.
+  /// The output of the bench can't be saved.
   #[error("writing {}: {source}", path.display())]
   Output {
-    /// The file or folder.
+    /// Path of the file or folder.
     path: PathBuf,
-    /// Why not.
+    /// The cause.
     source: io::Error,
   },
   /// The bench can't be started.
   #[error("starting {}: {source}", path.display())]
   Start {
-    /// The bench.
+    /// Path of the bench.
     path: PathBuf,
-    /// Why not.
+    /// The cause.
     source: io::Error,
   },
-  /// The bench failed, or was killed.
-  #[error("the bench ended with {status} on {site}; what it printed is in {}", printed.display())]
+  /// The bench exited with an error or was killed.
+  #[error("the bench exited with {status} on {site}; its output is in {}", output_path.display())]
   Bench {
     /// The site.
     site: String,
-    /// How it ended.
+    /// Its exit status.
     status: ExitStatus,
-    /// What it printed.
-    printed: PathBuf,
+    /// Path of its output.
+    output_path: PathBuf,
   },
   /// The bench printed no score.
-  #[error("no score of {site} in {}", printed.display())]
+  #[error("no score of {site} in {}", output_path.display())]
   NoScore {
     /// The site.
     site: String,
-    /// What it printed.
-    printed: PathBuf,
+    /// Path of its output.
+    output_path: PathBuf,
   },
-  /// Sites that stand worse than at the last landing.
+  /// Sites whose mean dropped too far below the baseline, or whose gate failed.
   #[error("worse than the last landing, or with a gate that failed: {0}")]
-  Fallen(String),
+  Regressed(String),
 }
--- a/emulator/src/regress/score_report.rs
+++ b/emulator/src/regress/score_report.rs
@@ -1,34 +1,35 @@
-//! What the bench prints of a score: a row a day, and whether the gate is passed.
+//! Parser of the text that `bench score` prints: one row per simulated day, and the verdict of the gate.
 
-/// Days that are drawn at each score: they count for the gate, not for the mean.
-const DRAWN: &str = "fresh-";
-/// Days without trouble.
-const CALM: &str = "quiet-";
+/// Prefix of randomly generated days, which count for the gate but not for the mean.
+const GENERATED_PREFIX: &str = "fresh-";
+/// Prefix of days without faults, which do not count for the mean.
+const QUIET_PREFIX: &str = "quiet-";
 
-/// A score of one site.
+/// The score of one site.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScoreReport {
-  /// Each day's name and worth.
+  /// Name and worth of each day.
   pub days: Vec<(String, f64)>,
   /// Whether the gate is passed.
   pub gate_passed: bool,
 }
 
 impl ScoreReport {
-  /// The mean worth of the standard days with trouble; 0 when there is none.
+  /// The mean worth of the standard days with faults; 0 if there are none.
   pub fn mean(&self) -> f64 {
-    let troubled = |name: &str| !name.starts_with(DRAWN) && !name.starts_with(CALM);
+    let counts =
+      |name: &str| !name.starts_with(GENERATED_PREFIX) && !name.starts_with(QUIET_PREFIX);
     let worths: Vec<f64> = self
       .days
       .iter()
-      .filter(|(name, _)| troubled(name))
+      .filter(|(name, _)| counts(name))
       .map(|(_, worth)| *worth)
       .collect();
     worths.iter().sum::<f64>() / worths.len().max(1) as f64
   }
 }
 
-/// Reads what the bench printed; nothing when no day with its worth is there.
+/// Parses the output of the bench; `None` if it holds no row of a day.
 ///
 /// ```
 /// use emulator::regress::score_report;
@@ -45,7 +46,7 @@
 /// assert!(score_report("the build failed").is_none());
 /// ```
 pub fn score_report(printed: &str) -> Option<ScoreReport> {
-  let days: Vec<(String, f64)> = printed.lines().filter_map(day).collect();
+  let days: Vec<(String, f64)> = printed.lines().filter_map(parse_day).collect();
   if days.is_empty() {
     return None;
   }
@@ -55,8 +56,8 @@
   })
 }
 
-/// A day's row: its name, machines, score and worth.
-fn day(line: &str) -> Option<(String, f64)> {
+/// Parses the row of a day: name, own machines/servers, score, worth. `None` for other lines.
+fn parse_day(line: &str) -> Option<(String, f64)> {
   let mut words = line.split_whitespace();
   let name = words.next()?;
   let (own, servers) = words.next()?.split_once('/')?;
--- a/emulator/src/regress/site_list.rs
+++ b/emulator/src/regress/site_list.rs
@@ -1,4 +1,4 @@
-//! The sites that have landed, with their means then.
+//! The list of sites with their baselines.
 
 use {
   super::RegressError,
@@ -9,19 +9,19 @@
   },
 };
 
-/// A site as it stood at the last landing.
+/// A site and its baseline.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct LandedSite {
-  /// Its name, for the table.
+pub struct BaselineSite {
+  /// Name in the table.
   pub name: String,
-  /// Its site file, below the folder of all sites.
+  /// Site file, relative to the folder of all sites.
   pub file: PathBuf,
-  /// The mean worth of its days with trouble.
+  /// Baseline: the mean worth of its standard days with faults at the last landing.
   pub mean: f64,
 }
 
-/// All sites of a regression run.
+/// All sites of a regression run, in TOML.
 ///
 /// ```
 /// use emulator::regress::SiteList;
@@ -32,12 +32,12 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct SiteList {
-  /// In the order in which they are played.
-  pub sites: Vec<LandedSite>,
+  /// Sites in the order in which they are scored.
+  pub sites: Vec<BaselineSite>,
 }
 
 impl SiteList {
-  /// Reads a list from text.
+  /// Parses a list.
   pub fn parse(text: &str) -> Result<Self, String> {
     toml::from_str(text).map_err(|error| error.to_string())
   }
@@ -52,9 +52,9 @@
     Self::parse(&text).map_err(failed)
   }
 
-  /// The site files below a folder; an error names the first that is not there.
+  /// Paths of the site files below `folder`. Fails with the first that does not exist.
   pub fn files(&self, folder: &Path) -> Result<Vec<PathBuf>, RegressError> {
-    let file = |site: &LandedSite| {
+    let file = |site: &BaselineSite| {
       let path = folder.join(&site.file);
       path
         .exists()
