--- a/emulator/src/experiment/bench_report.rs
+++ b/emulator/src/experiment/bench_report.rs
@@ -1,32 +1,33 @@
-//! The report that the users' bench writes of one day, as far as an experiment needs it.
+//! The fields that an experiment reads from the report that the users' bench writes of one simulated day.
 
 use serde::Deserialize;
 
-/// The bench's report; its names are the bench's own.
+/// Report of one simulated day, with the bench's JSON names.
 #[derive(Debug, Deserialize)]
 pub(super) struct BenchReport {
-  /// The day's worth, prices taken off.
+  /// Worth of the day, after deduction of prices.
   #[serde(rename = "G")]
   pub(super) worth: f64,
-  /// The part of what was owed that was earned over the whole day.
+  /// Fraction of the attainable worth that was earned over the whole day.
   #[serde(rename = "served")]
   pub(super) earned_share: f64,
-  /// Rows of a price's name, its amount and what it takes from the worth.
+  /// Prices as name, amount and deduction from the worth.
   pub(super) prices: Vec<(String, f64, f64)>,
-  /// The rules that were broken, in a form of the bench's own.
-  pub(super) breaks: RuleBreaks,
+  /// Violated rules.
+  #[serde(rename = "breaks")]
+  pub(super) violations: RuleViolations,
 }
 
-/// The rules that were broken: earlier benches list them, later ones name each with what broke it.
+/// Violated rules: a list in the reports of older benches, a map from rule to details in newer ones.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
-pub(super) enum RuleBreaks {
+pub(super) enum RuleViolations {
   List(Vec<serde_json::Value>),
   ByName(serde_json::Map<String, serde_json::Value>),
 }
 
-impl RuleBreaks {
-  /// How many rules were broken.
+impl RuleViolations {
+  /// Number of violated rules.
   pub(super) fn len(&self) -> usize {
     match self {
       Self::List(list) => list.len(),
--- a/emulator/src/experiment/checkout.rs
+++ b/emulator/src/experiment/checkout.rs
@@ -1,4 +1,4 @@
-//! Copies of a checkout, one for each variant.
+//! Copies of the checkout, one per variant.
 
 use {
   super::{ExperimentError, Variant},
@@ -9,12 +9,12 @@
   },
 };
 
-/// The settings that a variant changes.
-const SETTINGS: &str = "deploy/box.toml.template";
-/// Where the bench writes its entries.
-const JOURNAL: &str = "journal";
-/// Not copied: entries of earlier runs, and builds that the bench does not use.
-const LEFT_OUT: [&str; 2] = [JOURNAL, "target/debug"];
+/// Template of the settings that a variant changes, relative to the checkout.
+const SETTINGS_PATH: &str = "deploy/box.toml.template";
+/// Folder of the bench's journal, relative to the checkout.
+const JOURNAL_PATH: &str = "journal";
+/// Paths that are not copied: journal entries of earlier runs, and build output that the bench does not use.
+const EXCLUDED_PATHS: [&str; 2] = [JOURNAL_PATH, "target/debug"];
 
 /// A copy of a checkout with a variant's settings.
 #[derive(Clone, Debug)]
@@ -23,19 +23,20 @@
 }
 
 impl Checkout {
-  /// Copies a checkout below a folder. Times of files are kept, so that nothing is built anew.
+  /// Copies a checkout into a subfolder of `parent` and applies the variant. Modification times are preserved, so that cargo
+  /// rebuilds nothing.
   pub(super) fn copy(
     from: &Path,
-    below: &Path,
+    parent: &Path,
     variant: &Variant,
   ) -> Result<Self, ExperimentError> {
-    let path = below.join(variant.name.replace(['/', ' '], "-"));
+    let path = parent.join(variant.name.replace(['/', ' '], "-"));
     copy_folder(from, Path::new(""), &path).map_err(ExperimentError::io("copying the checkout"))?;
-    let settings = path.join(SETTINGS);
+    let settings = path.join(SETTINGS_PATH);
     let text =
       fs::read_to_string(&settings).map_err(ExperimentError::io("reading the settings"))?;
     fs::write(&settings, variant.apply(&text))
-      .and_then(|()| fs::create_dir_all(path.join(JOURNAL)))
+      .and_then(|()| fs::create_dir_all(path.join(JOURNAL_PATH)))
       .map_err(ExperimentError::io("writing the settings"))?;
     Ok(Self { path })
   }
@@ -46,7 +47,10 @@
   for entry in fs::read_dir(root.join(folder))? {
     let entry = entry?;
     let path = folder.join(entry.file_name());
-    if LEFT_OUT.iter().any(|left_out| path == Path::new(left_out)) {
+    if EXCLUDED_PATHS
+      .iter()
+      .any(|excluded| path == Path::new(excluded))
+    {
       continue;
     }
     let kind = entry.file_type()?;
@@ -68,15 +72,15 @@
     .set_modified(modified)
 }
 
-/// Puts the bench's entries of all copies into the checkout's own journal.
-pub(super) fn keep_journals(copies: &[Checkout], checkout: &Path) -> Result<(), ExperimentError> {
+/// Copies the bench's journal entries of all copies into the journal of the original checkout.
+pub(super) fn merge_journals(copies: &[Checkout], checkout: &Path) -> Result<(), ExperimentError> {
   for copy in copies {
     copy_folder(
-      &copy.path.join(JOURNAL),
+      &copy.path.join(JOURNAL_PATH),
       Path::new(""),
-      &checkout.join(JOURNAL),
+      &checkout.join(JOURNAL_PATH),
     )
-    .map_err(ExperimentError::io("keeping the journal"))?;
+    .map_err(ExperimentError::io("copying the journal"))?;
   }
   Ok(())
 }
--- a/emulator/src/experiment/experiment_error.rs
+++ b/emulator/src/experiment/experiment_error.rs
@@ -1,19 +1,19 @@
-//! What can go wrong with an experiment.
+//! Errors of an experiment.
 
 use std::{io, path::PathBuf, process::ExitStatus};
 
-/// Why an experiment came to nothing, or to less than was asked for.
+/// Why an experiment failed, or ended before all its trials were run.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
-  /// A file or folder that an option names is not there.
+  /// The file or folder of an option does not exist.
   #[error("{option}: {path} does not exist", path = path.display())]
   Missing {
     /// The option.
     option: &'static str,
-    /// What it names.
+    /// Its value.
     path: PathBuf,
   },
-  /// An option's value can't be used.
+  /// The value of an option is invalid.
   #[error("{option}: {message}")]
   Option {
     /// The option.
@@ -21,20 +21,20 @@
     /// What is wrong.
     message: String,
   },
-  /// The bench ended without a report.
+  /// The bench exited with an error.
   #[error("the bench failed on {what}: {status}: {output}")]
   Bench {
-    /// What it was asked for.
+    /// The trial, or the build.
     what: String,
-    /// How it ended.
+    /// Exit status of the bench.
     status: ExitStatus,
-    /// The last lines that it printed.
+    /// Last lines of its output.
     output: String,
   },
-  /// A report can't be read.
+  /// A report can't be read or parsed.
   #[error("report of {what}: {message}")]
   Report {
-    /// Of which trial.
+    /// The trial.
     what: String,
     /// What is wrong.
     message: String,
@@ -42,15 +42,15 @@
   /// A file operation failed.
   #[error("{step}: {source}")]
   Io {
-    /// What was being done.
+    /// The operation.
     step: &'static str,
-    /// Why it failed.
+    /// The cause.
     source: io::Error,
   },
 }
 
 impl ExperimentError {
-  /// Wraps a failed file operation.
+  /// Converts the error of the file operation `step`.
   pub(super) fn io(step: &'static str) -> impl Fn(io::Error) -> Self {
     move |source| Self::Io { step, source }
   }
--- a/emulator/src/experiment/mod.rs
+++ b/emulator/src/experiment/mod.rs
@@ -1,5 +1,5 @@
-//! Paired experiments: variants of a gateway's settings, played on the same days with the same seeds by the users'
-//! bench. Each variant gets a copy of the checkout; what was measured before a failure is kept.
+//! Paired experiments: variants of a gateway's settings, run by the users' bench on the same simulated days with the same
+//! seeds. Each variant gets a copy of the checkout; measurements taken before a failure are kept.
 
 mod bench_report;
 mod checkout;
@@ -22,9 +22,9 @@
 
 use {
   self::{
-    checkout::{Checkout, keep_journals},
-    plot::draw,
-    summary::table,
+    checkout::{Checkout, merge_journals},
+    plot::write_plot,
+    summary::markdown_table,
     trial::Bench,
   },
   std::{
@@ -35,8 +35,7 @@
   },
 };
 
-/// Runs an experiment and prints its table. Fails on options that can't be met, and after the table when a trial
-/// failed.
+/// Runs an experiment and prints its table. Fails at once on invalid options, and after printing the table when a trial failed.
 pub fn run(options: &ExperimentOptions) -> Result<(), ExperimentError> {
   options.check()?;
   let variants = options.variants()?;
@@ -53,28 +52,28 @@
     bench.build(checkout)?;
   }
   let trials = options.trials(&variants);
-  let (measured, failure) = play(&bench, &checkouts, trials, options);
-  keep_journals(&checkouts, &options.checkout)?;
+  let (measured, failure) = run_trials(&bench, &checkouts, trials, options);
+  merge_journals(&checkouts, &options.checkout)?;
   let summaries = summarise(&variants[0].name, &measured);
-  print!("{}", table(&summaries));
+  print!("{}", markdown_table(&summaries));
   if let Some(path) = &options.plot {
-    draw(path, &summaries)?;
+    write_plot(path, &summaries)?;
   }
   failure.map_or(Ok(()), Err)
 }
 
-/// Plays trials, several at a time, until one fails; what is measured is written as it comes.
-fn play(
+/// Runs trials on `options.jobs` threads until one fails. Measurements are written to the JSON file after each trial.
+fn run_trials(
   bench: &Bench,
   checkouts: &[Checkout],
   trials: Vec<Trial>,
   options: &ExperimentOptions,
 ) -> (Vec<Measurement>, Option<ExperimentError>) {
   let total = trials.len();
-  let waiting = Mutex::new(VecDeque::from(trials));
+  let queue = Mutex::new(VecDeque::from(trials));
   let next = || {
-    let mut waiting = waiting.lock().unwrap_or_else(PoisonError::into_inner);
-    waiting.pop_front()
+    let mut queue = queue.lock().unwrap_or_else(PoisonError::into_inner);
+    queue.pop_front()
   };
   let (sender, results) = mpsc::channel();
   let mut measured = Vec::new();
@@ -84,7 +83,7 @@
       let (sender, next) = (sender.clone(), &next);
       scope.spawn(move || {
         while let Some(trial) = next() {
-          if sender.send(bench.play(checkouts, &trial)).is_err() {
+          if sender.send(bench.run_trial(checkouts, &trial)).is_err() {
             return;
           }
         }
@@ -95,15 +94,12 @@
       match result {
         Ok(measurement) => measured.push(measurement),
         Err(error) => {
-          waiting
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .clear();
+          queue.lock().unwrap_or_else(PoisonError::into_inner).clear();
           failure.get_or_insert(error);
         }
       }
       show_progress(measured.len(), total);
-      if let Err(error) = options.write(&measured) {
+      if let Err(error) = options.write_json(&measured) {
         failure.get_or_insert(error);
       }
     }
--- a/emulator/src/experiment/options.rs
+++ b/emulator/src/experiment/options.rs
@@ -1,4 +1,4 @@
-//! What an experiment is asked for.
+//! Options of an experiment.
 
 use {
   super::{ExperimentError, Measurement, Trial, Variant},
@@ -10,31 +10,35 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(experiment_options))]
 pub struct ExperimentOptions {
-  /// The users' bench
+  /// The program of the users' bench
   #[bpaf(long, argument("FILE"))]
   pub bench: PathBuf,
-  /// The checkout that is measured
+  /// The checkout to measure
   #[bpaf(long, argument("FOLDER"), fallback(PathBuf::from(".")))]
   pub checkout: PathBuf,
   /// A site file; may be given several times
-  #[bpaf(long("site"), argument("FILE"), some("at least one --site is wanted"))]
+  #[bpaf(
+    long("site"),
+    argument("FILE"),
+    some("at least one --site is required")
+  )]
   pub sites: Vec<PathBuf>,
-  /// A day of the sites; may be given several times
-  #[bpaf(long("day"), argument("NAME"), some("at least one --day is wanted"))]
+  /// A simulated day: its name or file; may be given several times
+  #[bpaf(long("day"), argument("NAME"), some("at least one --day is required"))]
   pub days: Vec<String>,
-  /// Seeds of each day
+  /// Number of seeds per day
   #[bpaf(long, argument("N"), fallback(6))]
   pub seeds: u64,
   /// The first seed
   #[bpaf(long("first-seed"), argument("N"), fallback(1_000))]
   pub first_seed: u64,
-  /// Trials at a time
+  /// Number of trials to run in parallel
   #[bpaf(long, argument("N"), fallback(4))]
   pub jobs: usize,
-  /// Why, for the bench's journal
+  /// Reason for the run, recorded in the bench's journal
   #[bpaf(long, argument("TEXT"))]
   pub why: String,
-  /// A variant: NAME, or NAME:section.key=value,section.key=value; the first is what the others are compared with
+  /// A variant: NAME, or NAME:section.key=value,section.key=value; the first is the baseline
   #[bpaf(long("variant"), argument("TEXT"), many)]
   pub variant_texts: Vec<String>,
   /// File for all measurements, as JSON
@@ -46,7 +50,7 @@
 }
 
 impl ExperimentOptions {
-  /// Refuses the first option that can't be met.
+  /// Validates paths and counts. Fails with the first invalid option.
   pub(super) fn check(&self) -> Result<(), ExperimentError> {
     let mut paths = vec![("--bench", &self.bench), ("--checkout", &self.checkout)];
     paths.extend(self.sites.iter().map(|site| ("--site", site)));
@@ -65,7 +69,7 @@
     Ok(())
   }
 
-  /// The variants; the settings as they are when none is given.
+  /// Parses the variants; without any, the unchanged settings are the only one.
   pub(super) fn variants(&self) -> Result<Vec<Variant>, ExperimentError> {
     if self.variant_texts.is_empty() {
       return Ok(vec![Variant::unchanged("as it is")]);
@@ -90,7 +94,7 @@
     Ok(variants)
   }
 
-  /// All trials, those of one seed together: what stops early is still paired.
+  /// All trials, grouped by seed so that an experiment that stops early still has pairs to compare.
   pub(super) fn trials(&self, variants: &[Variant]) -> Vec<Trial> {
     let mut trials = Vec::new();
     for seed in self.first_seed..self.first_seed + self.seeds {
@@ -114,8 +118,8 @@
     trials
   }
 
-  /// Writes what was measured so far, if a file is wanted.
-  pub(super) fn write(&self, measured: &[Measurement]) -> Result<(), ExperimentError> {
+  /// Writes the measurements so far to the file of `--json`, if given.
+  pub(super) fn write_json(&self, measured: &[Measurement]) -> Result<(), ExperimentError> {
     let Some(path) = &self.json else {
       return Ok(());
     };
--- a/emulator/src/experiment/summary.rs
+++ b/emulator/src/experiment/summary.rs
@@ -1,4 +1,4 @@
-//! What an experiment came to: means and paired differences with their spread.
+//! Results of an experiment: means, and paired differences with their standard error.
 
 use {
   super::Measurement,
@@ -8,28 +8,28 @@
   },
 };
 
-/// One variant on one site.
+/// Results of one variant on one site.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Summary {
-  /// The site.
+  /// Name of the site file.
   pub site: String,
-  /// The variant.
+  /// Name of the variant.
   pub variant: String,
-  /// Trials that were measured.
+  /// Number of completed trials.
   pub trials: usize,
-  /// Their mean worth.
+  /// Mean worth.
   pub worth: f64,
-  /// Their mean prices.
+  /// Mean prices, in worth.
   pub prices: f64,
-  /// Mean difference to the first variant over the seeds, each over its days.
+  /// Mean over the seeds of the difference in worth to the baseline, averaged over the days of each seed.
   pub difference: f64,
-  /// Standard error of that mean; 0 with a single seed.
+  /// Standard error of `difference`; 0 with a single seed.
   pub standard_error: f64,
-  /// Trials with a broken rule.
-  pub broken: usize,
+  /// Number of trials that violated a rule.
+  pub violations: usize,
 }
 
-/// Summarises each variant on each site, paired with the variant `base` by day and seed.
+/// Summarises each variant on each site, paired by day and seed with the variant `base`, the baseline.
 ///
 /// ```
 /// use emulator::experiment::{Measurement, summarise};
@@ -67,9 +67,9 @@
 }
 
 fn summary(site: &str, variant: &str, own: &[&Measurement], base: &[&Measurement]) -> Summary {
-  let differences = by_seed(own, base);
+  let differences = seed_differences(own, base);
   Summary {
-    broken: own.iter().filter(|one| one.rules_broken > 0).count(),
+    violations: own.iter().filter(|one| one.rules_broken > 0).count(),
     difference: mean(&differences),
     prices: mean(&own.iter().map(|one| one.prices).collect::<Vec<_>>()),
     site: site.into(),
@@ -80,8 +80,8 @@
   }
 }
 
-/// The mean difference of each seed over the days that both have.
-fn by_seed(own: &[&Measurement], base: &[&Measurement]) -> Vec<f64> {
+/// For each seed, the mean difference over the days that both variants completed.
+fn seed_differences(own: &[&Measurement], base: &[&Measurement]) -> Vec<f64> {
   let mut seeds: BTreeMap<u64, Vec<f64>> = BTreeMap::new();
   for one in own {
     let pair = base
@@ -113,14 +113,13 @@
   (squares / (values.len() - 1) as f64 / values.len() as f64).sqrt()
 }
 
-/// The table that is printed, in Markdown.
-pub(super) fn table(summaries: &[Summary]) -> String {
+pub(super) fn markdown_table(summaries: &[Summary]) -> String {
   let mut text = String::from(
     "| site | variant | trials | worth | prices | difference | standard error | rules broken |\n\
      | --- | --- | ---: | ---: | ---: | ---: | ---: | ---: |\n",
   );
   for one in summaries {
-    // Writing to a string does not fail.
+    // Writing to a string can't fail.
     let _ = writeln!(
       text,
       "| {} | {} | {} | {:.3} | {:.3} | {:+.4} | {:.4} | {} |",
@@ -131,7 +130,7 @@
       one.prices,
       one.difference,
       one.standard_error,
-      one.broken
+      one.violations
     );
   }
   text
--- a/emulator/src/experiment/trial.rs
+++ b/emulator/src/experiment/trial.rs
@@ -1,4 +1,4 @@
-//! One day, played once for one variant.
+//! Trials: one run of the bench for a variant, site, simulated day and seed.
 
 use {
   super::{ExperimentError, bench_report::BenchReport, checkout::Checkout},
@@ -10,26 +10,26 @@
   },
 };
 
-/// Lines of the bench's output that an error shows.
-const SHOWN_LINES: usize = 6;
+/// Number of lines of the bench's output that an error includes.
+const ERROR_OUTPUT_LINES: usize = 6;
 
-/// What is to be played.
+/// One run of the bench.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Trial {
-  /// The variant's name.
+  /// Name of the variant.
   pub variant: String,
-  /// Which copy of the checkout is the variant's.
+  /// Index of the variant's copy of the checkout.
   pub checkout: usize,
-  /// The site file.
+  /// Path of the site file.
   pub site: PathBuf,
-  /// The day's name, or its file.
+  /// Name of the day, or path of its file.
   pub day: String,
-  /// The day's seed.
+  /// Seed of the day.
   pub seed: u64,
 }
 
 impl Trial {
-  /// The file of its report, in the folder of the copies. A day's file may lie anywhere.
+  /// File name of the report. Only the stems of paths are used, so that a path separator never becomes part of the name.
   ///
   /// ```
   /// use emulator::experiment::Trial;
@@ -54,43 +54,42 @@
     .into_owned()
 }
 
-/// What came of a trial.
+/// The result of a trial.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Measurement {
-  /// The variant's name.
+  /// Name of the variant.
   pub variant: String,
-  /// The site file's name.
+  /// Name of the site file, without its extension.
   pub site: String,
-  /// The day's name.
+  /// Name of the day, or path of its file.
   pub day: String,
-  /// The day's seed.
+  /// Seed of the day.
   pub seed: u64,
-  /// The day's worth, prices taken off.
+  /// Worth of the day, after deduction of prices.
   pub worth: f64,
-  /// The part of what was owed that was earned.
+  /// Fraction of the attainable worth that was earned.
   pub earned_share: f64,
-  /// All prices together, in worth.
+  /// Sum of the deductions for prices, in worth.
   pub prices: f64,
-  /// Rules that were broken.
+  /// Number of violated rules.
   pub rules_broken: usize,
 }
 
-/// The users' bench.
+/// The program of the users' bench.
 pub(super) struct Bench {
   pub(super) program: PathBuf,
-  /// Why, for its journal.
+  /// Reason for the run, recorded in the journal of the bench.
   pub(super) reason: String,
 }
 
 impl Bench {
-  /// Builds a copy.
+  /// Builds the programs of a copy.
   pub(super) fn build(&self, checkout: &Checkout) -> Result<(), ExperimentError> {
     let mut command = self.command(&checkout.path);
-    run(command.arg("build"), "the build").map(drop)
+    run_bench(command.arg("build"), "the build").map(drop)
   }
 
-  /// Plays a trial.
-  pub(super) fn play(
+  pub(super) fn run_trial(
     &self,
     checkouts: &[Checkout],
     trial: &Trial,
@@ -105,7 +104,7 @@
     let reason = format!("{} [{}]", self.reason, trial.variant);
     let site_path = fs::canonicalize(&trial.site).map_err(ExperimentError::io("site file"))?;
     let mut command = self.command(checkout);
-    // A name where there is no such file.
+    // Passed on as a name unless such a file exists.
     let day = fs::canonicalize(&trial.day).unwrap_or_else(|_| PathBuf::from(&trial.day));
     command.arg("run").arg(site_path).arg(day);
     command.args([
@@ -116,8 +115,8 @@
       "--why",
       &reason,
     ]);
-    run(command.arg("--report").arg(&report), &what)?;
-    measure(&report, trial, &site).map_err(|message| ExperimentError::Report { message, what })
+    run_bench(command.arg("--report").arg(&report), &what)?;
+    read_report(&report, trial, &site).map_err(|message| ExperimentError::Report { message, what })
   }
 
   fn command(&self, checkout: &Path) -> Command {
@@ -128,7 +127,7 @@
   }
 }
 
-fn run(command: &mut Command, what: &str) -> Result<Output, ExperimentError> {
+fn run_bench(command: &mut Command, what: &str) -> Result<Output, ExperimentError> {
   let output = command
     .output()
     .map_err(ExperimentError::io("starting the bench"))?;
@@ -139,20 +138,20 @@
   let text = String::from_utf8_lossy(&text);
   let lines: Vec<&str> = text.lines().collect();
   Err(ExperimentError::Bench {
-    output: lines[lines.len().saturating_sub(SHOWN_LINES)..].join("\n"),
+    output: lines[lines.len().saturating_sub(ERROR_OUTPUT_LINES)..].join("\n"),
     status: output.status,
     what: what.into(),
   })
 }
 
-fn measure(report: &Path, trial: &Trial, site: &str) -> Result<Measurement, String> {
+fn read_report(report: &Path, trial: &Trial, site: &str) -> Result<Measurement, String> {
   let text = fs::read_to_string(report).map_err(|error| error.to_string())?;
   let report: BenchReport = serde_json::from_str(&text).map_err(|error| error.to_string())?;
   Ok(Measurement {
     day: trial.day.clone(),
     earned_share: report.earned_share,
     prices: report.prices.iter().map(|(_, _, worth)| worth).sum(),
-    rules_broken: report.breaks.len(),
+    rules_broken: report.violations.len(),
     seed: trial.seed,
     site: site.into(),
     variant: trial.variant.clone(),
--- a/emulator/src/experiment/variant.rs
+++ b/emulator/src/experiment/variant.rs
@@ -1,8 +1,8 @@
-//! One variant of a gateway's settings.
+//! Variants of a gateway's settings.
 
 use super::ExperimentError;
 
-/// Settings that a variant changes.
+/// A new value of one setting.
 #[derive(Clone, Debug, Eq, PartialEq)]
 struct Change {
   section: String,
@@ -13,13 +13,13 @@
 /// A named set of changes to the settings.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Variant {
-  /// Its name in tables.
+  /// Name in tables and plots.
   pub name: String,
   changes: Vec<Change>,
 }
 
 impl Variant {
-  /// The settings as they are.
+  /// A variant without changes.
   pub fn unchanged(name: &str) -> Self {
     Self {
       changes: Vec::new(),
@@ -27,7 +27,7 @@
     }
   }
 
-  /// Reads `NAME` or `NAME:section.key=value,section.key=value`. Fails on anything else.
+  /// Parses `NAME` or `NAME:section.key=value,section.key=value`.
   ///
   /// ```
   /// use emulator::experiment::Variant;
@@ -59,7 +59,7 @@
     }
   }
 
-  /// Applies the changes to settings in TOML. Works on lines: a template's gaps need not be TOML.
+  /// Applies the changes to settings in TOML. Works line by line, since a template with placeholders need not parse as TOML.
   pub fn apply(&self, settings: &str) -> String {
     let mut lines: Vec<String> = settings.lines().map(str::to_string).collect();
     for change in &self.changes {
--- a/tests/experiment.rs
+++ b/tests/experiment.rs
@@ -1,4 +1,4 @@
-//! Paired experiments, against a small stand-in of the users' bench.
+//! `emulator experiment`, with a shell script in place of the users' bench.
 
 use {
   rstest::rstest,
@@ -11,8 +11,8 @@
   tempfile::TempDir,
 };
 
-/// Worth is the seed in thousandths, and 0.1 more without role orders; the day `broken` fails, and one of a file of its own breaks
-/// a rule, in the form of later benches.
+/// Reports the seed in thousandths as worth, plus 0.1 with `role_orders = false`. The day `broken` fails, and a day given as a file
+/// violates rules, in the report format of newer benches.
 const BENCH: &str = r#"#!/usr/bin/env bash
 [ "$1" = build ] && exit 0
 echo "played $3"
@@ -63,15 +63,15 @@
   }
 }
 
-const USUAL: [&str; 6] = ["--bench", "./bench", "--site", "site.toml", "--day", "calm"];
+const DEFAULT_ARGUMENTS: [&str; 6] = ["--bench", "./bench", "--site", "site.toml", "--day", "calm"];
 
-fn with_usual<'a>(arguments: &[&'a str]) -> Vec<&'a str> {
-  [&USUAL, arguments].concat()
+fn with_defaults<'a>(arguments: &[&'a str]) -> Vec<&'a str> {
+  [&DEFAULT_ARGUMENTS, arguments].concat()
 }
 
-/// A day's file lay in a folder, and its path became part of a file name; later benches name the rules that were broken in a table.
+/// Guards against a day's path ending up in the report's file name, and against counting no violations in the map of newer benches.
 #[test]
-fn day_of_a_file_is_played_and_its_broken_rules_are_counted() {
+fn day_from_a_file_runs_and_its_rule_violations_are_counted() {
   let setup = Setup::new();
   fs::create_dir(setup.path("days")).unwrap();
   fs::write(setup.path("days/shed.toml"), "").unwrap();
@@ -96,7 +96,7 @@
 #[test]
 fn variants_are_compared_by_seed() {
   let setup = Setup::new();
-  let output = setup.run(&with_usual(&[
+  let output = setup.run(&with_defaults(&[
     "--variant",
     "as it is",
     "--variant",
@@ -125,7 +125,7 @@
   assert_eq!(json.as_array().unwrap().len(), 6);
   let plot = fs::read_to_string(setup.path("plot.svg")).unwrap();
   assert!(plot.contains("<svg") && plot.contains("no orders"));
-  // The bench's entries of all variants are kept, and the checkout's own settings are as they were.
+  // The journal entries of all variants are copied back, and the settings of the original checkout are unchanged.
   for entry in ["0-500.json", "100-502.json"] {
     assert!(
       setup.path("checkout/journal").join(entry).exists(),
@@ -137,12 +137,12 @@
 }
 
 #[test]
-fn what_was_measured_before_a_failure_is_kept() {
+fn measurements_before_a_failure_are_kept() {
   let setup = Setup::new();
   let arguments = [
     "--day", "broken", "--jobs", "1", "--seeds", "1", "--json", "all.json",
   ];
-  let output = setup.run(&with_usual(&arguments));
+  let output = setup.run(&with_defaults(&arguments));
   let errors = String::from_utf8_lossy(&output.stderr);
   assert!(!output.status.success());
   assert!(
@@ -164,11 +164,11 @@
 #[rstest]
 #[case(&["--bench", "nowhere", "--site", "site.toml", "--day", "calm"], "--bench: nowhere does not exist")]
 #[case(&["--bench", "./bench", "--site", "other.toml", "--day", "calm"], "--site: other.toml does not exist")]
-#[case(&["--bench", "./bench", "--site", "site.toml"], "at least one --day is wanted")]
-#[case(&with_usual(&["--seeds", "0"]), "--seeds: must be 1 or more")]
-#[case(&with_usual(&["--variant", "x:no_section=1"]), "is not NAME or NAME:section.key=value")]
-#[case(&with_usual(&["--variant", "x", "--variant", "x"]), "x is given twice")]
-fn option_that_cannot_be_met(#[case] arguments: &[&str], #[case] message: &str) {
+#[case(&["--bench", "./bench", "--site", "site.toml"], "at least one --day is required")]
+#[case(&with_defaults(&["--seeds", "0"]), "--seeds: must be 1 or more")]
+#[case(&with_defaults(&["--variant", "x:no_section=1"]), "is not NAME or NAME:section.key=value")]
+#[case(&with_defaults(&["--variant", "x", "--variant", "x"]), "x is given twice")]
+fn invalid_option_is_rejected(#[case] arguments: &[&str], #[case] message: &str) {
   let output = Setup::new().run(arguments);
   let errors = String::from_utf8_lossy(&output.stderr);
   assert!(!output.status.success());
