--- a/emulator/src/engine/faults.rs
+++ b/emulator/src/engine/faults.rs
@@ -33,8 +33,7 @@
   /// Prefills fail with status 500 after the work is done.
   pub fail_after: bool,
   /// Number of further cancels that take effect but never receive a response.
-  #[serde(rename = "lose_cancel_answers")]
-  pub drop_cancel_responses: u32,
+  pub lose_cancel_answers: u32,
   /// Load polls fail with status 503.
   #[serde(rename = "silent_load")]
   pub reject_load_polls: bool,
@@ -43,6 +42,5 @@
   /// Load reports signal that the engine is leaving; calls are still served.
   pub leaving: bool,
   /// Hold extensions fail with status 503.
-  #[serde(rename = "deaf_to_holds")]
-  pub reject_hold_extensions: bool,
+  pub deaf_to_holds: bool,
 }
--- a/emulator/src/engine/routes.rs
+++ b/emulator/src/engine/routes.rs
@@ -394,8 +394,8 @@
 ) -> Response {
   let drops_response = {
     let mut inner = engine.inner();
-    let drops_response = inner.faults.drop_cancel_responses > 0;
-    inner.faults.drop_cancel_responses = inner.faults.drop_cancel_responses.saturating_sub(1);
+    let drops_response = inner.faults.lose_cancel_answers > 0;
+    inner.faults.lose_cancel_answers = inner.faults.lose_cancel_answers.saturating_sub(1);
     drops_response
   };
   let answer = {
@@ -421,7 +421,7 @@
 }
 
 async fn holds(State(engine): State<EngineStandIn>, Json(request): Json<HoldsRequest>) -> Response {
-  if engine.inner().faults.reject_hold_extensions {
+  if engine.inner().faults.deaf_to_holds {
     return StatusCode::SERVICE_UNAVAILABLE.into_response();
   }
   let until = Instant::now() + Duration::from_millis(request.hold_ms);
@@ -474,7 +474,7 @@
     return reject(StatusCode::CONFLICT, CommandRejection::OldFence);
   }
   inner.fence = inner.fence.max(request.fence);
-  inner.tally.applied_roles.push(request.fence);
+  inner.tally.role_orders.push(request.fence);
   inner.role = request.role;
   inner.last_report = None;
   Json(serde_json::json!({})).into_response()
--- a/emulator/src/engine/state.rs
+++ b/emulator/src/engine/state.rs
@@ -76,8 +76,7 @@
   /// Cancels of an attempt that was held.
   pub cancels: u64,
   /// Fences of the role changes that were applied.
-  #[serde(rename = "role_orders")]
-  pub applied_roles: Vec<u64>,
+  pub role_orders: Vec<u64>,
   /// Role changes rejected because of a stale fence.
   #[serde(rename = "old_fences")]
   pub stale_fences: u64,
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -47,7 +47,7 @@
     .await;
   let (role, faults) = stall_faults(stage);
   let faults = EngineFaults {
-    drop_cancel_responses: lost,
+    lose_cancel_answers: lost,
     ..faults
   };
   test.set_faults(role, faults);
@@ -148,7 +148,7 @@
     .find(|name| !test.engine(name).held().is_empty())
     .unwrap();
   test.engine(decoding).set_faults(EngineFaults {
-    reject_hold_extensions: true,
+    deaf_to_holds: true,
     ..EngineFaults::default()
   });
   let freed = eventually(Duration::from_secs(60), async || {
--- a/tests/roles.rs
+++ b/tests/roles.rs
@@ -96,7 +96,7 @@
   test.deployment.boxes[first].signal(libc::SIGCONT);
   test.wait_status(first, |status| !status.steward).await;
   for engine in test.deployment.engines() {
-    let commands = engine.tally().applied_roles;
+    let commands = engine.tally().role_orders;
     assert!(
       commands.is_sorted(),
       "a stale command was obeyed: {commands:?}"
@@ -121,6 +121,6 @@
   let commands = test
     .deployment
     .engines()
-    .map(|engine| engine.tally().applied_roles.len());
+    .map(|engine| engine.tally().role_orders.len());
   assert_eq!(commands.sum::<usize>(), 0);
 }
--- a/tests/two_at_once.rs
+++ b/tests/two_at_once.rs
@@ -86,8 +86,8 @@
   let stream = test.open("north-1", &Ask::new(PROMPT, 800)).await;
   for name in ["north-decode-1", "north-decode-2"] {
     test.engine(name).set_faults(EngineFaults {
-      reject_hold_extensions: true,
-      drop_cancel_responses: 1,
+      deaf_to_holds: true,
+      lose_cancel_answers: 1,
       ..EngineFaults::default()
     });
   }
