--- a/emulator/src/log_summary.rs
+++ b/emulator/src/log_summary.rs
@@ -1,5 +1,5 @@
-//! Where the streams of a gateway's log lose their time: for each stretch of seconds, how many began, what they waited
-//! for, how many were refused, and how many broke.
+//! Summary of a gateway's log by interval: how many streams started, what they waited for, how many were rejected, and how
+//! many broke.
 
 use std::{
   collections::BTreeMap,
@@ -7,21 +7,21 @@
   io::{self, BufRead},
 };
 
-/// Sums of one stretch of time.
+/// Counters and sums of one interval.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-struct Stretch {
+struct Interval {
   streaming: u64,
-  seat_ms: u64,
-  prompt_ms: u64,
-  head_ms: u64,
-  no_seat: u64,
-  refused_at_once: u64,
-  broke: u64,
-  kept: u64,
+  slot_wait_ms: u64,
+  prefill_ms: u64,
+  headers_ms: u64,
+  slot_timeouts: u64,
+  rejected_at_once: u64,
+  broken: u64,
+  prompt_cached: u64,
 }
 
-/// Reads a log of one or more boxes and answers with a table in Markdown. A line may begin with words of whoever
-/// collected it; `seconds` is the length of a stretch.
+/// Reads the log of one or more boxes and returns a table in Markdown. Lines may carry a prefix of the log collector; `seconds` is
+/// the length of an interval.
 ///
 /// ```
 /// use emulator::log_summary::log_summary;
@@ -31,20 +31,20 @@
 /// assert!(table.ends_with("| 0 | 1 | 4 | 90 | 8 | 1 | 0 | 0 | 0 |\n"), "{table}");
 /// ```
 pub fn log_summary(log: impl BufRead, seconds: u64) -> io::Result<String> {
-  let mut stretches: BTreeMap<u64, Stretch> = BTreeMap::new();
+  let mut intervals: BTreeMap<u64, Interval> = BTreeMap::new();
   for line in log.lines() {
     let line = line?;
     let Some((time_ms, event, text)) = parse(&line) else {
       continue;
     };
     let length_ms = seconds.max(1) * 1_000;
-    let stretch = stretches.entry(time_ms / length_ms).or_default();
-    stretch.note(event, text);
+    let interval = intervals.entry(time_ms / length_ms).or_default();
+    interval.record(event, text);
   }
-  Ok(table(&stretches, seconds.max(1)))
+  Ok(markdown_table(&intervals, seconds.max(1)))
 }
 
-/// The time, the event's name and its text, if a line is one of a box.
+/// Parses a log line of a box into time, event and text. `None` for other lines.
 fn parse(line: &str) -> Option<(u64, &str, &str)> {
   let (before, rest) = line.split_once(" INFO ")?;
   let time_ms = before.rsplit(' ').next()?.parse().ok()?;
@@ -52,19 +52,19 @@
   Some((time_ms, event, text))
 }
 
-impl Stretch {
-  fn note(&mut self, event: &str, text: &str) {
+impl Interval {
+  fn record(&mut self, event: &str, text: &str) {
     match event {
       "E510" => {
         self.streaming += 1;
-        self.seat_ms += number_after(text, "seat ");
-        self.prompt_ms += number_after(text, "prompt ");
-        self.head_ms += number_after(text, "head ");
+        self.slot_wait_ms += number_after(text, "seat ");
+        self.prefill_ms += number_after(text, "prompt ");
+        self.headers_ms += number_after(text, "head ");
       }
-      "E504" => self.no_seat += 1,
-      "E506" => self.broke += 1,
-      "E521" => self.kept += 1,
-      "E524" => self.refused_at_once += 1,
+      "E504" => self.slot_timeouts += 1,
+      "E506" => self.broken += 1,
+      "E521" => self.prompt_cached += 1,
+      "E524" => self.rejected_at_once += 1,
       _ => {}
     }
   }
@@ -74,7 +74,7 @@
   }
 }
 
-/// The number that stands behind a word; 0 when there is none.
+/// The number that follows `word`; 0 if there is none.
 fn number_after(text: &str, word: &str) -> u64 {
   let found = text
     .split_once(word)
@@ -82,26 +82,26 @@
   found.and_then(|number| number.parse().ok()).unwrap_or(0)
 }
 
-fn table(stretches: &BTreeMap<u64, Stretch>, seconds: u64) -> String {
+fn markdown_table(intervals: &BTreeMap<u64, Interval>, seconds: u64) -> String {
   let mut text = String::from(
     "| from s | streaming | seat ms | prompt ms | head ms | no seat | refused at once | broke | prompt kept |\n\
      | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |\n",
   );
-  let first = stretches.keys().next().copied().unwrap_or(0);
-  for (number, one) in stretches {
-    // Writing to a string does not fail.
+  let first = intervals.keys().next().copied().unwrap_or(0);
+  for (number, one) in intervals {
+    // Writing to a string can't fail.
     let _ = writeln!(
       text,
       "| {} | {} | {} | {} | {} | {} | {} | {} | {} |",
       (number - first) * seconds,
       one.streaming,
-      one.mean(one.seat_ms),
-      one.mean(one.prompt_ms),
-      one.mean(one.head_ms),
-      one.no_seat,
-      one.refused_at_once,
-      one.broke,
-      one.kept
+      one.mean(one.slot_wait_ms),
+      one.mean(one.prefill_ms),
+      one.mean(one.headers_ms),
+      one.slot_timeouts,
+      one.rejected_at_once,
+      one.broken,
+      one.prompt_cached
     );
   }
   text
