--- a/emulator/src/caller.rs
+++ b/emulator/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends requests to a box and says what it was told.
+//! A caller: sends requests to a box and returns the outcome that the box reported.
 
 use {
   bytes::Bytes,
@@ -10,55 +10,54 @@
   std::time::{Duration, Instant},
 };
 
-/// What a caller was told in the end.
+/// The outcome of a request as its caller sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Told {
-  /// A whole answer.
+  /// A complete response, with its text.
   Answered(String),
-  /// The work did not run.
+  /// An error that guarantees that the work did not run.
   NotRun {
-    /// The status.
+    /// HTTP status.
     status: u16,
-    /// The machine-readable reason.
+    /// Machine-readable error code.
     code: String,
-    /// The `Retry-After` header.
+    /// Value of the `Retry-After` header.
     retry_after_s: Option<u64>,
   },
-  /// The work may have run.
+  /// An error that leaves open whether the work ran.
   Unknown {
-    /// The status; 200 when the answer had begun.
+    /// HTTP status; 200 when the response had started.
     status: u16,
-    /// The machine-readable reason.
+    /// Machine-readable error code.
     code: String,
   },
-  /// The connection was refused, or broke without a word.
+  /// The connection was refused or lost, or the response carried no outcome.
   Lost(String),
 }
 
 impl Told {
-  /// Whether it is a whole answer.
   pub fn is_answered(&self) -> bool {
     matches!(self, Self::Answered(_))
   }
 }
 
-/// A completion to ask for.
+/// A completion request.
 #[derive(Clone, Debug)]
 pub struct Ask {
-  /// The model.
+  /// Model name.
   pub model: String,
-  /// The prompt.
+  /// Prompt.
   pub prompt: String,
-  /// Tokens wanted.
+  /// Maximum number of tokens.
   pub max_tokens: u64,
-  /// Whether the answer is streamed.
+  /// Whether the response is streamed.
   pub stream: bool,
-  /// Further headers.
+  /// Additional headers.
   pub headers: Vec<(String, String)>,
 }
 
 impl Ask {
-  /// A streamed completion.
+  /// A request for a streamed completion from the model `lecture`.
   pub fn new(prompt: impl Into<String>, max_tokens: u64) -> Self {
     Self {
       headers: Vec::new(),
@@ -69,28 +68,28 @@
     }
   }
 
-  /// The same with a header.
+  /// Adds a header.
   pub fn header(mut self, name: &str, value: &str) -> Self {
     self.headers.push((name.into(), value.into()));
     self
   }
 
-  /// The same, answered whole.
+  /// Requests a single response instead of a stream.
   pub fn whole(mut self) -> Self {
     self.stream = false;
     self
   }
 }
 
-/// A streamed answer in progress.
+/// A response in progress.
 pub struct Stream {
   body: Incoming,
   buffer: Vec<u8>,
   text: String,
-  ended: Option<Told>,
+  outcome: Option<Told>,
 }
 
-/// A caller with a bearer key.
+/// A caller that authenticates with a bearer key.
 #[derive(Clone)]
 pub struct Caller {
   http: HttpClient,
@@ -98,7 +97,6 @@
 }
 
 impl Caller {
-  /// A caller with that key.
   pub fn new(key: &str) -> Self {
     Self {
       http: HttpClient::default(),
@@ -123,7 +121,7 @@
     request.body(Full::new(body))
   }
 
-  /// Asks for a completion and reads it to its end.
+  /// Requests a completion and reads the response to its end.
   pub async fn complete(&self, base: &str, ask: &Ask) -> Told {
     match self.open(base, ask).await {
       Ok(mut stream) => loop {
@@ -135,7 +133,7 @@
     }
   }
 
-  /// Asks for a completion; answers once the first byte or the refusal has come.
+  /// Requests a completion. Returns when the response headers (without streaming: the full response) or an error have arrived.
   pub async fn open(&self, base: &str, ask: &Ask) -> Result<Stream, Told> {
     let body = json!({
       "max_tokens": ask.max_tokens,
@@ -147,23 +145,23 @@
     let request = self
       .request(Method::POST, &uri, &ask.headers, body.to_string().into())
       .map_err(|error| Told::Lost(error.to_string()))?;
-    let response = self.http.send(request).await.map_err(lost)?;
+    let response = self.http.send(request).await.map_err(connection_error)?;
     if response.status() != StatusCode::OK {
-      return Err(told(response).await);
+      return Err(error_outcome(response).await);
     }
     let mut stream = Stream {
       body: response.into_body(),
       buffer: Vec::new(),
-      ended: None,
+      outcome: None,
       text: String::new(),
     };
     if !ask.stream {
-      stream.read_whole().await;
+      stream.read_full_response().await;
     }
     Ok(stream)
   }
 
-  /// Calls a plain service and reads the answer.
+  /// Calls a plain service and reads the response.
   pub async fn call(
     &self,
     base: &str,
@@ -184,14 +182,14 @@
           Err(error) => Told::Lost(error.to_string()),
         }
       }
-      Ok(response) => told(response).await,
-      Err(error) => lost(error),
+      Ok(response) => error_outcome(response).await,
+      Err(error) => connection_error(error),
     }
   }
 
-  /// Sends any request; answers with status and body.
+  /// Sends a request as it is. Returns status and body.
   pub async fn raw(&self, request: Request<Full<Bytes>>) -> Result<(StatusCode, String), Told> {
-    let response = self.http.send(request).await.map_err(lost)?;
+    let response = self.http.send(request).await.map_err(connection_error)?;
     let status = response.status();
     let body = response
       .into_body()
@@ -204,22 +202,22 @@
     ))
   }
 
-  /// Whether a box says that it is ready.
+  /// Whether the health check of a box succeeds within 1 s.
   pub async fn is_ready(&self, base: &str) -> bool {
     let Ok(request) = self.request(Method::GET, &format!("{base}/health"), &[], Bytes::new())
     else {
       return false;
     };
-    let answered = tokio::time::timeout(Duration::from_secs(1), self.http.send(request)).await;
-    matches!(answered, Ok(Ok(response)) if response.status() == StatusCode::OK)
+    let response = tokio::time::timeout(Duration::from_secs(1), self.http.send(request)).await;
+    matches!(response, Ok(Ok(response)) if response.status() == StatusCode::OK)
   }
 }
 
-fn lost(error: CallError) -> Told {
+fn connection_error(error: CallError) -> Told {
   Told::Lost(error.to_string())
 }
 
-async fn told(response: http::Response<Incoming>) -> Told {
+async fn error_outcome(response: http::Response<Incoming>) -> Told {
   let status = response.status().as_u16();
   let retry_after_s = response
     .headers()
@@ -231,10 +229,10 @@
     Err(error) => return Told::Lost(error.to_string()),
   };
   let body = serde_json::from_slice::<Value>(&body).unwrap_or_default();
-  outcome(status, &body, retry_after_s)
+  parse_outcome(status, &body, retry_after_s)
 }
 
-fn outcome(status: u16, body: &Value, retry_after_s: Option<u64>) -> Told {
+fn parse_outcome(status: u16, body: &Value, retry_after_s: Option<u64>) -> Told {
   let code = body["error"]["code"]
     .as_str()
     .unwrap_or_default()
@@ -251,30 +249,30 @@
 }
 
 impl Stream {
-  async fn read_whole(&mut self) {
+  async fn read_full_response(&mut self) {
     let mut bytes = Vec::new();
     while let Some(frame) = self.body.frame().await {
       match frame {
         Ok(frame) => bytes.extend_from_slice(&frame.into_data().unwrap_or_default()),
         Err(error) => {
-          self.ended = Some(Told::Lost(error.to_string()));
+          self.outcome = Some(Told::Lost(error.to_string()));
           return;
         }
       }
     }
     let body = serde_json::from_slice::<Value>(&bytes).unwrap_or_default();
     let text = body["choices"][0]["text"].as_str().unwrap_or_default();
-    self.ended = Some(Told::Answered(text.into()));
+    self.outcome = Some(Told::Answered(text.into()));
   }
 
-  /// The text so far.
+  /// The text received so far.
   pub fn text(&self) -> &str {
     &self.text
   }
 
-  /// Reads on; answers with what was told once the end has come.
+  /// Reads the next frame. Returns the outcome once the response has ended.
   pub async fn next(&mut self) -> Option<Told> {
-    if let Some(told) = &self.ended {
+    if let Some(told) = &self.outcome {
       return Some(told.clone());
     }
     match self.body.frame().await {
@@ -282,15 +280,15 @@
         self
           .buffer
           .extend_from_slice(&frame.into_data().unwrap_or_default());
-        self.ended = self.take_events();
+        self.outcome = self.parse_events();
       }
-      Some(Err(error)) => self.ended = Some(Told::Lost(error.to_string())),
-      None => self.ended = Some(Told::Lost("ended without a final event".into())),
+      Some(Err(error)) => self.outcome = Some(Told::Lost(error.to_string())),
+      None => self.outcome = Some(Told::Lost("ended without a final event".into())),
     }
-    self.ended.clone()
+    self.outcome.clone()
   }
 
-  fn take_events(&mut self) -> Option<Told> {
+  fn parse_events(&mut self) -> Option<Told> {
     while let Some(end) = self.buffer.windows(2).position(|pair| pair == b"\n\n") {
       let event = self.buffer.drain(..end + 2).collect::<Vec<_>>();
       let event = String::from_utf8_lossy(&event).to_string();
@@ -303,7 +301,7 @@
       }
       let body = serde_json::from_str::<Value>(data).unwrap_or_default();
       if is_error {
-        return Some(outcome(200, &body, None));
+        return Some(parse_outcome(200, &body, None));
       }
       let text = body["choices"][0]["text"].as_str().unwrap_or_default();
       self.text.push_str(text);
@@ -312,10 +310,10 @@
   }
 }
 
-/// Waits until a condition holds; false when it did not within the bound.
-pub async fn eventually(bound: Duration, mut holds: impl AsyncFnMut() -> bool) -> bool {
-  let until = Instant::now() + bound;
-  while Instant::now() < until {
+/// Polls a condition until it holds. Returns false if it does not within `timeout`.
+pub async fn eventually(timeout: Duration, mut holds: impl AsyncFnMut() -> bool) -> bool {
+  let deadline = Instant::now() + timeout;
+  while Instant::now() < deadline {
     if holds().await {
       return true;
     }
--- a/emulator/src/demo.rs
+++ b/emulator/src/demo.rs
@@ -1,10 +1,10 @@
-//! The demo: everything as processes of its own, used, broken, and looked at.
+//! The demo: starts stand-ins and boxes as processes, sends requests, kills a box and prints the timeline.
 
 use {
   crate::{
     ADMIN_KEY, Ask, Authority, BoxProcess, CALLER_KEY, Caller, HallPlan, ORGANISATION, Plan,
     ShownList, Told, answer_text,
-    deployment::{PlatformUrls, place_box},
+    deployment::{PlatformUrls, prepare_box},
     eventually, own_addresses,
   },
   http::{Method, Request},
@@ -21,23 +21,23 @@
 };
 
 const HALLS: [&str; 2] = ["north", "south"];
-const LIMIT: Duration = Duration::from_secs(20);
-const TOKENS: u64 = 40;
+const TIMEOUT: Duration = Duration::from_secs(20);
+const COMPLETION_TOKENS: u64 = 40;
 
-/// A stand-in as a process of its own.
-struct StandIn {
+/// A stand-in that runs as a child process.
+struct StandInProcess {
   child: Child,
   url: String,
 }
 
-impl Drop for StandIn {
+impl Drop for StandInProcess {
   fn drop(&mut self) {
     let _ = self.child.kill();
     let _ = self.child.wait();
   }
 }
 
-fn stand_in(arguments: &[&str]) -> io::Result<StandIn> {
+fn start_stand_in(arguments: &[&str]) -> io::Result<StandInProcess> {
   let [address] = own_addresses();
   let child = Command::new(env::current_exe()?)
     .args(arguments)
@@ -46,24 +46,24 @@
     .stdin(Stdio::null())
     .stdout(Stdio::null())
     .spawn()?;
-  Ok(StandIn {
+  Ok(StandInProcess {
     child,
     url: format!("http://{address}"),
   })
 }
 
-/// Everything that the demo has brought up.
-struct Stage {
+/// The processes of the demo.
+struct DemoDeployment {
   program: PathBuf,
-  key_value: StandIn,
-  box_list: StandIn,
-  endpoints: Vec<StandIn>,
+  key_value: StandInProcess,
+  box_list: StandInProcess,
+  endpoints: Vec<StandInProcess>,
   boxes: Vec<(String, BoxProcess)>,
   _folder: TempDir,
 }
 
-/// The program given, or the one beside this.
-pub(crate) fn beside(program: Option<PathBuf>) -> io::Result<PathBuf> {
+/// The given program, or by default `rillford` in the folder of this one. Fails if it does not exist.
+pub(crate) fn find_program(program: Option<PathBuf>) -> io::Result<PathBuf> {
   let program = match program {
     Some(program) => program,
     None => env::current_exe()?.with_file_name("rillford"),
@@ -72,50 +72,49 @@
     return Ok(program);
   }
   let message = format!(
-    "{} is not there: run `cargo build --workspace` first",
+    "{} does not exist: run `cargo build --workspace` first",
     program.display()
   );
   Err(io::Error::other(message))
 }
 
-/// Runs the demo.
 pub(crate) fn run(program: Option<PathBuf>) -> io::Result<()> {
-  let program = beside(program)?;
+  let program = find_program(program)?;
   tokio::runtime::Builder::new_current_thread()
     .enable_all()
     .build()?
-    .block_on(async { show(&program).await })
+    .block_on(async { run_demo(&program).await })
 }
 
-async fn show(program: &Path) -> io::Result<()> {
-  let mut stage = set_up(program)?;
-  configure(&stage).await?;
-  for (_, process) in &mut stage.boxes {
+async fn run_demo(program: &Path) -> io::Result<()> {
+  let mut deployment = set_up(program)?;
+  configure(&deployment).await?;
+  for (_, process) in &mut deployment.boxes {
     process.start(program)?;
   }
   let caller = Caller::new(CALLER_KEY);
-  wait_until_serving(&stage, &caller).await?;
+  wait_until_serving(&deployment, &caller).await?;
   println!(
     "== {} stand-ins and {} boxes over {} halls are up",
-    stage.endpoints.len() + 2,
-    stage.boxes.len(),
+    deployment.endpoints.len() + 2,
+    deployment.boxes.len(),
     HALLS.len()
   );
-  use_boxes(&stage, &caller).await?;
-  lose_a_box(&mut stage, &caller).await?;
-  time_line(&stage)
+  send_requests(&deployment, &caller).await?;
+  kill_a_box(&mut deployment, &caller).await?;
+  print_timeline(&deployment)
 }
 
-fn set_up(program: &Path) -> io::Result<Stage> {
+fn set_up(program: &Path) -> io::Result<DemoDeployment> {
   let folder = tempfile::tempdir()?;
-  let key_value = stand_in(&["key-value"])?;
-  let box_list = stand_in(&["box-list"])?;
+  let key_value = start_stand_in(&["key-value"])?;
+  let box_list = start_stand_in(&["box-list"])?;
   let mut endpoints = Vec::new();
   let mut sections = String::new();
   for hall in HALLS {
-    let prefill = stand_in(&["engine", "--prefill"])?;
-    let decode = stand_in(&["engine"])?;
-    let service = stand_in(&["service"])?;
+    let prefill = start_stand_in(&["engine", "--prefill"])?;
+    let decode = start_stand_in(&["engine"])?;
+    let service = start_stand_in(&["service"])?;
     sections.push_str(&engine_section(hall, "prefill", &prefill.url));
     sections.push_str(&engine_section(hall, "decode", &decode.url));
     sections.push_str(&service_section(hall, &service.url));
@@ -135,10 +134,10 @@
     ("south-1", "south"),
   ] {
     authority.issue(folder.path(), name)?;
-    let process = place_box(&folder, &plan, hall, name, &urls, &sections)?;
+    let process = prepare_box(&folder, &plan, hall, name, &urls, &sections)?;
     boxes.push((name.to_string(), process));
   }
-  Ok(Stage {
+  Ok(DemoDeployment {
     _folder: folder,
     box_list,
     boxes,
@@ -163,14 +162,14 @@
   )
 }
 
-/// Writes the first configuration and the box list, as the platform's operators would.
-async fn configure(stage: &Stage) -> io::Result<()> {
+/// Writes the initial configuration and the box list.
+async fn configure(deployment: &DemoDeployment) -> io::Result<()> {
   let service = KeyValueClient::new(
-    &stage.key_value.url,
+    &deployment.key_value.url,
     Duration::from_secs(1),
     Arc::new(|| {}),
   );
-  let up = eventually(LIMIT, async || service.get("x").await.is_ok()).await;
+  let up = eventually(TIMEOUT, async || service.get("x").await.is_ok()).await;
   if !up {
     return Err(io::Error::other("the key-value stand-in did not start"));
   }
@@ -186,7 +185,7 @@
       .await
       .map_err(io::Error::other)?;
   }
-  let boxes = stage
+  let boxes = deployment
     .boxes
     .iter()
     .map(|(name, process)| BoxEntry {
@@ -197,7 +196,7 @@
     })
     .collect();
   let list = serde_json::to_vec(&ShownList { boxes })?;
-  let request = Request::put(format!("{}/boxes", stage.box_list.url))
+  let request = Request::put(format!("{}/boxes", deployment.box_list.url))
     .header("content-type", "application/json")
     .body(Full::new(list.into()))
     .map_err(io::Error::other)?;
@@ -206,13 +205,13 @@
     .raw(request)
     .await
     .map(|_| ())
-    .map_err(|told| io::Error::other(format!("the box list: {told:?}")))
+    .map_err(|told| io::Error::other(format!("box list: {told:?}")))
 }
 
-async fn wait_until_serving(stage: &Stage, caller: &Caller) -> io::Result<()> {
-  for (name, process) in &stage.boxes {
+async fn wait_until_serving(deployment: &DemoDeployment, caller: &Caller) -> io::Result<()> {
+  for (name, process) in &deployment.boxes {
     let probe = Ask::new("are you there?", 1);
-    let serving = eventually(LIMIT, async || {
+    let serving = eventually(TIMEOUT, async || {
       caller.complete(&process.url(), &probe).await.is_answered()
     })
     .await;
@@ -224,24 +223,24 @@
   Ok(())
 }
 
-fn check(what: &str, told: &Told, wanted: &str) -> io::Result<()> {
+fn check(what: &str, told: &Told, expected: &str) -> io::Result<()> {
   match told {
-    Told::Answered(text) if text.contains(wanted) => {
-      println!("   {what}: answered whole, {} bytes", text.len());
+    Told::Answered(text) if text.contains(expected) => {
+      println!("   {what}: complete response, {} bytes", text.len());
       Ok(())
     }
     other => Err(io::Error::other(format!("{what}: {other:?}"))),
   }
 }
 
-async fn use_boxes(stage: &Stage, caller: &Caller) -> io::Result<()> {
+async fn send_requests(deployment: &DemoDeployment, caller: &Caller) -> io::Result<()> {
   println!("== a streamed completion (prefill, transfer, decode) and a portal lookup on each box");
-  for (name, process) in &stage.boxes {
+  for (name, process) in &deployment.boxes {
     let prompt = format!("Summarise lecture {name}. ");
     let told = caller
-      .complete(&process.url(), &Ask::new(&prompt, TOKENS))
+      .complete(&process.url(), &Ask::new(&prompt, COMPLETION_TOKENS))
       .await;
-    check(name, &told, &answer_text(&prompt, TOKENS))?;
+    check(name, &told, &answer_text(&prompt, COMPLETION_TOKENS))?;
     let told = caller
       .call(
         &process.url(),
@@ -256,25 +255,29 @@
   Ok(())
 }
 
-async fn lose_a_box(stage: &mut Stage, caller: &Caller) -> io::Result<()> {
-  println!("== north-1 is killed while one answer streams from it and one from north-2");
+async fn kill_a_box(deployment: &mut DemoDeployment, caller: &Caller) -> io::Result<()> {
+  println!("== north-1 is killed while it and north-2 each stream a response");
   let asks = [
     Ask::new("Long lecture one. ", 200),
     Ask::new("Long lecture two. ", 200),
   ];
-  let mut lost = open(stage, caller, "north-1", &asks[0]).await?;
-  let mut kept = open(stage, caller, "north-2", &asks[1]).await?;
-  if let Some((_, process)) = stage.boxes.iter_mut().find(|(name, _)| name == "north-1") {
+  let mut interrupted = open(deployment, caller, "north-1", &asks[0]).await?;
+  let mut unaffected = open(deployment, caller, "north-2", &asks[1]).await?;
+  if let Some((_, process)) = deployment
+    .boxes
+    .iter_mut()
+    .find(|(name, _)| name == "north-1")
+  {
     process.kill();
   }
   let told = loop {
-    if let Some(told) = lost.next().await {
+    if let Some(told) = interrupted.next().await {
       break told;
     }
   };
   println!("   caller of north-1: {told:?}");
   let told = loop {
-    if let Some(told) = kept.next().await {
+    if let Some(told) = unaffected.next().await {
       break told;
     }
   };
@@ -283,13 +286,13 @@
     &told,
     &answer_text("Long lecture two. ", 200),
   )?;
-  println!("== the caller of north-1 asks again, by the balancer's next choice");
-  let (name, process) = &stage.boxes[1];
+  println!("== the caller of north-1 retries on another box");
+  let (name, process) = &deployment.boxes[1];
   let told = caller.complete(&process.url(), &asks[0]).await;
   check(name, &told, &answer_text("Long lecture one. ", 200))?;
-  println!("== the lost box's attempt is swept from the engine by its home");
-  let swept = eventually(LIMIT, async || {
-    for endpoint in &stage.endpoints {
+  println!("== the attempt of the killed box is cancelled by the engine's owner");
+  let cancelled = eventually(TIMEOUT, async || {
+    for endpoint in &deployment.endpoints {
       let uri = format!("{}/v1/attempts", endpoint.url);
       let reply = rillford::HttpClient::default()
         .get::<serde_json::Value>(&uri, Duration::from_secs(1))
@@ -304,18 +307,23 @@
     true
   })
   .await;
-  if !swept {
-    return Err(io::Error::other("engines still hold memory"));
+  if !cancelled {
+    return Err(io::Error::other("engines still hold attempts"));
   }
-  println!("   no engine holds anything");
+  println!("   no engine holds an attempt");
   Ok(())
 }
 
-async fn open(stage: &Stage, caller: &Caller, name: &str, ask: &Ask) -> io::Result<crate::Stream> {
-  let (_, process) = stage
+async fn open(
+  deployment: &DemoDeployment,
+  caller: &Caller,
+  name: &str,
+  ask: &Ask,
+) -> io::Result<crate::Stream> {
+  let (_, process) = deployment
     .boxes
     .iter()
-    .find(|(known, _)| known == name)
+    .find(|(box_name, _)| box_name == name)
     .ok_or_else(|| io::Error::other("no such box"))?;
   let mut stream = caller
     .open(&process.url(), ask)
@@ -327,11 +335,11 @@
   Ok(stream)
 }
 
-fn time_line(stage: &Stage) -> io::Result<()> {
-  println!("== the last 40 events of the merged time line (rillford timeline)");
-  let mut command = Command::new(&stage.program);
+fn print_timeline(deployment: &DemoDeployment) -> io::Result<()> {
+  println!("== the last 40 events of the merged timeline (rillford timeline)");
+  let mut command = Command::new(&deployment.program);
   command.args(["timeline", "--key", ADMIN_KEY]);
-  for (_, process) in &stage.boxes {
+  for (_, process) in &deployment.boxes {
     command.args(["--server", &process.admin_url()]);
   }
   let output = command.output()?;
@@ -340,6 +348,6 @@
   for line in &lines[lines.len().saturating_sub(40)..] {
     println!("   {line}");
   }
-  println!("== done: all ended as it should");
+  println!("== done: all checks passed");
   Ok(())
 }
--- a/emulator/src/deployment.rs
+++ b/emulator/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A whole deployment on loopback: stand-ins in this process, boxes as processes of their own.
+//! A deployment on loopback: stand-ins run in this process, boxes as child processes.
 
 use {
   crate::{
@@ -22,16 +22,16 @@
   tempfile::TempDir,
 };
 
-/// Bearer key of the organisation that deployments start with.
+/// Bearer key of `ORGANISATION`.
 pub const CALLER_KEY: &str = "caller-key";
 
 /// Administration key of all boxes.
 pub const ADMIN_KEY: &str = "admin-key";
 
-/// The organisation's name.
+/// The organisation of the initial configuration.
 pub const ORGANISATION: &str = "oslo";
 
-/// One endpoint of a plan.
+/// An endpoint to start.
 #[derive(Clone, Debug)]
 pub enum EndpointPlan {
   /// An engine for the model `lecture`.
@@ -40,31 +40,31 @@
   Service(String),
 }
 
-/// One hall of a plan.
+/// A hall to start.
 #[derive(Clone, Debug)]
 pub struct HallPlan {
-  /// Its name.
+  /// Name.
   pub name: String,
-  /// Its boxes.
+  /// Names of its boxes.
   pub boxes: Vec<String>,
-  /// Its endpoints, by name.
+  /// Endpoints with their names.
   pub endpoints: Vec<(String, EndpointPlan)>,
 }
 
-/// What to bring up.
+/// A deployment to start.
 #[derive(Clone, Debug)]
 pub struct Plan {
   /// The program `rillford`.
   pub program: PathBuf,
   /// The halls.
   pub halls: Vec<HallPlan>,
-  /// The platform's document.
+  /// The `platform` document of the initial configuration.
   pub platform_document: String,
-  /// Further lines for each box's settings, as whole sections.
+  /// Additional TOML sections for the settings of each box.
   pub more_settings: String,
-  /// Time to live of the steward lease.
+  /// Time to live of the role leader's lease.
   pub lease_ms: u64,
-  /// Whether boxes are started at once.
+  /// Whether to start the boxes with the deployment.
   pub start_boxes: bool,
 }
 
@@ -94,7 +94,7 @@
 }
 
 impl Plan {
-  /// A plan of these halls.
+  /// A plan with default settings.
   pub fn new(program: impl Into<PathBuf>, halls: Vec<HallPlan>) -> Self {
     Self {
       halls,
@@ -107,7 +107,7 @@
   }
 }
 
-/// A stand-in of an endpoint.
+/// The stand-in of an endpoint.
 pub enum Endpoint {
   /// An engine.
   Engine(EngineStandIn),
@@ -115,17 +115,17 @@
   Service(ServiceStandIn),
 }
 
-/// A running box process, or the place of one.
+/// A box, whose process may be running or not.
 pub struct BoxProcess {
-  /// Its hall.
+  /// Hall.
   pub hall: String,
-  /// Where callers reach it.
+  /// Address for callers.
   pub callers: SocketAddr,
-  /// Where operators reach it.
+  /// Address for operators.
   pub administration: SocketAddr,
-  /// Its own peer socket.
+  /// Address of its peer socket.
   pub peers: SocketAddr,
-  /// The relay before its peer socket.
+  /// Relay in front of its peer socket.
   pub relay: Relay,
   settings: PathBuf,
   log: PathBuf,
@@ -158,22 +158,22 @@
     Ok(())
   }
 
-  /// The process's id, while it runs.
+  /// Process id, if started.
   pub fn id(&self) -> Option<u32> {
     self.child.as_ref().map(Child::id)
   }
 
-  /// Its log so far.
+  /// The log so far.
   pub fn log(&self) -> String {
     fs::read_to_string(&self.log).unwrap_or_default()
   }
 
-  /// Its settings file.
+  /// Path of the settings file.
   pub fn settings(&self) -> &Path {
     &self.settings
   }
 
-  /// Sends it a signal.
+  /// Sends a signal to the process, if started.
   pub fn signal(&self, signal: i32) {
     let Some(id) = self.id().and_then(|id| i32::try_from(id).ok()) else {
       return;
@@ -182,7 +182,7 @@
     unsafe { libc::kill(id, signal) };
   }
 
-  /// Ends it at once.
+  /// Kills the process with SIGKILL.
   pub fn kill(&mut self) {
     if let Some(mut child) = self.child.take() {
       let _ = child.kill();
@@ -190,7 +190,7 @@
     }
   }
 
-  /// Whether it has ended by itself, and how.
+  /// Exit status, if the process has exited without `kill`.
   pub fn ended(&mut self) -> Option<ExitStatus> {
     self.child.as_mut()?.try_wait().ok().flatten()
   }
@@ -206,13 +206,13 @@
 pub struct Deployment {
   /// The key-value service.
   pub key_value: KeyValueStandIn,
-  /// Faults of the key-value service, by hall.
+  /// Faults of the key-value front end of each hall.
   pub doors: BTreeMap<String, DoorFaults>,
   /// The box list.
   pub box_list: BoxListStandIn,
   /// The endpoints, by name.
   pub endpoints: BTreeMap<String, Endpoint>,
-  /// The endpoints' hosts, by name; killing one is the endpoint's death.
+  /// HTTP servers of the endpoints, by name; killing one simulates a crash.
   pub hosts: BTreeMap<String, Host>,
   /// The boxes, by name.
   pub boxes: BTreeMap<String, BoxProcess>,
@@ -221,14 +221,14 @@
   folder: TempDir,
 }
 
-/// Where a box finds the platform's services.
+/// URLs of the platform's services.
 pub(crate) struct PlatformUrls {
   pub(crate) key_value: String,
   pub(crate) box_list: String,
 }
 
 impl Deployment {
-  /// Brings a plan up. Boxes are started but perhaps not ready yet.
+  /// Starts a plan. Boxes may not be ready yet on return.
   pub fn start(plan: &Plan) -> io::Result<Self> {
     let folder = tempfile::tempdir()?;
     let key_value = KeyValueStandIn::default();
@@ -264,7 +264,7 @@
       };
       for name in &hall.boxes {
         authority.issue(folder.path(), name)?;
-        let process = place_box(&folder, plan, &hall.name, name, &urls, &sections)?;
+        let process = prepare_box(&folder, plan, &hall.name, name, &urls, &sections)?;
         boxes.insert(name.clone(), process);
       }
     }
@@ -293,12 +293,12 @@
     Ok(deployment)
   }
 
-  /// The folder with settings, keys and logs.
+  /// The folder of settings, keys and logs.
   pub fn folder(&self) -> &Path {
     self.folder.path()
   }
 
-  /// Shows all boxes in the box list.
+  /// Puts all boxes into the box list.
   pub fn list_all(&self) {
     let entries = self
       .boxes
@@ -313,7 +313,7 @@
     self.box_list.set(entries);
   }
 
-  /// Starts a box's process.
+  /// Starts the process of a box.
   pub fn start_box(&mut self, name: &str) -> io::Result<()> {
     match self.boxes.get_mut(name) {
       Some(process) => process.start(&self.program),
@@ -321,10 +321,10 @@
     }
   }
 
-  /// Waits until all running boxes are ready; false when they are not in time.
-  pub async fn ready(&self, bound: Duration) -> bool {
+  /// Waits until all started boxes are ready. Returns false if they are not within `timeout`.
+  pub async fn ready(&self, timeout: Duration) -> bool {
     let caller = crate::Caller::new(CALLER_KEY);
-    crate::eventually(bound, async || {
+    crate::eventually(timeout, async || {
       for process in self.boxes.values().filter(|process| process.id().is_some()) {
         if !caller.is_ready(&process.url()).await {
           return false;
@@ -362,7 +362,7 @@
       })
   }
 
-  /// Attempts held by any engine.
+  /// Number of attempts held by all engines.
   pub fn held(&self) -> usize {
     self.engines().map(|engine| engine.held().len()).sum()
   }
@@ -370,7 +370,7 @@
   /// Cuts all links between boxes of two halls.
   pub fn cut_halls(&self, one: &str, other: &str) {
     for process in self.boxes.values() {
-      let far = if process.hall == one {
+      let remote_hall = if process.hall == one {
         other
       } else if process.hall == other {
         one
@@ -380,13 +380,13 @@
       let senders = self
         .boxes
         .values()
-        .filter(|peer| peer.hall == far)
+        .filter(|peer| peer.hall == remote_hall)
         .map(|peer| peer.peers);
       process.relay.cut(senders);
     }
   }
 
-  /// Cuts a box from all others.
+  /// Cuts all links between a box and the others.
   pub fn cut_box(&self, name: &str) {
     for (other, process) in &self.boxes {
       let senders = self
@@ -398,7 +398,7 @@
     }
   }
 
-  /// Mends all links.
+  /// Restores all links.
   pub fn mend_links(&self) {
     for process in self.boxes.values() {
       process.relay.cut([]);
@@ -433,12 +433,12 @@
       Ok((Endpoint::Engine(engine), host, section))
     }
     EndpointPlan::Service(service) => {
-      let seats = 32;
-      let stand_in = ServiceStandIn::new(seats);
+      let slots = 32;
+      let stand_in = ServiceStandIn::new(slots);
       let host = Host::start(stand_in.router())?;
       let section = format!(
         "\n[[endpoint]]\nname = \"{name}\"\nhall = \"{hall}\"\nkind = \"service\"\n\
-         service = \"{service}\"\nurl = \"{}\"\nseats = {seats}\n",
+         service = \"{service}\"\nurl = \"{}\"\nseats = {slots}\n",
         host.url(),
       );
       Ok((Endpoint::Service(stand_in), host, section))
@@ -446,8 +446,8 @@
   }
 }
 
-/// Writes a box's settings and starts the relay before it.
-pub(crate) fn place_box(
+/// Writes the settings of a box and starts its relay, but not its process.
+pub(crate) fn prepare_box(
   folder: &TempDir,
   plan: &Plan,
   hall: &str,
--- a/emulator/src/subcommand.rs
+++ b/emulator/src/subcommand.rs
@@ -47,13 +47,13 @@
     /// Address to listen on
     #[bpaf(long, argument("ADDRESS"))]
     listen: SocketAddr,
-    /// Begin in the prefill role
+    /// Start in the prefill role
     #[bpaf(long)]
     prefill: bool,
-    /// Requests it can hold
+    /// Requests it can hold at once
     #[bpaf(long, argument("N"), fallback(16))]
     seats: u32,
-    /// Time a token takes to write
+    /// Decode time of one token
     #[bpaf(long("token-ms"), argument("MS"), fallback(20))]
     token_ms: u64,
   },
@@ -64,7 +64,7 @@
     #[bpaf(long, argument("ADDRESS"))]
     listen: SocketAddr,
   },
-  /// Compare ways of deciding in virtual time and print the tables
+  /// Compare decision strategies in virtual time and print the tables
   #[bpaf(command)]
   Decisions {
     /// Seeds per variant
@@ -83,82 +83,82 @@
     #[bpaf(external(experiment_options))]
     options: ExperimentOptions,
   },
-  /// Play the sites that have landed on the users' bench, each beside its last landing
+  /// Score a list of sites with the users' bench and compare each mean with the last landing
   #[bpaf(command)]
   Regress {
     #[bpaf(external(regress_options))]
     options: RegressOptions,
   },
-  /// Work out what a router that knew everything could have earned on a day of the users' bench
+  /// Compute the most that an ideal router could have earned on a day of the users' bench
   #[bpaf(command)]
   Bound {
     #[bpaf(external(bound_options))]
     options: BoundOptions,
   },
-  /// Replay load at its worst in virtual time, with and without each decision, and print the table
+  /// Replay peak load in virtual time, with and without each mechanism, and print the table
   #[bpaf(command)]
   Load {
     #[bpaf(external(load_report))]
     report: LoadReport,
   },
-  /// Replay organisations' limits at their worst in virtual time, in each way of keeping them, and print the table
+  /// Replay load at the limits of organisations in virtual time with each enforcement strategy, and print the table
   #[bpaf(command)]
   Limits {
     #[bpaf(external(limit_report))]
     report: LimitReport,
   },
-  /// Replay requests that end engines in virtual time, in each way of holding them, and print the table
+  /// Replay requests that crash engines in virtual time with each quarantine strategy, and print the table
   #[bpaf(command)]
   Crashes {
     #[bpaf(external(crash_report))]
     report: CrashReport,
   },
-  /// Replay endpoints that say that they leave or want no work in virtual time, in each way of heeding them, and print the table
+  /// Replay endpoints that signal leaving or backoff in virtual time with each way of honouring it, and print the table
   #[bpaf(command)]
   Notices {
     #[bpaf(external(notice_report))]
     report: NoticeReport,
   },
-  /// Replay an endpoint that names a limit for all boxes in virtual time, in each way of keeping it, and print the table
+  /// Replay an endpoint that advertises a limit for all boxes in virtual time with each enforcement strategy, and print the table
   #[bpaf(command)]
   Places {
     #[bpaf(external(place_report))]
     report: PlaceReport,
   },
-  /// Read gateway boxes' logs from standard input and print where their streams lose time
+  /// Read logs of gateway boxes from standard input and print where streams lose time
   #[bpaf(command("log-summary"))]
   LogSummary {
-    /// Seconds of a row
+    /// Seconds per row
     #[bpaf(long, argument("N"), fallback(2))]
     seconds: u64,
   },
-  /// Let one thing after another fail under load and print what came of it
+  /// Inject a series of failures under load and print the outcomes
   #[bpaf(command)]
   Failures {
-    /// The program `rillford`; found beside this one if not given
+    /// The program `rillford`; by default the one in the same folder
     #[bpaf(long, argument("FILE"))]
     program: Option<PathBuf>,
   },
-  /// Measure what a box adds over a direct call; build with --release first
+  /// Measure the latency that a box adds to a direct call; build with --release first
   #[bpaf(command("path-bench"))]
   PathBench {
-    /// The program `rillford`; found beside this one if not given
+    /// The program `rillford`; by default the one in the same folder
     #[bpaf(long, argument("FILE"))]
     program: Option<PathBuf>,
   },
-  /// Measure what control costs at several sizes of the fleet; build with --release first
+  /// Measure the cost of the control loop at several fleet sizes; build with --release first
   #[bpaf(command)]
   Slopes,
-  /// Bring up stand-ins and three boxes over two halls, use them, kill a box, show the time line
+  /// Start stand-ins and three boxes in two halls, send requests, kill a box, print the timeline
   #[bpaf(command)]
   Demo {
-    /// The program `rillford`; found beside this one if not given
+    /// The program `rillford`; by default the one in the same folder
     #[bpaf(long, argument("FILE"))]
     program: Option<PathBuf>,
   },
 }
 
-/// Runs the program.
+/// Parses the command line and runs the subcommand.
 pub fn run() -> ExitCode {
   match options().run().run() {
     Ok(()) => ExitCode::SUCCESS,
@@ -169,8 +169,8 @@
   }
 }
 
-/// Serves until the process is ended.
-fn forever(host: io::Result<Host>) -> io::Result<()> {
+/// Serves until the process is terminated.
+fn serve_forever(host: io::Result<Host>) -> io::Result<()> {
   let host = host?;
   println!("listening on {}", host.url());
   loop {
@@ -183,10 +183,10 @@
     match self {
       Self::KeyValue { listen } => {
         let (router, _) = KeyValueStandIn::default().door();
-        forever(Host::start_at(listen, router))
+        serve_forever(Host::start_at(listen, router))
       }
       Self::BoxList { listen } => {
-        forever(Host::start_at(listen, BoxListStandIn::default().router()))
+        serve_forever(Host::start_at(listen, BoxListStandIn::default().router()))
       }
       Self::Engine {
         listen,
@@ -200,9 +200,11 @@
           token_ms,
           ..EngineOptions::default()
         };
-        forever(Host::start_at(listen, EngineStandIn::new(options).router()))
+        serve_forever(Host::start_at(listen, EngineStandIn::new(options).router()))
+      }
+      Self::Service { listen } => {
+        serve_forever(Host::start_at(listen, ServiceStandIn::new(32).router()))
       }
-      Self::Service { listen } => forever(Host::start_at(listen, ServiceStandIn::new(32).router())),
       Self::Decisions { seeds, plots, only } => run_report(&Report { only, plots, seeds }),
       Self::Experiment { options } => experiment::run(&options).map_err(io::Error::other),
       Self::Regress { options } => regress(&options).map_err(io::Error::other),
@@ -231,8 +233,8 @@
         print!("{}", log_summary(io::stdin().lock(), seconds)?);
         Ok(())
       }
-      Self::Failures { program } => failures::run(&demo::beside(program)?),
-      Self::PathBench { program } => path_bench::run(&demo::beside(program)?),
+      Self::Failures { program } => failures::run(&demo::find_program(program)?),
+      Self::PathBench { program } => path_bench::run(&demo::find_program(program)?),
       Self::Slopes => {
         slopes::run();
         Ok(())
