--- a/emulator/src/box_list.rs
+++ b/emulator/src/box_list.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's box list: it shows changes only after a lag.
+//! A stand-in for the platform's box list, which can delay the visibility of changes.
 
 use {
   axum::{Json, Router, extract::State, routing::get},
@@ -11,64 +11,64 @@
   tokio::time::Instant,
 };
 
-/// The list as it is shown.
+/// The list in the form in which it is served.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ShownList {
-  /// The boxes.
+  /// Boxes in the list.
   pub boxes: Vec<BoxEntry>,
 }
 
 #[derive(Debug, Default)]
-struct Lists {
+struct ListState {
   lag: Duration,
-  shown: ShownList,
-  next: Option<(Instant, ShownList)>,
+  visible: ShownList,
+  pending: Option<(Instant, ShownList)>,
 }
 
-/// The box list.
+/// A box list. Clones share its state.
 #[derive(Clone, Debug, Default)]
-pub struct BoxListStandIn(Arc<Mutex<Lists>>);
+pub struct BoxListStandIn(Arc<Mutex<ListState>>);
 
 impl BoxListStandIn {
-  /// Changes are shown after this time.
+  /// Sets the delay after which later changes become visible.
   pub fn set_lag(&self, lag: Duration) {
-    self.lists().lag = lag;
+    self.state().lag = lag;
   }
 
-  /// Changes the list.
+  /// Replaces the list.
   pub fn set(&self, boxes: Vec<BoxEntry>) {
-    let mut lists = self.lists();
+    let mut state = self.state();
     let list = ShownList { boxes };
-    if lists.lag.is_zero() {
-      lists.shown = list;
+    if state.lag.is_zero() {
+      state.visible = list;
     } else {
-      let due = Instant::now() + lists.lag;
-      lists.next = Some((due, list));
+      let due = Instant::now() + state.lag;
+      state.pending = Some((due, list));
     }
   }
 
-  fn lists(&self) -> std::sync::MutexGuard<'_, Lists> {
+  fn state(&self) -> std::sync::MutexGuard<'_, ListState> {
     self.0.lock().unwrap_or_else(PoisonError::into_inner)
   }
 
-  /// The routes of the stand-in.
+  /// The HTTP API: `GET` and `PUT /boxes`.
   pub fn router(&self) -> Router {
     Router::new()
-      .route("/boxes", get(show).put(replace))
+      .route("/boxes", get(fetch).put(replace))
       .with_state(self.clone())
   }
 }
 
-async fn show(State(list): State<BoxListStandIn>) -> Json<ShownList> {
-  let mut lists = list.lists();
-  if let Some((due, next)) = lists.next.take() {
+async fn fetch(State(list): State<BoxListStandIn>) -> Json<ShownList> {
+  let mut state = list.state();
+  if let Some((due, next)) = state.pending.take() {
     if due <= Instant::now() {
-      lists.shown = next;
+      state.visible = next;
     } else {
-      lists.next = Some((due, next));
+      state.pending = Some((due, next));
     }
   }
-  Json(lists.shown.clone())
+  Json(state.visible.clone())
 }
 
 async fn replace(State(list): State<BoxListStandIn>, Json(shown): Json<ShownList>) {
--- a/emulator/src/host.rs
+++ b/emulator/src/host.rs
@@ -1,4 +1,4 @@
-//! A stand-in's own thread and runtime, so that it can be killed with all its connections.
+//! Runs a stand-in on a runtime of its own, so that killing it also drops all its connections.
 
 use {
   axum::Router,
@@ -6,7 +6,7 @@
   tokio::{net::TcpListener, runtime::Runtime},
 };
 
-/// A running stand-in.
+/// A running HTTP server.
 pub struct Host {
   address: SocketAddr,
   runtime: Option<Runtime>,
@@ -34,17 +34,17 @@
     })
   }
 
-  /// Where it listens.
+  /// Address that it listens on.
   pub fn address(&self) -> SocketAddr {
     self.address
   }
 
-  /// Its base URL.
+  /// Base URL.
   pub fn url(&self) -> String {
     format!("http://{}", self.address)
   }
 
-  /// Ends it at once, connections and all.
+  /// Stops the server at once and drops its connections.
   pub fn kill(&mut self) {
     if let Some(runtime) = self.runtime.take() {
       runtime.shutdown_background();
--- a/emulator/src/key_value.rs
+++ b/emulator/src/key_value.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's key-value service: the etcd v3 JSON gateway, in memory.
+//! A stand-in for the platform's key-value service: an in-memory implementation of the etcd v3 JSON gateway.
 
 use {
   axum::{
@@ -26,23 +26,23 @@
   },
 };
 
-const EVENTS_KEPT: usize = 4_096;
+const MAX_BUFFERED_EVENTS: usize = 4_096;
 
-/// Fault switches of one way in to the service; a hall may have its own.
+/// Faults that can be injected into one front end of the service; a hall may have its own. All are off by default.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct KeyValueFaults {
-  /// Answers nothing at all.
+  /// Calls never receive a response, and watches no events.
   pub cut: bool,
-  /// Answers 503 to everything.
+  /// Calls fail with status 503.
   pub down: bool,
-  /// Answers late.
+  /// Delay of each call.
   pub slow_ms: u64,
-  /// This many writes take effect but lose their answer.
+  /// Number of further writes that take effect but never receive a response.
   pub lose_write_answers: u32,
-  /// This many writes take effect late, after their answer was given up.
+  /// Transactions never receive a response and take effect after this delay; 0 for none.
   pub late_writes_ms: u64,
-  /// This many watch events are swallowed.
+  /// Number of further watch events that are dropped.
   pub swallow_events: u32,
 }
 
@@ -58,8 +58,8 @@
   revision: u64,
   keys: BTreeMap<String, Vec<Version>>,
   leases: BTreeMap<u64, Lease>,
-  /// Leases granted so far: an id is never granted again.
-  granted: u64,
+  /// The id of the latest lease; ids are never reused.
+  last_lease_id: u64,
   calls: u64,
   watches: u64,
 }
@@ -82,31 +82,31 @@
   changes: broadcast::Sender<Change>,
 }
 
-/// The service's data, which several ways in can share.
+/// The data of the service, shared by all its front ends.
 #[derive(Clone)]
 pub struct KeyValueStandIn(Arc<Shared>);
 
 impl Default for KeyValueStandIn {
   fn default() -> Self {
-    let (changes, _) = broadcast::channel(EVENTS_KEPT);
+    let (changes, _) = broadcast::channel(MAX_BUFFERED_EVENTS);
     let data = Mutex::default();
     Self(Arc::new(Shared { changes, data }))
   }
 }
 
-/// One way in, with its faults.
+/// A front end of the service with its own faults.
 #[derive(Clone)]
-struct Door {
+struct Frontend {
   service: KeyValueStandIn,
   faults: Arc<Mutex<KeyValueFaults>>,
 }
 
-/// Handle on the faults of one way in.
+/// Handle for the faults of one front end.
 #[derive(Clone)]
 pub struct DoorFaults(Arc<Mutex<KeyValueFaults>>);
 
 impl DoorFaults {
-  /// Sets the switches.
+  /// Replaces the injected faults.
   pub fn set(&self, faults: KeyValueFaults) {
     *self.0.lock().unwrap_or_else(PoisonError::into_inner) = faults;
   }
@@ -154,7 +154,7 @@
   failure: Vec<Operation>,
 }
 
-fn plain(text: &str) -> String {
+fn decode_base64(text: &str) -> String {
   BASE64
     .decode(text)
     .ok()
@@ -165,14 +165,14 @@
 impl Data {
   fn expire(&mut self) -> Vec<Change> {
     let now = Instant::now();
-    let lapsed = self
+    let expired = self
       .leases
       .iter()
       .filter(|(_, lease)| lease.until <= now)
       .map(|(id, _)| *id)
       .collect::<Vec<_>>();
     let mut changes = Vec::new();
-    for id in lapsed {
+    for id in expired {
       self.leases.remove(&id);
       let keys = self
         .keys
@@ -206,7 +206,7 @@
     }
   }
 
-  fn present(&self, key: &str, at: Option<u64>) -> Option<&Version> {
+  fn version_at(&self, key: &str, at: Option<u64>) -> Option<&Version> {
     let at = at.unwrap_or(u64::MAX);
     self
       .keys
@@ -219,11 +219,11 @@
 
   fn range(&self, request: &RangeRequest) -> Value {
     let at = request.revision.parse::<u64>().ok().filter(|at| *at > 0);
-    let key = plain(&request.key);
+    let key = decode_base64(&request.key);
     let keys = if request.range_end.is_empty() {
       vec![key]
     } else {
-      let end = plain(&request.range_end);
+      let end = decode_base64(&request.range_end);
       self
         .keys
         .range(key..end)
@@ -233,7 +233,7 @@
     let pairs = keys
       .iter()
       .filter_map(|key| {
-        let version = self.present(key, at)?;
+        let version = self.version_at(key, at)?;
         Some(json!({
           "key": BASE64.encode(key),
           "mod_revision": version.revision.to_string(),
@@ -251,15 +251,19 @@
   fn run(&mut self, operation: &Operation, changes: &mut Vec<Change>) -> Value {
     if let Some(put) = &operation.request_put {
       let lease = put.lease.parse().ok().filter(|lease| *lease > 0);
-      changes.push(self.write(&plain(&put.key), Some(plain(&put.value)), lease));
+      changes.push(self.write(
+        &decode_base64(&put.key),
+        Some(decode_base64(&put.value)),
+        lease,
+      ));
       return json!({ "response_put": {} });
     }
     if let Some(range) = &operation.request_range {
       return json!({ "response_range": self.range(range) });
     }
     if let Some(delete) = &operation.request_delete_range {
-      let key = plain(&delete.key);
-      if self.present(&key, None).is_some() {
+      let key = decode_base64(&delete.key);
+      if self.version_at(&key, None).is_some() {
         changes.push(self.write(&key, None, None));
       }
     }
@@ -268,11 +272,11 @@
 
   fn transact(&mut self, request: &TxnRequest) -> (Value, Vec<Change>) {
     let succeeded = request.compare.iter().all(|compare| {
-      let wanted = compare.mod_revision.parse().unwrap_or(0);
-      let present = self
-        .present(&plain(&compare.key), None)
+      let expected = compare.mod_revision.parse().unwrap_or(0);
+      let revision = self
+        .version_at(&decode_base64(&compare.key), None)
         .map_or(0, |version| version.revision);
-      present == wanted
+      revision == expected
     });
     let operations = if succeeded {
       &request.success
@@ -304,35 +308,35 @@
     }
   }
 
-  /// Calls so far, over all ways in.
+  /// Number of calls so far, over all front ends.
   pub fn calls(&self) -> u64 {
     self.data().calls
   }
 
-  /// Watches made so far.
+  /// Number of watches opened so far.
   pub fn watches(&self) -> u64 {
     self.data().watches
   }
 
-  /// The value and revision under a plain key.
+  /// Value and revision of a key (not base64).
   pub fn get(&self, key: &str) -> Option<(String, u64)> {
     let data = self.data();
-    let version = data.present(key, None)?;
+    let version = data.version_at(key, None)?;
     Some((version.value.clone()?, version.revision))
   }
 
-  /// Keys that begin with a prefix.
+  /// Existing keys with a prefix.
   pub fn keys(&self, prefix: &str) -> Vec<String> {
     let data = self.data();
     data
       .keys
       .keys()
-      .filter(|key| key.starts_with(prefix) && data.present(key, None).is_some())
+      .filter(|key| key.starts_with(prefix) && data.version_at(key, None).is_some())
       .cloned()
       .collect()
   }
 
-  /// Writes a plain key, as the operators' own tools would.
+  /// Writes a key (not base64) without a lease, as an operator's tool would. Returns the new revision.
   pub fn put(&self, key: &str, value: &str) -> u64 {
     let change = self.data().write(key, Some(value.into()), None);
     let revision = change.revision;
@@ -340,10 +344,10 @@
     revision
   }
 
-  /// A way in to the service with faults of its own.
+  /// Creates a front end with its own faults.
   pub fn door(&self) -> (Router, DoorFaults) {
     let faults = Arc::<Mutex<KeyValueFaults>>::default();
-    let door = Door {
+    let frontend = Frontend {
       faults: faults.clone(),
       service: self.clone(),
     };
@@ -356,22 +360,25 @@
       .route("/v3/watch", post(watch))
       .route("/calls", get(calls))
       .route("/switch", post(switch))
-      .with_state(door);
+      .with_state(frontend);
     (router, DoorFaults(faults))
   }
 }
 
-async fn calls(State(door): State<Door>) -> Json<Value> {
-  let data = door.service.data();
+async fn calls(State(frontend): State<Frontend>) -> Json<Value> {
+  let data = frontend.service.data();
   Json(json!({ "calls": data.calls, "watches": data.watches }))
 }
 
-async fn switch(State(door): State<Door>, Json(faults): Json<KeyValueFaults>) -> StatusCode {
-  DoorFaults(door.faults.clone()).set(faults);
+async fn switch(
+  State(frontend): State<Frontend>,
+  Json(faults): Json<KeyValueFaults>,
+) -> StatusCode {
+  DoorFaults(frontend.faults.clone()).set(faults);
   StatusCode::NO_CONTENT
 }
 
-impl Door {
+impl Frontend {
   fn faults(&self) -> KeyValueFaults {
     self
       .faults
@@ -380,8 +387,8 @@
       .clone()
   }
 
-  /// Counts the call and lets the faults of this way in have their effect.
-  async fn enter(&self) -> Option<Response> {
+  /// Counts a call, applies injected delays and expires leases. Returns the response if the call is to fail.
+  async fn begin_call(&self) -> Option<Response> {
     let faults = self.faults();
     if faults.cut {
       std::future::pending::<()>().await;
@@ -397,69 +404,75 @@
       .then(|| StatusCode::SERVICE_UNAVAILABLE.into_response())
   }
 
-  /// Whether this write's answer is to be lost.
-  fn loses_answer(&self) -> bool {
+  /// Whether the response to this write is to be dropped; consumes one of the injected faults.
+  fn drops_response(&self) -> bool {
     let mut faults = self.faults.lock().unwrap_or_else(PoisonError::into_inner);
-    let loses = faults.lose_write_answers > 0;
+    let drops = faults.lose_write_answers > 0;
     faults.lose_write_answers = faults.lose_write_answers.saturating_sub(1);
-    loses
+    drops
   }
 
-  fn swallows_event(&self) -> bool {
+  fn drops_event(&self) -> bool {
     let mut faults = self.faults.lock().unwrap_or_else(PoisonError::into_inner);
-    let swallows = faults.swallow_events > 0;
+    let drops = faults.swallow_events > 0;
     faults.swallow_events = faults.swallow_events.saturating_sub(1);
-    swallows || faults.cut
+    drops || faults.cut
   }
 }
 
-async fn range(State(door): State<Door>, Json(request): Json<RangeRequest>) -> Response {
-  if let Some(failure) = door.enter().await {
+async fn range(State(frontend): State<Frontend>, Json(request): Json<RangeRequest>) -> Response {
+  if let Some(failure) = frontend.begin_call().await {
     return failure;
   }
-  let reply = door.service.data().range(&request);
+  let reply = frontend.service.data().range(&request);
   Json(reply).into_response()
 }
 
-async fn txn(State(door): State<Door>, Json(request): Json<TxnRequest>) -> Response {
-  if let Some(failure) = door.enter().await {
+async fn txn(State(frontend): State<Frontend>, Json(request): Json<TxnRequest>) -> Response {
+  if let Some(failure) = frontend.begin_call().await {
     return failure;
   }
-  let late_ms = door.faults().late_writes_ms;
+  let late_ms = frontend.faults().late_writes_ms;
   if late_ms > 0 {
     tokio::spawn(async move {
       sleep(Duration::from_millis(late_ms)).await;
-      let (_, changes) = door.service.data().transact(&request);
-      door.service.publish(changes);
+      let (_, changes) = frontend.service.data().transact(&request);
+      frontend.service.publish(changes);
     });
     return std::future::pending().await;
   }
-  let (reply, changes) = door.service.data().transact(&request);
+  let (reply, changes) = frontend.service.data().transact(&request);
   let wrote = !changes.is_empty();
-  door.service.publish(changes);
-  if wrote && door.loses_answer() {
+  frontend.service.publish(changes);
+  if wrote && frontend.drops_response() {
     return std::future::pending().await;
   }
   Json(reply).into_response()
 }
 
-async fn delete_range(State(door): State<Door>, Json(request): Json<RangeRequest>) -> Response {
-  if let Some(failure) = door.enter().await {
+async fn delete_range(
+  State(frontend): State<Frontend>,
+  Json(request): Json<RangeRequest>,
+) -> Response {
+  if let Some(failure) = frontend.begin_call().await {
     return failure;
   }
-  let (start, end) = (plain(&request.key), plain(&request.range_end));
-  let keys = door.service.keys(&start);
+  let (start, end) = (
+    decode_base64(&request.key),
+    decode_base64(&request.range_end),
+  );
+  let keys = frontend.service.keys(&start);
   let mut changes = Vec::new();
   for key in keys.into_iter().filter(|key| *key < end) {
-    let change = door.service.data().write(&key, None, None);
+    let change = frontend.service.data().write(&key, None, None);
     changes.push(change);
   }
-  door.service.publish(changes);
+  frontend.service.publish(changes);
   Json(json!({})).into_response()
 }
 
-async fn grant(State(door): State<Door>, Json(request): Json<Value>) -> Response {
-  if let Some(failure) = door.enter().await {
+async fn grant(State(frontend): State<Frontend>, Json(request): Json<Value>) -> Response {
+  if let Some(failure) = frontend.begin_call().await {
     return failure;
   }
   let ttl_s = request["TTL"]
@@ -467,9 +480,9 @@
     .and_then(|ttl| ttl.parse().ok())
     .unwrap_or(1);
   let ttl = Duration::from_secs(ttl_s);
-  let mut data = door.service.data();
-  data.granted += 1;
-  let id = data.granted;
+  let mut data = frontend.service.data();
+  data.last_lease_id += 1;
+  let id = data.last_lease_id;
   data.leases.insert(
     id,
     Lease {
@@ -480,15 +493,15 @@
   Json(json!({ "ID": id.to_string(), "TTL": ttl_s.to_string() })).into_response()
 }
 
-async fn keep_alive(State(door): State<Door>, Json(request): Json<Value>) -> Response {
-  if let Some(failure) = door.enter().await {
+async fn keep_alive(State(frontend): State<Frontend>, Json(request): Json<Value>) -> Response {
+  if let Some(failure) = frontend.begin_call().await {
     return failure;
   }
   let id = request["ID"]
     .as_str()
     .and_then(|id| id.parse::<u64>().ok())
     .unwrap_or(0);
-  let mut data = door.service.data();
+  let mut data = frontend.service.data();
   let ttl_s = match data.leases.get_mut(&id) {
     Some(lease) => {
       lease.until = Instant::now() + lease.ttl;
@@ -512,44 +525,47 @@
   start_revision: String,
 }
 
-async fn watch(State(door): State<Door>, Json(request): Json<WatchRequest>) -> Response {
-  if let Some(failure) = door.enter().await {
+async fn watch(State(frontend): State<Frontend>, Json(request): Json<WatchRequest>) -> Response {
+  if let Some(failure) = frontend.begin_call().await {
     return failure;
   }
   let create = request.create_request;
-  let (start, end) = (plain(&create.key), plain(&create.range_end));
+  let (start, end) = (decode_base64(&create.key), decode_base64(&create.range_end));
   let from = create.start_revision.parse::<u64>().unwrap_or(0);
-  let receiver = door.service.0.changes.subscribe();
-  let missed = missed_changes(&door.service, &start, &end, from);
-  door.service.data().watches += 1;
+  let receiver = frontend.service.0.changes.subscribe();
+  let past_changes = changes_since(&frontend.service, &start, &end, from);
+  frontend.service.data().watches += 1;
   let created = Bytes::from("{\"result\":{\"created\":true}}\n");
-  let opening = stream::iter(
+  let initial_events = stream::iter(
     std::iter::once(created)
-      .chain(missed.iter().map(event_line))
+      .chain(past_changes.iter().map(event_line))
       .map(Ok::<_, Infallible>)
       .collect::<Vec<_>>(),
   );
-  let running = stream::unfold((receiver, door), move |(mut receiver, door)| {
+  let live_events = stream::unfold((receiver, frontend), move |(mut receiver, frontend)| {
     let (start, end) = (start.clone(), end.clone());
     async move {
       loop {
         let change = receiver.recv().await.ok()?;
-        if change.key < start || change.key >= end || door.swallows_event() {
+        if change.key < start || change.key >= end || frontend.drops_event() {
           continue;
         }
-        return Some((Ok::<_, Infallible>(event_line(&change)), (receiver, door)));
+        return Some((
+          Ok::<_, Infallible>(event_line(&change)),
+          (receiver, frontend),
+        ));
       }
     }
   });
-  Body::from_stream(futures_util::StreamExt::chain(opening, running)).into_response()
+  Body::from_stream(futures_util::StreamExt::chain(initial_events, live_events)).into_response()
 }
 
-fn missed_changes(service: &KeyValueStandIn, start: &str, end: &str, from: u64) -> Vec<Change> {
+fn changes_since(service: &KeyValueStandIn, start: &str, end: &str, from: u64) -> Vec<Change> {
   if from == 0 {
     return Vec::new();
   }
   let data = service.data();
-  let mut missed = data
+  let mut past_changes = data
     .keys
     .range(start.to_string()..end.to_string())
     .flat_map(|(key, versions)| {
@@ -563,8 +579,8 @@
         })
     })
     .collect::<Vec<_>>();
-  missed.sort_by_key(|change| change.revision);
-  missed
+  past_changes.sort_by_key(|change| change.revision);
+  past_changes
 }
 
 fn event_line(change: &Change) -> Bytes {
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for all that rillford meets, a caller, and experiments. Never shipped.
+//! Stand-ins for the systems that rillford talks to, a test caller, and experiments. Not part of a release.
 
 pub mod bound;
 mod box_list;
--- a/emulator/src/queue.rs
+++ b/emulator/src/queue.rs
@@ -1,60 +1,60 @@
-//! Events in the order of their time; those of the same moment in the order in which they were put.
+//! Event queue of a simulation in virtual time: ordered by time, and by insertion among events of the same time.
 
 use std::{cmp::Reverse, collections::BinaryHeap};
 
-struct Timed<E> {
+struct TimedEvent<E> {
   at_ms: u64,
-  number: u64,
+  sequence: u64,
   event: E,
 }
 
-impl<E> Timed<E> {
+impl<E> TimedEvent<E> {
   fn key(&self) -> Reverse<(u64, u64)> {
-    Reverse((self.at_ms, self.number))
+    Reverse((self.at_ms, self.sequence))
   }
 }
 
-impl<E> PartialEq for Timed<E> {
+impl<E> PartialEq for TimedEvent<E> {
   fn eq(&self, other: &Self) -> bool {
     self.key() == other.key()
   }
 }
 
-impl<E> Eq for Timed<E> {}
+impl<E> Eq for TimedEvent<E> {}
 
-impl<E> PartialOrd for Timed<E> {
+impl<E> PartialOrd for TimedEvent<E> {
   fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
     Some(self.cmp(other))
   }
 }
 
-impl<E> Ord for Timed<E> {
+impl<E> Ord for TimedEvent<E> {
   fn cmp(&self, other: &Self) -> std::cmp::Ordering {
     self.key().cmp(&other.key())
   }
 }
 
-/// What is still to happen.
+/// Pending events.
 pub(crate) struct Queue<E> {
-  events: BinaryHeap<Timed<E>>,
-  put: u64,
+  events: BinaryHeap<TimedEvent<E>>,
+  last_sequence: u64,
 }
 
 impl<E> Queue<E> {
   pub(crate) fn new() -> Self {
     Self {
       events: BinaryHeap::new(),
-      put: 0,
+      last_sequence: 0,
     }
   }
 
   pub(crate) fn put(&mut self, at_ms: u64, event: E) {
-    self.put += 1;
-    let number = self.put;
-    self.events.push(Timed {
+    self.last_sequence += 1;
+    let sequence = self.last_sequence;
+    self.events.push(TimedEvent {
       at_ms,
       event,
-      number,
+      sequence,
     });
   }
 
--- a/emulator/src/relay.rs
+++ b/emulator/src/relay.rs
@@ -1,4 +1,4 @@
-//! A UDP relay before a box's peer address: the place where links between boxes can be cut.
+//! A UDP relay in front of a box's peer address, which can drop the datagrams of chosen senders to simulate partitions.
 
 use std::{
   collections::{BTreeSet, HashMap, hash_map::Entry},
@@ -12,37 +12,37 @@
   time::Duration,
 };
 
-const MOST_DATAGRAM: usize = 65_536;
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 const READ_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// A relay to one box. Senders are known by their own peer addresses.
+/// A relay to one box. Senders are identified by their peer address.
 pub struct Relay {
   address: SocketAddr,
   cut: Arc<Mutex<BTreeSet<SocketAddr>>>,
-  ended: Arc<AtomicBool>,
+  stopped: Arc<AtomicBool>,
 }
 
 impl Relay {
-  /// Relays to a target until dropped.
+  /// Starts to relay to `target`, until dropped.
   pub fn start(target: SocketAddr) -> io::Result<Self> {
     let socket = UdpSocket::bind(("127.0.0.1", 0))?;
     socket.set_read_timeout(Some(READ_TIMEOUT))?;
     let relay = Self {
       address: socket.local_addr()?,
       cut: Arc::default(),
-      ended: Arc::default(),
+      stopped: Arc::default(),
     };
-    let (cut, ended) = (relay.cut.clone(), relay.ended.clone());
-    thread::spawn(move || forward(&socket, target, &cut, &ended));
+    let (cut, stopped) = (relay.cut.clone(), relay.stopped.clone());
+    thread::spawn(move || forward(&socket, target, &cut, &stopped));
     Ok(relay)
   }
 
-  /// Where senders reach the target.
+  /// Address at which senders reach the target.
   pub fn address(&self) -> SocketAddr {
     self.address
   }
 
-  /// Drops all that comes from, and goes back to, these senders.
+  /// Drops datagrams from and to these senders only; earlier cuts are replaced.
   pub fn cut(&self, senders: impl IntoIterator<Item = SocketAddr>) {
     let mut cut = self.cut.lock().unwrap_or_else(PoisonError::into_inner);
     *cut = senders.into_iter().collect();
@@ -51,7 +51,7 @@
 
 impl Drop for Relay {
   fn drop(&mut self) {
-    self.ended.store(true, Ordering::Relaxed);
+    self.stopped.store(true, Ordering::Relaxed);
   }
 }
 
@@ -66,51 +66,51 @@
   socket: &UdpSocket,
   target: SocketAddr,
   cut: &Arc<Mutex<BTreeSet<SocketAddr>>>,
-  ended: &Arc<AtomicBool>,
+  stopped: &Arc<AtomicBool>,
 ) {
-  let mut buffer = vec![0; MOST_DATAGRAM];
-  let mut ways = HashMap::<SocketAddr, UdpSocket>::new();
-  while !ended.load(Ordering::Relaxed) {
+  let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
+  let mut sockets = HashMap::<SocketAddr, UdpSocket>::new();
+  while !stopped.load(Ordering::Relaxed) {
     let Ok((length, sender)) = socket.recv_from(&mut buffer) else {
       continue;
     };
     if is_cut(cut, &sender) {
       continue;
     }
-    let way = match ways.entry(sender) {
-      Entry::Occupied(way) => way.into_mut(),
-      Entry::Vacant(place) => match open_way(socket, sender, target, cut, ended) {
-        Ok(way) => place.insert(way),
+    let upstream = match sockets.entry(sender) {
+      Entry::Occupied(upstream) => upstream.into_mut(),
+      Entry::Vacant(entry) => match connect_for_sender(socket, sender, target, cut, stopped) {
+        Ok(upstream) => entry.insert(upstream),
         Err(_) => continue,
       },
     };
-    let _ = way.send(&buffer[..length]);
+    let _ = upstream.send(&buffer[..length]);
   }
 }
 
-/// A socket of its own for each sender, so that answers find their way back.
-fn open_way(
+/// Opens a socket to the target for one sender, so that replies can be routed back to it.
+fn connect_for_sender(
   socket: &UdpSocket,
   sender: SocketAddr,
   target: SocketAddr,
   cut: &Arc<Mutex<BTreeSet<SocketAddr>>>,
-  ended: &Arc<AtomicBool>,
+  stopped: &Arc<AtomicBool>,
 ) -> io::Result<UdpSocket> {
-  let way = UdpSocket::bind(("127.0.0.1", 0))?;
-  way.connect(target)?;
-  way.set_read_timeout(Some(READ_TIMEOUT))?;
-  let back = way.try_clone()?;
-  let front = socket.try_clone()?;
-  let (cut, ended) = (cut.clone(), ended.clone());
+  let upstream = UdpSocket::bind(("127.0.0.1", 0))?;
+  upstream.connect(target)?;
+  upstream.set_read_timeout(Some(READ_TIMEOUT))?;
+  let replies = upstream.try_clone()?;
+  let downstream = socket.try_clone()?;
+  let (cut, stopped) = (cut.clone(), stopped.clone());
   thread::spawn(move || {
-    let mut buffer = vec![0; MOST_DATAGRAM];
-    while !ended.load(Ordering::Relaxed) {
-      if let Ok(length) = back.recv(&mut buffer)
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
+    while !stopped.load(Ordering::Relaxed) {
+      if let Ok(length) = replies.recv(&mut buffer)
         && !is_cut(&cut, &sender)
       {
-        let _ = front.send_to(&buffer[..length], sender);
+        let _ = downstream.send_to(&buffer[..length], sender);
       }
     }
   });
-  Ok(way)
+  Ok(upstream)
 }
--- a/emulator/src/service.rs
+++ b/emulator/src/service.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a plain service: it counts what it runs.
+//! A stand-in for a plain service that counts the calls that it runs.
 
 use {
   axum::{
@@ -20,24 +20,24 @@
   tokio::time::sleep,
 };
 
-const CUT_PAUSE: Duration = Duration::from_millis(100);
-const MOST_BODY_BYTES: usize = 1024 * 1024;
+const DELAY_BEFORE_CUT: Duration = Duration::from_millis(100);
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 
-/// Fault switches of a plain service.
+/// Faults that can be injected into a plain service; all are off by default.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceFaults {
-  /// Answers late.
+  /// Delay of each response.
   pub slow_ms: u64,
-  /// Runs, then never answers.
+  /// Calls run but never receive a response.
   pub lose_answer: bool,
-  /// Answers 500 before running.
+  /// Calls fail with status 500 before they run.
   pub fail_before: bool,
-  /// Cuts its answer in the middle.
+  /// Closes the connection in the middle of the response body.
   pub cut_answer: bool,
-  /// Reports that it is leaving.
+  /// Load reports signal that the service is leaving.
   pub leaving: bool,
-  /// Turns calls away, and wants none for so many seconds.
+  /// Rejects calls with status 503 and this `Retry-After`, in seconds.
   pub pause_s: Option<u32>,
 }
 
@@ -54,28 +54,28 @@
 #[derive(Clone, Debug, Default)]
 pub struct ServiceStandIn {
   inner: Arc<Mutex<Inner>>,
-  seats: u32,
+  slots: u32,
 }
 
-/// What a service says it was asked.
+/// The response of a service: the request that it received.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Echo {
-  /// The method.
+  /// Method.
   pub method: String,
   /// Path and query.
   pub path: String,
-  /// The body.
+  /// Body.
   pub body: String,
-  /// Names of the headers that came.
+  /// Names of the request headers.
   pub headers: Vec<String>,
 }
 
 impl ServiceStandIn {
-  /// A service that has run nothing.
-  pub fn new(seats: u32) -> Self {
+  /// Creates a service that reports room for this many calls at once.
+  pub fn new(slots: u32) -> Self {
     Self {
       inner: Arc::default(),
-      seats,
+      slots,
     }
   }
 
@@ -83,22 +83,22 @@
     self.inner.lock().unwrap_or_else(PoisonError::into_inner)
   }
 
-  /// Sets the fault switches.
+  /// Replaces the injected faults.
   pub fn set_faults(&self, faults: ServiceFaults) {
     self.inner().faults = faults;
   }
 
-  /// How often each body (or path, where there is no body) was run.
+  /// Number of runs by body, or by path for calls without a body.
   pub fn runs(&self) -> BTreeMap<String, u64> {
     self.inner().runs.clone()
   }
 
-  /// Calls that were turned away.
+  /// Number of calls rejected with a `Retry-After`.
   pub fn turned_away(&self) -> u32 {
     self.inner().turned_away
   }
 
-  /// The routes of the stand-in.
+  /// The HTTP API. All paths but the listed ones run a call.
   pub fn router(&self) -> Router {
     Router::new()
       .route("/v1/load", get(load))
@@ -117,7 +117,7 @@
     leaving: inner.faults.leaving,
     queue_tokens: 0,
     role: None,
-    seats: service.seats,
+    seats: service.slots,
     used_seats: inner.busy,
   })
 }
@@ -143,7 +143,7 @@
   let method = request.method().to_string();
   let path = request.uri().to_string();
   let headers = request.headers().keys().map(ToString::to_string).collect();
-  let bytes = to_bytes(request.into_body(), MOST_BODY_BYTES)
+  let bytes = to_bytes(request.into_body(), MAX_BODY_BYTES)
     .await
     .unwrap_or_default();
   let body = String::from_utf8_lossy(&bytes).to_string();
@@ -156,7 +156,7 @@
     std::future::pending::<()>().await;
   }
   if faults.cut_answer {
-    return cut();
+    return truncated_response();
   }
   Json(Echo {
     body,
@@ -167,15 +167,15 @@
   .into_response()
 }
 
-/// An answer whose connection breaks before its announced end.
-fn cut() -> Response {
-  let pieces = futures_util::stream::unfold(0, |piece| async move {
-    if piece == 0 {
+/// A chunked response whose connection breaks before the last chunk.
+fn truncated_response() -> Response {
+  let chunks = futures_util::stream::unfold(0, |index| async move {
+    if index == 0 {
       return Some((Ok(Bytes::from("half of an ans")), 1));
     }
-    // The first half is on its way before the cut.
-    sleep(CUT_PAUSE).await;
+    // Lets the first chunk leave before the connection breaks.
+    sleep(DELAY_BEFORE_CUT).await;
     Some((Err(std::io::Error::other("cut")), 2))
   });
-  Body::from_stream(pieces).into_response()
+  Body::from_stream(chunks).into_response()
 }
