--- a/emulator/src/failures.rs
+++ b/emulator/src/failures.rs
@@ -1,5 +1,4 @@
-//! A run of real processes under load in which one thing after another fails; prints what callers
-//! were told and what was left behind.
+//! Runs a deployment under load, injects a series of failures, and prints the outcomes that callers saw and what was leaked.
 
 use {
   crate::{
@@ -21,12 +20,12 @@
   tokio::{task::JoinSet, time::sleep},
 };
 
-const ASK_TOKENS: u64 = 40;
-const BOUND: Duration = Duration::from_secs(40);
-const PAUSE: Duration = Duration::from_millis(25);
-const STEP: Duration = Duration::from_secs(3);
+const COMPLETION_TOKENS: u64 = 40;
+const TIMEOUT: Duration = Duration::from_secs(40);
+const SEND_INTERVAL: Duration = Duration::from_millis(25);
+const PHASE_DURATION: Duration = Duration::from_secs(3);
 
-/// What callers were told.
+/// Outcomes that callers saw.
 #[derive(Debug, Default)]
 struct Tally {
   sent: u64,
@@ -39,12 +38,12 @@
 }
 
 impl Tally {
-  fn take(&mut self, told: &Told, wanted: Option<&str>) {
+  fn record(&mut self, told: &Told, expected: Option<&str>) {
     self.sent += 1;
     match told {
       Told::Answered(text) => {
         self.answered += 1;
-        if wanted.is_some_and(|wanted| wanted != text) {
+        if expected.is_some_and(|expected| expected != text) {
           self.wrong += 1;
         }
       }
@@ -55,12 +54,12 @@
   }
 }
 
-/// What the load shares with the run.
+/// State shared by the load generator and the scenario.
 struct Load {
   tally: Mutex<Tally>,
   urls: Mutex<Vec<String>>,
-  ended: AtomicBool,
-  number: AtomicU64,
+  stopped: AtomicBool,
+  next_number: AtomicU64,
 }
 
 impl Load {
@@ -68,25 +67,25 @@
     self.tally.lock().unwrap_or_else(PoisonError::into_inner)
   }
 
-  /// The balancer's next choice.
-  fn next(&self) -> (u64, String) {
-    let number = self.number.fetch_add(1, Ordering::Relaxed);
+  /// Request number and box URL of the next request, in rotation.
+  fn next_target(&self) -> (u64, String) {
+    let number = self.next_number.fetch_add(1, Ordering::Relaxed);
     let urls = self.urls.lock().unwrap_or_else(PoisonError::into_inner);
     let index = usize::try_from(number).unwrap_or(0) % urls.len();
     (number, urls[index].clone())
   }
 
-  async fn ask(self: Arc<Self>) {
-    let (number, url) = self.next();
+  async fn send_completion(self: Arc<Self>) {
+    let (number, url) = self.next_target();
     let prompt = format!("Question {number}. ");
-    let ask = Ask::new(&prompt, ASK_TOKENS);
+    let ask = Ask::new(&prompt, COMPLETION_TOKENS);
     let told = Caller::new(CALLER_KEY).complete(&url, &ask).await;
-    let wanted = answer_text(&prompt, ASK_TOKENS);
-    self.tally().take(&told, Some(&wanted));
+    let expected = answer_text(&prompt, COMPLETION_TOKENS);
+    self.tally().record(&told, Some(&expected));
   }
 
-  async fn refund(self: Arc<Self>) {
-    let (number, url) = self.next();
+  async fn send_refund(self: Arc<Self>) {
+    let (number, url) = self.next_target();
     let key = format!("refund-{number}");
     let headers = [
       ("idempotency-key".to_string(), key.clone()),
@@ -97,27 +96,27 @@
       .call(&url, Method::POST, "portal/refund", &headers, &key)
       .await;
     let mut tally = self.tally();
-    tally.take(&told, None);
+    tally.record(&told, None);
     tally.refunds.insert(key, told);
   }
 
   async fn run(self: Arc<Self>) {
     let mut running = JoinSet::new();
-    let mut turn = 0_u64;
-    while !self.ended.load(Ordering::Relaxed) {
-      turn += 1;
-      if turn.is_multiple_of(5) {
-        running.spawn(self.clone().refund());
+    let mut round = 0_u64;
+    while !self.stopped.load(Ordering::Relaxed) {
+      round += 1;
+      if round.is_multiple_of(5) {
+        running.spawn(self.clone().send_refund());
       } else {
-        running.spawn(self.clone().ask());
+        running.spawn(self.clone().send_completion());
       }
-      sleep(PAUSE).await;
+      sleep(SEND_INTERVAL).await;
     }
     while running.join_next().await.is_some() {}
   }
 }
 
-async fn admin(
+async fn admin_request(
   deployment: &Deployment,
   name: &str,
   method: Method,
@@ -144,7 +143,7 @@
   let mut digests = Vec::new();
   for (name, process) in &deployment.boxes {
     if process.id().is_some() {
-      let status = admin(deployment, name, Method::GET, "/status", "").await;
+      let status = admin_request(deployment, name, Method::GET, "/status", "").await;
       let status = serde_json::from_str::<serde_json::Value>(&status).unwrap_or_default();
       digests.push(status["configuration_digest"].to_string());
     }
@@ -152,8 +151,8 @@
   digests
 }
 
-/// Seconds until the last order begins at an engine after it began to leave.
-async fn leave(deployment: &Deployment) -> f64 {
+/// Seconds from the leaving signal of an engine to the last decode that started there.
+async fn measure_leave_delay(deployment: &Deployment) -> f64 {
   let Some(engine) = deployment.engine("north-decode-1") else {
     return 0.0;
   };
@@ -161,26 +160,26 @@
     leaving: true,
     ..EngineFaults::default()
   });
-  let began = Instant::now();
+  let started = Instant::now();
   let mut seen = engine.tally().decodes;
   let mut last_s = 0.0;
-  while began.elapsed() < STEP {
+  while started.elapsed() < PHASE_DURATION {
     sleep(Duration::from_millis(10)).await;
     let now = engine.tally().decodes;
     if now > seen {
       seen = now;
-      last_s = began.elapsed().as_secs_f64();
+      last_s = started.elapsed().as_secs_f64();
     }
   }
   last_s
 }
 
-/// Seconds until a written configuration is in force on all boxes.
-async fn configure(deployment: &Deployment) -> f64 {
+/// Seconds until a written configuration applies on all boxes; infinite if it does not within `TIMEOUT`.
+async fn measure_configuration_delay(deployment: &Deployment) -> f64 {
   let old = digests(deployment).await;
-  let began = Instant::now();
+  let started = Instant::now();
   let text = "{\"tuning\": {\"hold_ms\": 2000, \"queue_limit\": 500}}";
-  admin(
+  admin_request(
     deployment,
     "north-2",
     Method::PUT,
@@ -188,20 +187,20 @@
     text,
   )
   .await;
-  let agreed = eventually(BOUND, async || {
+  let agreed = eventually(TIMEOUT, async || {
     let now = digests(deployment).await;
     now
       .iter()
       .all(|digest| *digest == now[0] && *digest != old[0])
   });
   if agreed.await {
-    began.elapsed().as_secs_f64()
+    started.elapsed().as_secs_f64()
   } else {
     f64::INFINITY
   }
 }
 
-/// Runs the scenario and prints its figures.
+/// Runs the scenario and prints its results.
 pub(crate) fn run(program: &Path) -> io::Result<()> {
   tokio::runtime::Builder::new_multi_thread()
     .worker_threads(3)
@@ -218,13 +217,13 @@
   let mut plan = Plan::new(program, halls);
   plan.platform_document = "{\"tuning\": {\"hold_ms\": 2000}}".into();
   let mut deployment = Deployment::start(&plan)?;
-  if !deployment.ready(BOUND).await {
-    return Err(io::Error::other("the boxes are not ready"));
+  if !deployment.ready(TIMEOUT).await {
+    return Err(io::Error::other("the boxes did not become ready"));
   }
-  sleep(STEP).await;
+  sleep(PHASE_DURATION).await;
   let load = Arc::new(Load {
-    ended: AtomicBool::new(false),
-    number: AtomicU64::new(0),
+    stopped: AtomicBool::new(false),
+    next_number: AtomicU64::new(0),
     tally: Mutex::default(),
     urls: Mutex::new(
       deployment
@@ -235,28 +234,28 @@
     ),
   });
   let running = tokio::spawn(load.clone().run());
-  sleep(STEP).await;
+  sleep(PHASE_DURATION).await;
 
   println!("a box is killed and an engine dies, at once");
-  let dead = deployment.boxes["north-1"].url();
+  let killed_url = deployment.boxes["north-1"].url();
   if let Some(process) = deployment.boxes.get_mut("north-1") {
     process.kill();
   }
   if let Some(host) = deployment.hosts.get_mut("south-decode-1") {
     host.kill();
   }
-  // The balancer notices.
+  // Like a load balancer that removes the failed box.
   load
     .urls
     .lock()
     .unwrap_or_else(PoisonError::into_inner)
-    .retain(|url| *url != dead);
-  sleep(STEP).await;
+    .retain(|url| *url != killed_url);
+  sleep(PHASE_DURATION).await;
 
   println!("an engine leaves");
-  let left_s = leave(&deployment).await;
+  let left_s = measure_leave_delay(&deployment).await;
   println!("a configuration is written");
-  let configured_s = configure(&deployment).await;
+  let configured_s = measure_configuration_delay(&deployment).await;
 
   println!("the key-value service is away, and the halls are cut from each other");
   for door in deployment.doors.values() {
@@ -266,7 +265,7 @@
     });
   }
   deployment.cut_halls("north", "south");
-  sleep(STEP).await;
+  sleep(PHASE_DURATION).await;
   for door in deployment.doors.values() {
     door.set(KeyValueFaults::default());
   }
@@ -274,14 +273,14 @@
 
   println!("a box is frozen for longer than its holds, and wakes");
   deployment.boxes["north-2"].signal(libc::SIGSTOP);
-  sleep(STEP).await;
+  sleep(PHASE_DURATION).await;
   deployment.boxes["north-2"].signal(libc::SIGCONT);
-  sleep(STEP).await;
+  sleep(PHASE_DURATION).await;
 
-  load.ended.store(true, Ordering::Relaxed);
+  load.stopped.store(true, Ordering::Relaxed);
   let _ = running.await;
   println!("quiet");
-  let quiet = eventually(BOUND, async || {
+  let all_released = eventually(TIMEOUT, async || {
     let engines = deployment
       .endpoints
       .keys()
@@ -294,14 +293,14 @@
   let idle_calls = deployment.key_value.calls();
   sleep(Duration::from_secs(15)).await;
   let idle_calls = (deployment.key_value.calls() - idle_calls) * 4;
-  show(&deployment, &load, quiet);
+  print_results(&deployment, &load, all_released);
   println!("| seconds until a leaving engine gets nothing | {left_s:.2} |");
   println!("| seconds until a configuration is in force everywhere | {configured_s:.2} |");
   println!("| key-value calls a minute without claims, all boxes | {idle_calls} |");
   Ok(())
 }
 
-fn show(deployment: &Deployment, load: &Load, quiet: bool) {
+fn print_results(deployment: &Deployment, load: &Load, all_released: bool) {
   let tally = load.tally();
   let runs = deployment
     .endpoints
@@ -314,7 +313,7 @@
       runs
     });
   let twice = runs.values().filter(|count| **count > 1).count();
-  let lied = tally
+  let misreported = tally
     .refunds
     .iter()
     .filter(|(key, told)| matches!(told, Told::NotRun { .. }) && runs.contains_key(*key))
@@ -330,6 +329,6 @@
   );
   println!("| wrong or doubled answers | {} |", tally.wrong);
   println!("| refunds run twice | {twice} |");
-  println!("| refunds told not run that ran | {lied} |");
-  println!("| engines free of all memory when quiet | {quiet} |");
+  println!("| refunds told not run that ran | {misreported} |");
+  println!("| engines free of all memory when quiet | {all_released} |");
 }
--- a/emulator/src/path_bench.rs
+++ b/emulator/src/path_bench.rs
@@ -1,4 +1,5 @@
-//! What a box adds over a direct call to the stand-in, side by side in one run.
+//! Benchmark of the request path: latency through a box compared with direct calls to the engine stand-in, throughput of a box,
+//! and the cost of an idle box.
 
 use {
   crate::{
@@ -25,23 +26,23 @@
 
 const DECODERS: u32 = 4;
 const IDLE_DECODERS: [u32; 3] = [2, 14, 28];
-const IDLE_TIME: Duration = Duration::from_secs(12);
-const LIMIT: Duration = Duration::from_secs(30);
+const IDLE_DURATION: Duration = Duration::from_secs(12);
+const TIMEOUT: Duration = Duration::from_secs(30);
 const STREAMS: [u32; 3] = [1, 100, 1_000];
-const MOST_US: u64 = 60_000_000;
-const SETTLE: Duration = Duration::from_millis(1_500);
-const TICKS_PER_S: f64 = 100.0;
+const MAX_LATENCY_US: u64 = 60_000_000;
+const DELAY_BEFORE_MEMORY_SAMPLE: Duration = Duration::from_millis(1_500);
+const CLOCK_TICKS_PER_S: f64 = 100.0;
 
-/// What callers measured.
-struct Measured {
+/// Latencies that callers measured.
+struct Measurements {
   first_us: Histogram<u64>,
   chunk_us: Histogram<u64>,
   chunks: u64,
 }
 
-impl Measured {
+impl Measurements {
   fn new() -> Self {
-    let histogram = || Histogram::new_with_bounds(1, MOST_US, 3).expect("bounds are right");
+    let histogram = || Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("bounds are right");
     Self {
       chunk_us: histogram(),
       chunks: 0,
@@ -55,8 +56,8 @@
     self.chunks += other.chunks;
   }
 
-  /// Takes in text of stamped tokens.
-  fn text(&mut self, text: &str) {
+  /// Records the delay of each timestamped token in a text.
+  fn record_tokens(&mut self, text: &str) {
     let now_us = unix_us();
     for token in text.split_whitespace() {
       let stamp = token
@@ -104,46 +105,46 @@
   plan
 }
 
-fn ask(index: u32, tokens: u64) -> Ask {
+fn completion(index: u32, tokens: u64) -> Ask {
   Ask::new(format!("Question {index}. "), tokens).header("x-rillford-deadline-ms", "30000")
 }
 
-async fn through_box(caller: Caller, url: String, ask: Ask) -> Measured {
-  let mut measured = Measured::new();
-  let began = Instant::now();
+async fn measure_through_box(caller: Caller, url: String, ask: Ask) -> Measurements {
+  let mut measured = Measurements::new();
+  let started = Instant::now();
   let mut stream = match caller.open(&url, &ask).await {
     Ok(stream) => stream,
     Err(told) => {
-      eprintln!("not answered: {told:?}");
+      eprintln!("request failed: {told:?}");
       return measured;
     }
   };
-  let first_us = u64::try_from(began.elapsed().as_micros()).unwrap_or(MOST_US);
+  let first_us = u64::try_from(started.elapsed().as_micros()).unwrap_or(MAX_LATENCY_US);
   measured.first_us.saturating_record(first_us.max(1));
-  let mut seen = 0;
+  let mut seen_bytes = 0;
   loop {
     let told = stream.next().await;
     let text = stream.text();
-    measured.text(&text[seen..]);
-    seen = text.len();
+    measured.record_tokens(&text[seen_bytes..]);
+    seen_bytes = text.len();
     if let Some(told) = told {
       if !told.is_answered() {
-        eprintln!("not answered whole: {told:?}");
+        eprintln!("stream failed: {told:?}");
       }
       return measured;
     }
   }
 }
 
-struct Direct {
+struct DirectTarget {
   http: HttpClient,
   prefill: String,
   decode: String,
 }
 
-async fn direct(to: Direct, index: u32, tokens: u64) -> Measured {
-  let mut measured = Measured::new();
-  let began = Instant::now();
+async fn measure_direct(to: DirectTarget, index: u32, tokens: u64) -> Measurements {
+  let mut measured = Measurements::new();
+  let started = Instant::now();
   let attempt: rillford::ids::AttemptId = format!("direct/1/{index}/1").parse().expect("an id");
   let prefill = PrefillRequest {
     answered: "".into(),
@@ -158,7 +159,7 @@
   let uri = format!("{}/v1/prefill", to.prefill);
   if to
     .http
-    .post::<_, PrefillResponse>(&uri, &prefill, LIMIT)
+    .post::<_, PrefillResponse>(&uri, &prefill, TIMEOUT)
     .await
     .is_err()
   {
@@ -172,7 +173,7 @@
   let uri = format!("{}/v1/import", to.decode);
   if to
     .http
-    .post::<_, ImportResponse>(&uri, &import, LIMIT)
+    .post::<_, ImportResponse>(&uri, &import, TIMEOUT)
     .await
     .is_err()
   {
@@ -192,22 +193,22 @@
   let mut first = true;
   while let Some(Ok(frame)) = body.frame().await {
     if std::mem::take(&mut first) {
-      let first_us = u64::try_from(began.elapsed().as_micros()).unwrap_or(MOST_US);
+      let first_us = u64::try_from(started.elapsed().as_micros()).unwrap_or(MAX_LATENCY_US);
       measured.first_us.saturating_record(first_us.max(1));
     }
     buffer.extend_from_slice(&frame.into_data().unwrap_or_else(|_| Bytes::new()));
     while let Some(end) = buffer.iter().position(|byte| *byte == b'\n') {
       let line = buffer.drain(..=end).collect::<Vec<_>>();
       if let Ok(chunk) = serde_json::from_slice::<DecodeChunk>(&line) {
-        measured.text(&chunk.text);
+        measured.record_tokens(&chunk.text);
       }
     }
   }
   measured
 }
 
-async fn all(mut streams: JoinSet<Measured>) -> Measured {
-  let mut total = Measured::new();
+async fn collect(mut streams: JoinSet<Measurements>) -> Measurements {
+  let mut total = Measurements::new();
   while let Some(measured) = streams.join_next().await {
     if let Ok(measured) = measured {
       total.add(&measured);
@@ -216,7 +217,6 @@
   total
 }
 
-/// Resident memory of a process.
 fn resident_kb(id: u32) -> u64 {
   let status = fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
   status
@@ -227,8 +227,8 @@
     .unwrap_or(0)
 }
 
-/// Processor time of a process so far.
-fn processor_s(id: u32) -> f64 {
+/// User and system CPU time of a process so far.
+fn cpu_s(id: u32) -> f64 {
   let stat = fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
   let fields = stat.rsplit(')').next().unwrap_or_default();
   let number = |index: usize| {
@@ -237,10 +237,10 @@
       .and_then(|field| field.parse::<f64>().ok())
       .unwrap_or(0.0)
   };
-  (number(11) + number(12)) / TICKS_PER_S
+  (number(11) + number(12)) / CLOCK_TICKS_PER_S
 }
 
-fn row(name: &str, streams: u32, measured: &Measured) {
+fn print_row(name: &str, streams: u32, measured: &Measurements) {
   let us = |histogram: &Histogram<u64>, share| histogram.value_at_quantile(share);
   println!(
     "| {name} | {streams} | {} | {} / {} | {} / {} |",
@@ -252,18 +252,18 @@
   );
 }
 
-fn the_box(deployment: &Deployment) -> &BoxProcess {
+fn gateway_box(deployment: &Deployment) -> &BoxProcess {
   &deployment.boxes["box-1"]
 }
 
-async fn ready(deployment: &Deployment) -> io::Result<()> {
-  if !deployment.ready(LIMIT).await {
-    return Err(io::Error::other("the box is not ready"));
+async fn wait_until_serving(deployment: &Deployment) -> io::Result<()> {
+  if !deployment.ready(TIMEOUT).await {
+    return Err(io::Error::other("the box did not become ready"));
   }
   let caller = Caller::new(CALLER_KEY);
-  let url = the_box(deployment).url();
-  let serves = crate::eventually(LIMIT, async || {
-    caller.complete(&url, &ask(0, 1)).await.is_answered()
+  let url = gateway_box(deployment).url();
+  let serves = crate::eventually(TIMEOUT, async || {
+    caller.complete(&url, &completion(0, 1)).await.is_answered()
   });
   if serves.await {
     return Ok(());
@@ -271,76 +271,80 @@
   Err(io::Error::other("the box does not serve"))
 }
 
-async fn side_by_side(program: &Path) -> io::Result<()> {
+async fn compare_latency(program: &Path) -> io::Result<()> {
   println!("| way | open streams | chunks | first byte p50 / p99 us | per chunk p50 / p99 us |");
   println!("| --- | ---: | ---: | ---: | ---: |");
   for streams in STREAMS {
     let token_ms = if streams > 100 { 100 } else { 20 };
     let deployment = Deployment::start(&plan(program, token_ms, streams))?;
-    ready(&deployment).await?;
-    let url = the_box(&deployment).url();
-    let id = the_box(&deployment).id().unwrap_or(0);
+    wait_until_serving(&deployment).await?;
+    let url = gateway_box(&deployment).url();
+    let id = gateway_box(&deployment).id().unwrap_or(0);
     let idle_kb = resident_kb(id);
     let tokens = if streams == 1 { 300 } else { 60 };
     let mut running = JoinSet::new();
     for index in 0..streams {
-      let to = Direct {
+      let to = DirectTarget {
         decode: deployment.hosts[&format!("decode-{}", index % DECODERS)].url(),
         http: HttpClient::default(),
         prefill: deployment.hosts["prefill"].url(),
       };
-      running.spawn(direct(to, index, tokens));
+      running.spawn(measure_direct(to, index, tokens));
     }
-    row("direct", streams, &all(running).await);
+    print_row("direct", streams, &collect(running).await);
     let mut running = JoinSet::new();
     for index in 0..streams {
       let caller = Caller::new(CALLER_KEY);
-      running.spawn(through_box(caller, url.clone(), ask(index, tokens)));
+      running.spawn(measure_through_box(
+        caller,
+        url.clone(),
+        completion(index, tokens),
+      ));
     }
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(DELAY_BEFORE_MEMORY_SAMPLE).await;
     let busy_kb = resident_kb(id);
-    row("box", streams, &all(running).await);
+    print_row("box", streams, &collect(running).await);
     println!("resident: {idle_kb} KB idle, {busy_kb} KB with {streams} streams open");
   }
   Ok(())
 }
 
-async fn flood(program: &Path) -> io::Result<()> {
+async fn measure_throughput(program: &Path) -> io::Result<()> {
   let streams = 64;
   let deployment = Deployment::start(&plan(program, 0, streams))?;
-  ready(&deployment).await?;
-  let id = the_box(&deployment).id().unwrap_or(0);
-  let before_s = processor_s(id);
-  let began = Instant::now();
+  wait_until_serving(&deployment).await?;
+  let id = gateway_box(&deployment).id().unwrap_or(0);
+  let before_s = cpu_s(id);
+  let started = Instant::now();
   let mut running = JoinSet::new();
   for index in 0..streams {
     let caller = Caller::new(CALLER_KEY);
-    let url = the_box(&deployment).url();
-    running.spawn(through_box(caller, url, ask(index, 1_500)));
+    let url = gateway_box(&deployment).url();
+    running.spawn(measure_through_box(caller, url, completion(index, 1_500)));
   }
-  let measured = all(running).await;
-  let used_s = processor_s(id) - before_s;
+  let measured = collect(running).await;
+  let used_s = cpu_s(id) - before_s;
   println!(
     "flood: {} chunks in {:.2} s, {:.2} s of processor time in the box: {:.0} chunks a second of one core",
     measured.chunks,
-    began.elapsed().as_secs_f64(),
+    started.elapsed().as_secs_f64(),
     used_s,
     measured.chunks as f64 / used_s.max(0.01)
   );
   Ok(())
 }
 
-/// What an idle box costs as home of some engines: polls, cache events, listings, ticks.
-async fn idle(program: &Path) -> io::Result<()> {
+/// Measures the cost of an idle box that owns engines: polls, cache events, listings, ticks.
+async fn measure_idle_cost(program: &Path) -> io::Result<()> {
   println!("\n| endpoints of one home | % of a core | resident KB |\n| ---: | ---: | ---: |");
   for decoders in IDLE_DECODERS {
     let deployment = Deployment::start(&plan_with(program, 20, 8, decoders))?;
-    ready(&deployment).await?;
-    let id = the_box(&deployment).id().unwrap_or(0);
-    let before_s = processor_s(id);
-    let began = Instant::now();
-    tokio::time::sleep(IDLE_TIME).await;
-    let core = (processor_s(id) - before_s) / began.elapsed().as_secs_f64() * 100.0;
+    wait_until_serving(&deployment).await?;
+    let id = gateway_box(&deployment).id().unwrap_or(0);
+    let before_s = cpu_s(id);
+    let started = Instant::now();
+    tokio::time::sleep(IDLE_DURATION).await;
+    let core = (cpu_s(id) - before_s) / started.elapsed().as_secs_f64() * 100.0;
     println!("| {} | {core:.2} | {} |", decoders + 1, resident_kb(id));
   }
   Ok(())
@@ -353,8 +357,8 @@
     .enable_all()
     .build()?
     .block_on(async {
-      side_by_side(program).await?;
-      flood(program).await?;
-      idle(program).await
+      compare_latency(program).await?;
+      measure_throughput(program).await?;
+      measure_idle_cost(program).await
     })
 }
--- a/emulator/src/slopes.rs
+++ b/emulator/src/slopes.rs
@@ -1,4 +1,4 @@
-//! Slopes for docs/CAPACITY.md: what control costs a box at several sizes of the fleet.
+//! Benchmark of the decision state machine at several fleet sizes, for docs/CAPACITY.md.
 
 use {
   rillford::{
@@ -16,14 +16,14 @@
 };
 
 const POLICY: &str = include_str!("../../examples/sariwa/policy.rhai");
-const ARRIVAL_MS: u64 = 4;
-const REPORT_EVERY: u64 = 10;
+const ARRIVAL_INTERVAL_MS: u64 = 4;
+const REQUESTS_PER_REPORT: u64 = 10;
 const REQUESTS: u64 = 4_000;
 const TICK_MS: u64 = 10;
-const VIRTUAL_S: u64 = 20;
+const VIRTUAL_DURATION_S: u64 = 20;
 const KV_BYTES: u64 = 131_072;
 
-/// A size of the fleet.
+/// Size of a fleet.
 #[derive(Clone, Copy, Debug)]
 struct Size {
   halls: usize,
@@ -54,7 +54,7 @@
   },
 ];
 
-/// Sizes for the decisions alone, in one hall, so that each endpoint is a candidate.
+/// Numbers of endpoints in a single hall, where each endpoint is a candidate for each request.
 const DECISION_ENDPOINTS: [usize; 4] = [10, 100, 1_000, 5_600];
 
 fn hall(index: usize, size: Size) -> Name {
@@ -153,11 +153,16 @@
   }
 }
 
-/// What all orders that leave come to, at once.
-fn follow(machine: &mut Machine, now_ms: u64, actions: Vec<Action>, peers: &mut Peers) -> u64 {
-  let mut ended = 0;
-  let mut waiting = actions;
-  while let Some(action) = waiting.pop() {
+/// Completes all commands at once and feeds the results back. Returns the number of completed requests.
+fn run_actions(
+  machine: &mut Machine,
+  now_ms: u64,
+  actions: Vec<Action>,
+  peers: &mut SimulatedPeers,
+) -> u64 {
+  let mut completed = 0;
+  let mut pending = actions;
+  while let Some(action) = pending.pop() {
     let stage = |attempt: AttemptId, endpoint: Name, outcome| {
       Event::Stage(StageReport {
         attempt,
@@ -166,49 +171,49 @@
       })
     };
     let event = match action {
-      Action::Prefill(order) => stage(
-        order.attempt,
-        order.engine,
+      Action::Prefill(command) => stage(
+        command.attempt,
+        command.engine,
         StageOutcome::Prefilled {
           cached_tokens: 0,
           kv_bytes: KV_BYTES,
           prompt_tokens: 1_000,
         },
       ),
-      Action::Import(order) => stage(order.attempt, order.engine, StageOutcome::Imported),
-      Action::Decode(order) => stage(
-        order.attempt,
-        order.engine,
+      Action::Import(command) => stage(command.attempt, command.engine, StageOutcome::Imported),
+      Action::Decode(command) => stage(
+        command.attempt,
+        command.engine,
         StageOutcome::Finished { tokens: 100 },
       ),
-      Action::Send(to, message) => match peers.take(&to, message) {
-        Some(answer) => answer,
+      Action::Send(to, message) => match peers.receive(&to, message) {
+        Some(response) => response,
         None => continue,
       },
       Action::Complete(..) => {
-        ended += 1;
+        completed += 1;
         continue;
       }
       _ => continue,
     };
-    waiting.extend(machine.handle(now_ms, event));
+    pending.extend(machine.handle(now_ms, event));
   }
-  ended
+  completed
 }
 
-/// The other boxes: they grant whatever they are asked for, and count bytes.
-struct Peers {
+/// Simulated peers: they grant every slot request and count the messages.
+struct SimulatedPeers {
   bytes: u64,
   messages: u64,
 }
 
-impl Peers {
-  fn take(&mut self, to: &Name, message: PeerMessage) -> Option<Event> {
-    let answer = match &message {
-      PeerMessage::SlotRequest(ask) => {
+impl SimulatedPeers {
+  fn receive(&mut self, to: &Name, message: PeerMessage) -> Option<Event> {
+    let response = match &message {
+      PeerMessage::SlotRequest(request) => {
         Some(PeerMessage::SlotResponse(rillford::decide::SlotResponse {
-          attempt: ask.attempt.clone(),
-          engine: ask.engine.clone(),
+          attempt: request.attempt.clone(),
+          engine: request.engine.clone(),
           granted: true,
           link_wait_ms: 0,
         }))
@@ -222,21 +227,21 @@
     };
     self.bytes += encode(&frame).map_or(0, |bytes| bytes.len() as u64);
     self.messages += 1;
-    answer.map(|answer| Event::Peer(to.clone(), answer))
+    response.map(|response| Event::Peer(to.clone(), response))
   }
 }
 
-fn decisions(size: Size, specs: &[EndpointSpec]) {
+fn measure_requests(size: Size, specs: &[EndpointSpec]) {
   let mut machine = machine(size, specs);
-  let mut peers = Peers {
+  let mut peers = SimulatedPeers {
     bytes: 0,
     messages: 0,
   };
-  let began = Instant::now();
-  let mut ended = 0;
+  let started = Instant::now();
+  let mut completed = 0;
   for request in 0..REQUESTS {
-    let now_ms = 2 + request * ARRIVAL_MS;
-    if request.is_multiple_of(REPORT_EVERY) {
+    let now_ms = 2 + request * ARRIVAL_INTERVAL_MS;
+    if request.is_multiple_of(REQUESTS_PER_REPORT) {
       for spec in specs
         .iter()
         .skip((request as usize * 7) % specs.len())
@@ -246,23 +251,23 @@
       }
     }
     let actions = machine.handle(now_ms, Event::Arrived(arrival(request)));
-    ended += follow(&mut machine, now_ms, actions, &mut peers);
+    completed += run_actions(&mut machine, now_ms, actions, &mut peers);
   }
-  let took_us = began.elapsed().as_micros() as f64;
+  let elapsed_us = started.elapsed().as_micros() as f64;
   println!(
-    "| {} | {} | {ended} | {:.1} | {:.0} | {:.1} |",
+    "| {} | {} | {completed} | {:.1} | {:.0} | {:.1} |",
     size.boxes,
     size.endpoints,
-    took_us / REQUESTS as f64,
-    REQUESTS as f64 * 1e6 / took_us,
+    elapsed_us / REQUESTS as f64,
+    REQUESTS as f64 * 1e6 / elapsed_us,
     peers.bytes as f64 / REQUESTS as f64,
   );
 }
 
-/// Control without any request: ticks, polls, heartbeats out and in, over some virtual time.
-fn control(size: Size, specs: &[EndpointSpec]) {
+/// Measures a box without requests over `VIRTUAL_DURATION_S`: ticks, polls and heartbeats.
+fn measure_control_loop(size: Size, specs: &[EndpointSpec]) {
   let mut machine = machine(size, specs);
-  let mut peers = Peers {
+  let mut peers = SimulatedPeers {
     bytes: 0,
     messages: 0,
   };
@@ -275,14 +280,14 @@
     .iter()
     .filter(|spec| spec.hall == own_hall)
     .collect::<Vec<_>>();
-  let loads_per_home = hall_specs.len().div_ceil(hall_boxes);
+  let loads_per_owner = hall_specs.len().div_ceil(hall_boxes);
   let senders = (hall_boxes - 1).min(rillford::decide::FULL_MESH_BOXES - 1);
   let frames = (0..senders)
     .map(|sender| {
       let loads = hall_specs
         .iter()
-        .skip(sender * loads_per_home)
-        .take(loads_per_home)
+        .skip(sender * loads_per_owner)
+        .take(loads_per_owner)
         .map(|spec| report(spec))
         .collect();
       let frame = Frame {
@@ -300,9 +305,9 @@
       encode(&frame).unwrap_or_default()
     })
     .collect::<Vec<_>>();
-  let began = Instant::now();
+  let started = Instant::now();
   let mut polls = 0;
-  for tick in 1..=VIRTUAL_S * 1_000 / TICK_MS {
+  for tick in 1..=VIRTUAL_DURATION_S * 1_000 / TICK_MS {
     let now_ms = 10 + tick * TICK_MS;
     let mut actions = machine.handle(now_ms, Event::Tick);
     if (now_ms / TICK_MS).is_multiple_of(25) {
@@ -322,20 +327,20 @@
           }
         }
         Action::Send(to, message) => {
-          black_box(peers.take(&to, message));
+          black_box(peers.receive(&to, message));
         }
         _ => {}
       }
     }
   }
-  let core = began.elapsed().as_secs_f64() / VIRTUAL_S as f64 * 100.0;
+  let core_percent = started.elapsed().as_secs_f64() / VIRTUAL_DURATION_S as f64 * 100.0;
   println!(
-    "| {} | {} | {core:.3} | {:.0} | {:.1} | {:.1} |",
+    "| {} | {} | {core_percent:.3} | {:.0} | {:.1} | {:.1} |",
     size.boxes,
     size.endpoints,
-    peers.bytes as f64 / VIRTUAL_S as f64,
-    peers.messages as f64 / VIRTUAL_S as f64,
-    f64::from(polls) / VIRTUAL_S as f64,
+    peers.bytes as f64 / VIRTUAL_DURATION_S as f64,
+    peers.messages as f64 / VIRTUAL_DURATION_S as f64,
+    f64::from(polls) / VIRTUAL_DURATION_S as f64,
   );
 }
 
@@ -349,7 +354,7 @@
     .unwrap_or(0)
 }
 
-fn memory(size: Size, specs: &[EndpointSpec]) {
+fn measure_memory(size: Size, specs: &[EndpointSpec]) {
   const COPIES: u64 = 8;
   let before_kb = resident_kb();
   let machines = (0..COPIES)
@@ -372,7 +377,7 @@
   );
 }
 
-fn configuration(organisations: usize) {
+fn measure_configuration(organisations: usize) {
   let mut store = Store::default();
   let keys = [hash_key("one"), hash_key("two")];
   let text: Name = format!("{{\"keys_sha256\": [\"{}\", \"{}\"]}}", keys[0], keys[1]).into();
@@ -385,21 +390,21 @@
     let _ = store.apply(document(index, 1));
   }
   const CHANGES: usize = 200;
-  let began = Instant::now();
+  let started = Instant::now();
   for change in 0..CHANGES {
     let _ = store.apply(document(change % organisations, change as u64 + 2));
     black_box((store.view().digest(), store.keys()));
   }
-  let change_us = began.elapsed().as_micros() as f64 / CHANGES as f64;
+  let change_us = started.elapsed().as_micros() as f64 / CHANGES as f64;
   println!("| {organisations} | {change_us:.0} |");
 }
 
-fn policy() {
+fn measure_policy() {
   const CALLS: u32 = 20_000;
   let Ok(program) = Program::compile(POLICY) else {
     return;
   };
-  let facts = RequestAttributes {
+  let attributes = RequestAttributes {
     kind: "model".into(),
     max_tokens: 100,
     organisation: "organisation".into(),
@@ -408,17 +413,17 @@
     task: "basket".into(),
   };
   let clock = Clock::at(0, 0);
-  let began = Instant::now();
+  let started = Instant::now();
   for _ in 0..CALLS {
-    let _ = black_box(program.rank(&facts, clock));
+    let _ = black_box(program.rank(&attributes, clock));
   }
   println!(
     "\npolicy: {:.1} us a rank",
-    began.elapsed().as_micros() as f64 / f64::from(CALLS)
+    started.elapsed().as_micros() as f64 / f64::from(CALLS)
   );
 }
 
-/// Prints all slopes.
+/// Runs all measurements and prints their tables.
 pub(crate) fn run() {
   let specs = SIZES.map(|size| {
     (0..size.endpoints)
@@ -437,10 +442,10 @@
       halls: 1,
     };
     let specs = (0..endpoints).map(|index| endpoint(index, size));
-    decisions(size, &specs.collect::<Vec<_>>());
+    measure_requests(size, &specs.collect::<Vec<_>>());
   }
   for (size, specs) in SIZES.iter().zip(&specs) {
-    decisions(*size, specs);
+    measure_requests(*size, specs);
   }
   println!("\ncontrol without requests, one box\n");
   println!(
@@ -448,18 +453,18 @@
   );
   println!("| ---: | ---: | ---: | ---: | ---: | ---: |");
   for (size, specs) in SIZES.iter().zip(&specs) {
-    control(*size, specs);
+    measure_control_loop(*size, specs);
   }
   println!("\nmemory of decide\n");
   println!("| boxes | endpoints | KB for the fleet | KB for 1000 waiting requests |");
   println!("| ---: | ---: | ---: | ---: |");
   for (size, specs) in SIZES.iter().zip(&specs) {
-    memory(*size, specs);
+    measure_memory(*size, specs);
   }
   println!("\nconfiguration: one change applied, view and keys made anew\n");
   println!("| organisations | us a change |\n| ---: | ---: |");
   for organisations in [10, 100, 410] {
-    configuration(organisations);
+    measure_configuration(organisations);
   }
-  policy();
+  measure_policy();
 }
