--- a/src/admin/configuration.rs
+++ b/src/admin/configuration.rs
@@ -180,8 +180,7 @@
       Ok(_) | Err(_) => sleep(READ_BACK_PERIOD).await,
     }
   }
-  let message =
-    format!("{error}; it is unknown whether the write took effect; read the document again");
+  let message = format!("{error}; unknown whether the write takes effect: read it again");
   Err(Problem::new(StatusCode::SERVICE_UNAVAILABLE, message))
 }
 
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -43,7 +43,7 @@
     retry_after_ms: Option<u64>,
   },
   /// The response body could not be parsed.
-  #[error("invalid response: {0}")]
+  #[error("answer can't be read: {0}")]
   InvalidResponse(String),
 }
 
--- a/src/ingress/completion_api.rs
+++ b/src/ingress/completion_api.rs
@@ -34,7 +34,7 @@
 
 /// `POST /v1/completions`.
 #[derive(Clone, Debug, Deserialize)]
-pub(super) struct TextRequest {
+pub(super) struct PlainRequest {
   pub(super) model: Name,
   pub(super) prompt: Name,
   pub(super) max_tokens: Option<u64>,
--- a/src/ingress/completions.rs
+++ b/src/ingress/completions.rs
@@ -4,7 +4,7 @@
   super::{
     IngressState,
     caller_headers::{CallerHeaders, parse_headers},
-    completion_api::{ChatRequest, CompletionApi, TextRequest},
+    completion_api::{ChatRequest, CompletionApi, PlainRequest},
     outcome::invalid_request,
     response::{self, CompletionMetadata},
     state::RequestAttributes,
@@ -53,7 +53,7 @@
 }
 
 pub(super) async fn text(State(state): State<Arc<IngressState>>, request: Request) -> Response {
-  let convert = |request: TextRequest| Completion {
+  let convert = |request: PlainRequest| Completion {
     max_tokens: request.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
     model: request.model,
     prompt: request.prompt,
--- a/src/ingress/outcome.rs
+++ b/src/ingress/outcome.rs
@@ -60,15 +60,15 @@
   match reason {
     NotRunReason::OrganisationLimit => "your organisation has too many requests in progress",
     NotRunReason::QueueFull => "the queue is full",
-    NotRunReason::Shed => "shed in favour of higher-priority work",
+    NotRunReason::Shed => "shed for work that ranks higher",
     NotRunReason::TooLate => "the first token would come after the deadline",
     NotRunReason::NoEndpoint => "no live endpoint serves this",
-    NotRunReason::ClaimUnavailable => "the idempotency key could not be claimed",
+    NotRunReason::ClaimUnavailable => "the claim for this key can't be made now",
     NotRunReason::AlreadyClaimed => {
-      "a request with this idempotency key was accepted before; see its response"
+      "a request with this key was taken on before; see its own answer"
     }
-    NotRunReason::NeverBegan => "every endpoint tried confirmed that the work did not begin",
-    NotRunReason::RetryBudget => "the work did not begin, and the retry budget is used up",
+    NotRunReason::NeverBegan => "each endpoint tried confirmed that the work never began",
+    NotRunReason::RetryBudget => "the work never began, and no retry is left",
     NotRunReason::Stopping => "this box is stopping",
     NotRunReason::Busy => "this box is busy",
     NotRunReason::NotReady => "this box has no configuration yet",
@@ -78,8 +78,8 @@
 fn unknown_text(reason: UnknownReason) -> &'static str {
   match reason {
     UnknownReason::EndpointFailed => "an endpoint failed after the work may have begun",
-    UnknownReason::TimedOut => "the work may have begun and did not finish in time",
-    UnknownReason::AnswerBroken => "the response was interrupted and could not be resumed",
+    UnknownReason::TimedOut => "the work may have begun and did not end in time",
+    UnknownReason::AnswerBroken => "the answer broke off and could not be resumed",
   }
 }
 
--- a/src/policy/policy_error.rs
+++ b/src/policy/policy_error.rs
@@ -26,7 +26,7 @@
     message: String,
   },
   /// The function returned a value of the wrong form.
-  #[error("`{function}` must return {expected}")]
+  #[error("`{function}` must answer with {expected}")]
   ReturnValue {
     function: &'static str,
     expected: &'static str,
