--- a/emulator/src/limits/event.rs
+++ b/emulator/src/limits/event.rs
@@ -1,25 +1,24 @@
-//! What happens in a replay of limits.
+//! Events of the limits simulation.
 
 use rillford::{gateway::UsageTotals, ids::Name};
 
-/// What happens at a moment.
 pub(super) enum Event {
-  /// A request of an organisation comes.
-  Arrives { organisation: usize },
-  /// A box tells what it has to tell.
-  Tells { from: usize },
-  /// A box that counts hears another's totals.
-  HearsTotals { at: usize, totals: UsageTotals },
-  /// A box that counts hears a report.
-  HearsReport {
+  /// A request of an organisation arrives.
+  RequestArrives { organisation: usize },
+  /// The periodic usage sync of a box: a coordinator announces its totals, other boxes report to a coordinator.
+  SyncUsage { from: usize },
+  /// A coordinator receives another's totals.
+  TotalsReceived { at: usize, totals: UsageTotals },
+  /// A coordinator receives a usage report.
+  ReportReceived {
     at: usize,
     from: usize,
     used: Vec<(Name, i64)>,
   },
-  /// The answer to a report.
-  HearsShort { at: usize, short: Vec<(Name, f64)> },
-  /// All boxes start anew.
-  BoxesStart,
-  /// Limits change.
+  /// A box receives the response to its report: the organisations near their limits, with their remaining units.
+  NearLimitReceived { at: usize, near: Vec<(Name, f64)> },
+  /// All boxes restart.
+  BoxesRestart,
+  /// The limits of the pattern are applied again.
   LimitsChange,
 }
--- a/emulator/src/limits/figures.rs
+++ b/emulator/src/limits/figures.rs
@@ -1,45 +1,45 @@
-//! What came of a replay of limits.
+//! Results of a limits simulation.
 
 use {rillford::gateway::UsageLimit, std::collections::VecDeque};
 
-/// The users' window and what use may go beyond a limit in it.
+/// Window over which usage is compared with a limit, and the overage that is allowed in it.
 const WINDOW_MS: u64 = 8_000;
 const OVERAGE: f64 = 0.1;
 const SLACK_UNITS: f64 = 190_000.0;
 
-/// Figures of one replay.
+/// Results of one run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LimitFigures {
-  /// The highest use of any organisation in any window, as a part of the users' bound.
+  /// The highest usage of any organisation in any window, as a fraction of the allowed usage.
   pub most_used: f64,
-  /// Requests of organisations that stay inside their limits.
+  /// Requests of organisations that stay within their limits.
   pub inside: u32,
-  /// Of these, those that were refused.
+  /// Rejected requests among `inside`.
   pub refused_inside: u32,
-  /// Units that organisations beyond their limits were served, as a part of what the limits give them.
+  /// Units served to the largest organisation while the pattern is active, as a fraction of what its limit allows.
   pub served_of_limit: f64,
-  /// Messages of the busiest box, sent or answered, a second.
+  /// Messages per second, sent and received, of the busiest box.
   pub busiest_messages_per_s: f64,
-  /// Bytes of these, without those of the transport.
+  /// Payload bytes per second, sent and received, of the box with the most bytes.
   pub busiest_bytes_per_s: f64,
 }
 
 impl LimitFigures {
-  /// Part of the requests inside the limits that was refused.
+  /// Fraction of the requests within the limits that was rejected.
   pub fn refused_share(&self) -> f64 {
     f64::from(self.refused_inside) / f64::from(self.inside.max(1))
   }
 }
 
-/// Use of one organisation in the window that ends now.
+/// Usage of one organisation in the sliding window.
 #[derive(Clone, Debug, Default)]
-pub(super) struct WindowUse {
+pub(super) struct WindowUsage {
   admitted: VecDeque<(u64, f64)>,
   sum: f64,
 }
 
-impl WindowUse {
-  /// Adds units; answers with the window's sum as a part of the bound.
+impl WindowUsage {
+  /// Adds admitted units and returns the usage in the window as a fraction of the allowed usage.
   pub(super) fn admit(&mut self, units: f64, limit: UsageLimit, now_ms: u64) -> f64 {
     self.admitted.push_back((now_ms, units));
     self.sum += units;
@@ -49,12 +49,11 @@
       self.admitted.pop_front();
       self.sum -= units;
     }
-    self.sum / bound_units(limit)
+    self.sum / allowed_units(limit)
   }
 }
 
-/// The most that may be used in a window.
-fn bound_units(limit: UsageLimit) -> f64 {
-  let allowed = limit.rate_per_s * WINDOW_MS as f64 / 1_000.0 + limit.burst;
-  allowed * (1.0 + OVERAGE) + SLACK_UNITS
+fn allowed_units(limit: UsageLimit) -> f64 {
+  let units = limit.rate_per_s * WINDOW_MS as f64 / 1_000.0 + limit.burst;
+  units * (1.0 + OVERAGE) + SLACK_UNITS
 }
--- a/emulator/src/limits/fleet.rs
+++ b/emulator/src/limits/fleet.rs
@@ -1,90 +1,88 @@
-//! The boxes and organisations of a replay of limits.
+//! Boxes and organisations of the limits simulation.
 
 use {
-  super::pattern::BoxPlace,
+  super::pattern::BoxLocation,
   rillford::gateway::{BoxEntry, BoxList, UsageLimit},
   std::net::{IpAddr, Ipv4Addr, SocketAddr},
 };
 
-/// Units that one request counts: a prompt and its longest answer at the users' site with limits.
+/// Units charged for one request: its prompt and its longest allowed completion.
 pub(super) const REQUEST_UNITS: u64 = 3_272;
-/// Limits are this many times the usual use.
+/// Ratio of an organisation's limit to its normal usage.
 const LIMIT_FACTOR: f64 = 1.8;
-/// The least limit of an organisation there.
-const LEAST_RATE_PER_S: f64 = 47_000.0;
-/// The first organisations send so many times as much as the smallest.
+const MIN_RATE_PER_S: f64 = 47_000.0;
+/// Limits of the first organisations as multiples of `MIN_RATE_PER_S`.
 const LARGE_FACTORS: [f64; 4] = [7.0, 4.0, 3.0, 2.0];
-/// Boxes through which the callers of an organisation come, of three: callers keep to their boxes.
+/// Out of every three boxes, those that receive requests of an organisation: its callers always use the same boxes.
 const BOXES_USED_OF_THREE: usize = 1;
-/// Boxes of an organisation stand so far apart, in all halls.
-const STRIDE: usize = 7;
-/// Ports begin here; an address leads back to its box's number.
+/// Distance between the numbers of an organisation's boxes, which spreads them over all halls.
+const BOX_STRIDE: usize = 7;
+/// Port of box 0. A box's port is this plus its number, so that an address identifies its box.
 const FIRST_PORT: usize = 1_000;
 
-/// How many there are of what.
+/// Number of boxes, data halls and organisations.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LimitFleet {
-  /// Boxes, over all halls.
+  /// Boxes in all halls.
   pub boxes: usize,
-  /// Data halls.
   pub halls: usize,
   /// Organisations with a limit.
   pub organisations: usize,
 }
 
 impl LimitFleet {
-  /// The users' site with limits.
+  /// The size of a present installation.
   pub const USERS: Self = Self {
     boxes: 78,
     halls: 3,
     organisations: 16,
   };
-  /// About what the users want to grow to.
+  /// The size that installations are expected to grow to.
   pub const TARGET: Self = Self {
     boxes: 300,
     halls: 9,
     organisations: 400,
   };
 
-  /// An organisation's limit; the largest comes first.
+  /// The limit of an organisation. Organisation 0 has the largest.
   pub(super) fn limit(self, organisation: usize) -> UsageLimit {
     let factor = LARGE_FACTORS.get(organisation).copied().unwrap_or(1.0);
-    let rate_per_s = LEAST_RATE_PER_S * factor;
+    let rate_per_s = MIN_RATE_PER_S * factor;
     UsageLimit {
       burst: rate_per_s,
       rate_per_s,
     }
   }
 
-  /// Requests a second that an organisation usually sends.
+  /// The normal request rate of an organisation.
   pub(super) fn requests_per_s(self, organisation: usize) -> f64 {
     self.limit(organisation).rate_per_s / LIMIT_FACTOR / REQUEST_UNITS as f64
   }
 
-  pub(super) fn place(self, number: usize) -> BoxPlace {
-    BoxPlace {
+  pub(super) fn location(self, number: usize) -> BoxLocation {
+    BoxLocation {
       hall: number % self.halls,
       number,
     }
   }
 
-  /// A box through which a caller of an organisation comes; all in one hall when `only_hall` says so.
-  pub(super) fn box_of(self, organisation: usize, caller: usize, only_hall: bool) -> usize {
+  /// The box that receives the requests of a caller; always in hall 0 if `one_hall` is set.
+  pub(super) fn box_of(self, organisation: usize, caller: usize, one_hall: bool) -> usize {
     let used = (self.boxes * BOXES_USED_OF_THREE / 3).max(1);
-    let number = (organisation * 5 + caller % used * STRIDE) % self.boxes;
-    if only_hall {
+    let number = (organisation * 5 + caller % used * BOX_STRIDE) % self.boxes;
+    if one_hall {
       let in_hall = self.boxes / self.halls;
       return caller % in_hall * self.halls;
     }
     number
   }
 
-  /// A box's name: those of a hall follow each other.
+  /// The name of a box. Names of one hall sort next to each other.
   pub(super) fn name(self, number: usize) -> String {
     format!("hall-{}-{:03}", number % self.halls, number / self.halls)
   }
 
-  /// The list that all boxes have.
+  /// The box list that all boxes share.
   pub(super) fn box_list(self) -> BoxList {
     let mut list = BoxList::default();
     for number in 0..self.boxes {
--- a/emulator/src/limits/limit_box.rs
+++ b/emulator/src/limits/limit_box.rs
@@ -1,15 +1,16 @@
-//! A box in a replay of limits.
+//! A simulated box of the limits simulation.
 
 use rillford::gateway::{LocalUsage, UsageTable};
 
-/// A box.
 #[derive(Default)]
 pub(super) struct LimitBox {
-  pub(super) book: UsageTable,
-  pub(super) ledger: LocalUsage,
+  pub(super) usage_table: UsageTable,
+  pub(super) local_usage: LocalUsage,
   pub(super) started_ms: u64,
-  pub(super) idle_turns: u32,
-  pub(super) turns: u32,
+  /// Consecutive sync rounds without usage to report.
+  pub(super) idle_rounds: u32,
+  /// Rounds in which the box announced totals as a coordinator.
+  pub(super) rounds: u32,
   pub(super) messages: u32,
   pub(super) bytes: usize,
 }
--- a/emulator/src/limits/mod.rs
+++ b/emulator/src/limits/mod.rs
@@ -1,8 +1,8 @@
-//! Organisations' limits at their worst, replayed in virtual time against the gateway's own decisions: hundreds of boxes that
-//! count, tell and ask, without a process, a socket or a wait.
+//! Simulation of organisations' limits: hundreds of boxes run the gateway's decision code in virtual time, without processes
+//! or sockets.
 //!
-//! A [`LimitPattern`] says what goes wrong and when, a [`LimitFleet`] how many boxes and organisations there are;
-//! [`replay_limits`] plays them with a seed and answers with [`LimitFigures`].
+//! A [`LimitPattern`] sets the load and the faults, a [`LimitFleet`] the number of boxes and organisations. [`replay_limits`]
+//! runs them with a seed and returns [`LimitFigures`].
 
 mod event;
 mod figures;
--- a/emulator/src/limits/pattern.rs
+++ b/emulator/src/limits/pattern.rs
@@ -1,36 +1,35 @@
-//! What goes wrong in a replay of limits, and when.
+//! Load and faults of the limits simulation.
 
-/// When patterns begin: the buckets are full and all boxes have heard each other by then.
-pub(super) const BEGINS_MS: u64 = 9_000;
-/// How long they last.
-const LASTS_MS: u64 = 6_000;
-/// When a replay ends: a window after the pattern.
-pub(super) const ENDS_MS: u64 = BEGINS_MS + LASTS_MS + 8_000;
-/// An organisation that is hot sends so many times its usual.
+/// Start of the pattern. By then the buckets are full and all boxes have exchanged messages.
+pub(super) const PATTERN_START_MS: u64 = 9_000;
+const PATTERN_DURATION_MS: u64 = 6_000;
+/// End of the simulation: one usage window after the pattern.
+pub(super) const SIMULATION_END_MS: u64 = PATTERN_START_MS + PATTERN_DURATION_MS + 8_000;
+/// Load of an overloading organisation as a multiple of its normal load.
 const HOT_FACTOR: f64 = 7.5;
-/// A limit that is cut is this part of the former one.
-const CUT_LIMIT_SHARE: f64 = 0.25;
+/// A lowered limit as a fraction of the original limit.
+const LOWERED_LIMIT_SHARE: f64 = 0.25;
 
-/// A way in which limits are hard to keep.
+/// A combination of load and faults under which limits are hard to enforce. The reports print the variants' names.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LimitPattern {
-  /// Every organisation sends its usual.
+  /// Every organisation sends its normal load.
   Calm,
-  /// The largest and the smallest organisation send 7.5 times their usual, from one moment to the next.
+  /// The load of the largest and the smallest organisation jumps to 7.5 times their normal load.
   Hot,
-  /// The same, while one hall is cut off from the others.
+  /// `Hot`, while the network between one hall and the others is partitioned.
   HotAndCutHall,
-  /// The same, when all boxes have just started.
+  /// `Hot`, starting as all boxes restart.
   HotAndAllNew,
-  /// The same, while every fourth box is cut off from all others.
+  /// `Hot`, while every fourth box is isolated from all others.
   HotAndLoneBoxes,
-  /// The same, while one box that counts claims a thousand times its counts.
+  /// `Hot`, while box 0 announces a thousand times its actual totals.
   HotAndLiar,
-  /// The same, while what boxes tell each other takes half a second.
+  /// `Hot`, while messages between boxes take 500 ms.
   HotAndLag,
-  /// All limits are cut to a quarter, far below what is sent.
+  /// All limits are lowered to a quarter, far below the load.
   LimitsCut,
-  /// All callers of an organisation come by one hall.
+  /// All requests arrive at boxes of one hall.
   OneHall,
 }
 
@@ -48,76 +47,75 @@
     Self::OneHall,
   ];
 
-  /// Whether it is in force.
-  pub(super) fn is_in_force(self, now_ms: u64) -> bool {
-    (BEGINS_MS..BEGINS_MS + LASTS_MS).contains(&now_ms)
+  pub(super) fn is_active(self, now_ms: u64) -> bool {
+    (PATTERN_START_MS..PATTERN_START_MS + PATTERN_DURATION_MS).contains(&now_ms)
   }
 
-  /// Whether some organisations send more than their usual.
+  /// Whether some organisations send more than their normal load.
   pub(super) fn is_hot(self) -> bool {
     !matches!(self, Self::Calm | Self::LimitsCut | Self::OneHall)
   }
 
-  /// How many times its usual an organisation sends; the largest comes first.
+  /// The load of an organisation as a multiple of its normal load.
   pub(super) fn load(self, organisation: usize, organisations: usize, now_ms: u64) -> f64 {
-    let is_hot_one = organisation == 0 || organisation + 1 == organisations;
-    if self.is_hot() && is_hot_one && self.is_in_force(now_ms) {
+    let is_overloading = organisation == 0 || organisation + 1 == organisations;
+    if self.is_hot() && is_overloading && self.is_active(now_ms) {
       HOT_FACTOR
     } else {
       1.0
     }
   }
 
-  /// The part of the limits that is in force.
+  /// The applied limits as a fraction of the original limits.
   pub(super) fn limit_share(self, now_ms: u64) -> f64 {
-    if self == Self::LimitsCut && now_ms >= BEGINS_MS {
-      CUT_LIMIT_SHARE
+    if self == Self::LimitsCut && now_ms >= PATTERN_START_MS {
+      LOWERED_LIMIT_SHARE
     } else {
       1.0
     }
   }
 
-  /// When all boxes start, if not at the beginning.
-  pub(super) fn boxes_start_ms(self) -> Option<u64> {
-    (self == Self::HotAndAllNew).then_some(BEGINS_MS)
+  /// The time at which all boxes restart, if they do.
+  pub(super) fn boxes_restart_ms(self) -> Option<u64> {
+    (self == Self::HotAndAllNew).then_some(PATTERN_START_MS)
   }
 
-  /// Whether two boxes hear each other.
-  pub(super) fn are_connected(self, one: BoxPlace, other: BoxPlace, now_ms: u64) -> bool {
-    if !self.is_in_force(now_ms) || one.number == other.number {
+  /// Whether two boxes can exchange messages.
+  pub(super) fn are_connected(self, one: BoxLocation, other: BoxLocation, now_ms: u64) -> bool {
+    if !self.is_active(now_ms) || one.number == other.number {
       return true;
     }
     match self {
       Self::HotAndCutHall => one.hall == other.hall || (one.hall != 0 && other.hall != 0),
-      Self::HotAndLoneBoxes => !one.is_lone() && !other.is_lone(),
+      Self::HotAndLoneBoxes => !one.is_isolated() && !other.is_isolated(),
       _ => true,
     }
   }
 
-  /// How long a message takes.
-  pub(super) fn message_ms(self, one: BoxPlace, other: BoxPlace, now_ms: u64) -> u64 {
-    if self == Self::HotAndLag && self.is_in_force(now_ms) {
+  /// The delay of a message.
+  pub(super) fn message_delay_ms(self, one: BoxLocation, other: BoxLocation, now_ms: u64) -> u64 {
+    if self == Self::HotAndLag && self.is_active(now_ms) {
       return 500;
     }
     if one.hall == other.hall { 2 } else { 5 }
   }
 
-  /// What a box claims to have counted.
-  pub(super) fn claims(self, teller: BoxPlace, units: i64, now_ms: u64) -> i64 {
-    let lies = self == Self::HotAndLiar && teller.number == 0 && self.is_in_force(now_ms);
-    if lies { units * 1_000 } else { units }
+  /// The total that a box announces for the units it has counted.
+  pub(super) fn announced_units(self, sender: BoxLocation, units: i64, now_ms: u64) -> i64 {
+    let is_inflated = self == Self::HotAndLiar && sender.number == 0 && self.is_active(now_ms);
+    if is_inflated { units * 1_000 } else { units }
   }
 }
 
-/// Where a box stands.
+/// The number of a box and of its hall.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) struct BoxPlace {
+pub(super) struct BoxLocation {
   pub(super) number: usize,
   pub(super) hall: usize,
 }
 
-impl BoxPlace {
-  fn is_lone(self) -> bool {
+impl BoxLocation {
+  fn is_isolated(self) -> bool {
     self.number % 4 == 3
   }
 }
--- a/emulator/src/limits/replay.rs
+++ b/emulator/src/limits/replay.rs
@@ -1,12 +1,12 @@
-//! The replay: boxes that admit by the gateway's own books and ledgers, and messages that take their time.
+//! The limits simulation: boxes admit requests with the gateway's own usage accounting and exchange messages with delays.
 
 use {
   super::{
     event::Event,
-    figures::{LimitFigures, WindowUse},
+    figures::{LimitFigures, WindowUsage},
     fleet::{LimitFleet, REQUEST_UNITS},
     limit_box::LimitBox,
-    pattern::{BEGINS_MS, ENDS_MS, LimitPattern},
+    pattern::{LimitPattern, PATTERN_START_MS, SIMULATION_END_MS},
   },
   crate::queue::Queue,
   rand::{RngExt, SeedableRng},
@@ -21,39 +21,38 @@
   std::net::SocketAddr,
 };
 
-/// Pause between a box's messages, and turns that an idle box skips, as the gateway has them.
-const PAUSE_MS: u64 = 150;
-const IDLE_TURNS: u32 = 3;
-const WHOLE_TURNS: u32 = 10;
-/// How the users' bound is set there.
+// The sync interval, the rounds until an idle box sends an empty report and the rounds between full totals are the gateway's.
+const SYNC_INTERVAL_MS: u64 = 150;
+const IDLE_ROUNDS: u32 = 3;
+const FULL_TOTALS_ROUNDS: u32 = 10;
 const SETTINGS: LimitSettings = LimitSettings {
   overage: 0.1,
   slack_units: 190_000.0,
   strategy: LimitStrategy::AskNearLimit,
 };
-/// Bytes of an entry with a name and a number in a message.
+/// Size of a message entry: a name and a number.
 const ENTRY_BYTES: usize = 14;
 
 struct LimitReplay {
   pattern: LimitPattern,
   fleet: LimitFleet,
-  way: LimitStrategy,
+  strategy: LimitStrategy,
   random: ChaCha8Rng,
   queue: Queue<Event>,
   list: BoxList,
   names: Vec<Name>,
   boxes: Vec<LimitBox>,
-  windows: Vec<WindowUse>,
-  /// Units that each organisation was served while the pattern is in force.
+  usage_windows: Vec<WindowUsage>,
+  /// Units served to each organisation while the pattern is active.
   served: Vec<f64>,
   figures: LimitFigures,
 }
 
-/// Plays a pattern with a seed.
+/// Runs a pattern with a seed.
 pub fn replay_limits(
   pattern: LimitPattern,
   fleet: LimitFleet,
-  way: LimitStrategy,
+  strategy: LimitStrategy,
   seed: u64,
 ) -> LimitFigures {
   let mut replay = LimitReplay {
@@ -68,72 +67,78 @@
     queue: Queue::new(),
     random: ChaCha8Rng::seed_from_u64(seed),
     served: vec![0.0; fleet.organisations],
-    way,
-    windows: vec![WindowUse::default(); fleet.organisations],
+    strategy,
+    usage_windows: vec![WindowUsage::default(); fleet.organisations],
   };
-  replay.begin();
-  replay.play();
-  replay.end()
+  replay.schedule_initial_events();
+  replay.run();
+  replay.into_figures()
 }
 
 impl LimitReplay {
-  fn begin(&mut self) {
-    self.put_limits(0);
+  fn schedule_initial_events(&mut self) {
+    self.apply_limits(0);
     for organisation in 0..self.fleet.organisations {
-      self.await_next(organisation, 0);
+      self.schedule_next_request(organisation, 0);
     }
     for from in 0..self.fleet.boxes {
-      let at_ms = self.random.random_range(0..PAUSE_MS);
-      self.queue.put(at_ms, Event::Tells { from });
+      let at_ms = self.random.random_range(0..SYNC_INTERVAL_MS);
+      self.queue.put(at_ms, Event::SyncUsage { from });
     }
-    self.queue.put(BEGINS_MS, Event::LimitsChange);
-    if let Some(at_ms) = self.pattern.boxes_start_ms() {
-      self.queue.put(at_ms, Event::BoxesStart);
+    self.queue.put(PATTERN_START_MS, Event::LimitsChange);
+    if let Some(at_ms) = self.pattern.boxes_restart_ms() {
+      self.queue.put(at_ms, Event::BoxesRestart);
     }
   }
 
-  fn play(&mut self) {
+  fn run(&mut self) {
     while let Some((now_ms, event)) = self.queue.next() {
-      if now_ms >= ENDS_MS {
+      if now_ms >= SIMULATION_END_MS {
         return;
       }
-      self.happen(event, now_ms);
+      self.handle(event, now_ms);
     }
   }
 
-  fn happen(&mut self, event: Event, now_ms: u64) {
+  fn handle(&mut self, event: Event, now_ms: u64) {
     match event {
-      Event::Arrives { organisation } => {
-        self.arrive(organisation, now_ms);
-        self.await_next(organisation, now_ms);
+      Event::RequestArrives { organisation } => {
+        self.handle_request(organisation, now_ms);
+        self.schedule_next_request(organisation, now_ms);
       }
-      Event::Tells { from } => {
-        self.tell(from, now_ms);
-        self.queue.put(now_ms + PAUSE_MS, Event::Tells { from });
+      Event::SyncUsage { from } => {
+        self.sync_usage(from, now_ms);
+        self
+          .queue
+          .put(now_ms + SYNC_INTERVAL_MS, Event::SyncUsage { from });
       }
-      Event::HearsTotals { at, totals } => {
-        let heard = &mut self.boxes[at];
-        let uptime_ms = now_ms - heard.started_ms;
-        heard.book.merge_totals(&totals, uptime_ms, now_ms);
+      Event::TotalsReceived { at, totals } => {
+        let receiver = &mut self.boxes[at];
+        let uptime_ms = now_ms - receiver.started_ms;
+        receiver
+          .usage_table
+          .merge_totals(&totals, uptime_ms, now_ms);
       }
-      Event::HearsReport { at, from, used } => self.hear_report(at, from, &used, now_ms),
-      Event::HearsShort { at, short } => self.boxes[at].ledger.record_near_limit(short, now_ms),
-      Event::BoxesStart => {
-        for started in &mut self.boxes {
-          *started = LimitBox {
-            bytes: started.bytes,
-            messages: started.messages,
+      Event::ReportReceived { at, from, used } => self.handle_report(at, from, &used, now_ms),
+      Event::NearLimitReceived { at, near } => {
+        self.boxes[at].local_usage.record_near_limit(near, now_ms)
+      }
+      Event::BoxesRestart => {
+        for each in &mut self.boxes {
+          *each = LimitBox {
+            bytes: each.bytes,
+            messages: each.messages,
             started_ms: now_ms,
             ..LimitBox::default()
           };
         }
-        self.put_limits(now_ms);
+        self.apply_limits(now_ms);
       }
-      Event::LimitsChange => self.put_limits(now_ms),
+      Event::LimitsChange => self.apply_limits(now_ms),
     }
   }
 
-  /// The operators' limit of an organisation.
+  /// The limit of an organisation with the pattern's change applied.
   fn limit(&self, organisation: usize, now_ms: u64) -> UsageLimit {
     let limit = self.fleet.limit(organisation);
     let share = self.pattern.limit_share(now_ms);
@@ -143,70 +148,73 @@
     }
   }
 
-  fn put_limits(&mut self, now_ms: u64) {
+  fn apply_limits(&mut self, now_ms: u64) {
     let limits: Vec<(Name, UsageLimit)> = (0..self.fleet.organisations)
       .map(|number| {
-        let kept = SETTINGS.enforced(self.limit(number, now_ms));
-        (self.names[number].clone(), kept)
+        let enforced = SETTINGS.enforced(self.limit(number, now_ms));
+        (self.names[number].clone(), enforced)
       })
       .collect();
     for each in &mut self.boxes {
-      each.book.set_limits(limits.iter().cloned(), now_ms);
+      each.usage_table.set_limits(limits.iter().cloned(), now_ms);
     }
   }
 
-  fn await_next(&mut self, organisation: usize, now_ms: u64) {
+  fn schedule_next_request(&mut self, organisation: usize, now_ms: u64) {
     let load = self
       .pattern
       .load(organisation, self.fleet.organisations, now_ms);
     let per_s = self.fleet.requests_per_s(organisation) * load;
     let draw: f64 = self.random.random();
-    let pause_ms = -(1.0 - draw).ln() / per_s * 1_000.0;
-    // A pause that began before the load changed does not outlast the change.
-    let until_ms = now_ms + (pause_ms as u64).min(1_000);
-    self.queue.put(until_ms, Event::Arrives { organisation });
+    let interval_ms = -(1.0 - draw).ln() / per_s * 1_000.0;
+    // Capped, so that a long interval drawn before a change of load does not delay the new load.
+    let at_ms = now_ms + (interval_ms as u64).min(1_000);
+    self
+      .queue
+      .put(at_ms, Event::RequestArrives { organisation });
   }
 
-  fn arrive(&mut self, organisation: usize, now_ms: u64) {
-    let only_hall = self.pattern == LimitPattern::OneHall;
+  fn handle_request(&mut self, organisation: usize, now_ms: u64) {
+    let one_hall = self.pattern == LimitPattern::OneHall;
     let caller = self.random.random_range(0..self.fleet.boxes);
-    let at = self.fleet.box_of(organisation, caller, only_hall);
-    let is_within = self.admit(at, organisation, now_ms);
+    let at = self.fleet.box_of(organisation, caller, one_hall);
+    let is_admitted = self.admit(at, organisation, now_ms);
     let load = self
       .pattern
       .load(organisation, self.fleet.organisations, now_ms);
-    let is_hot = self.pattern.is_hot() && organisation_is_hot(organisation, self.fleet);
-    if !is_hot && load <= 1.0 && self.pattern.limit_share(now_ms) >= 1.0 {
+    let is_overloading = self.pattern.is_hot() && is_overloading(organisation, self.fleet);
+    if !is_overloading && load <= 1.0 && self.pattern.limit_share(now_ms) >= 1.0 {
       self.figures.inside += 1;
-      self.figures.refused_inside += u32::from(!is_within);
+      self.figures.refused_inside += u32::from(!is_admitted);
     }
-    if is_within {
+    if is_admitted {
       let limit = self.limit(organisation, now_ms);
-      let used = self.windows[organisation].admit(REQUEST_UNITS as f64, limit, now_ms);
-      // A lower limit takes hold a window after its change.
-      let is_changing =
-        self.pattern == LimitPattern::LimitsCut && (BEGINS_MS..BEGINS_MS + 8_000).contains(&now_ms);
+      let used = self.usage_windows[organisation].admit(REQUEST_UNITS as f64, limit, now_ms);
+      // A lowered limit applies to whole windows only one window after the change.
+      let is_changing = self.pattern == LimitPattern::LimitsCut
+        && (PATTERN_START_MS..PATTERN_START_MS + 8_000).contains(&now_ms);
       if !is_changing {
         self.figures.most_used = self.figures.most_used.max(used);
       }
-      if self.pattern.is_in_force(now_ms) {
+      if self.pattern.is_active(now_ms) {
         self.served[organisation] += REQUEST_UNITS as f64;
       }
     }
   }
 
-  /// Whether a box admits a request.
   fn admit(&mut self, at: usize, organisation: usize, now_ms: u64) -> bool {
     let name = self.names[organisation].clone();
-    let Some(limit) = self.boxes[at].book.limit(&name) else {
+    let Some(limit) = self.boxes[at].usage_table.limit(&name) else {
       return true;
     };
-    if self.way.uses_coordinators() && self.is_counting(at) {
-      let verdict = self.boxes[at].book.admit(&name, REQUEST_UNITS, now_ms);
+    if self.strategy.uses_coordinators() && self.is_coordinator(at) {
+      let verdict = self.boxes[at]
+        .usage_table
+        .admit(&name, REQUEST_UNITS, now_ms);
       return verdict == UsageVerdict::WithinLimit;
     }
     let request = self.request(&name, limit, now_ms);
-    let local = self.boxes[at].ledger.admit(request, self.way);
+    let local = self.boxes[at].local_usage.admit(request, self.strategy);
     let verdict = match local {
       LocalVerdict::Settled(verdict) => verdict,
       LocalVerdict::Ask => self.ask(at, &name, limit, now_ms),
@@ -229,149 +237,155 @@
     }
   }
 
-  /// Asks the first box that counts and is reached; in the replay it answers at once.
+  /// Asks the first reachable coordinator, which responds without a delay in the simulation.
   fn ask(&mut self, at: usize, name: &Name, limit: UsageLimit, now_ms: u64) -> UsageVerdict {
-    let Some(counting) = self.first_reached(at, now_ms) else {
+    let Some(coordinator) = self.first_reachable_coordinator(at, now_ms) else {
       let request = self.request(name, limit, now_ms);
-      let ledger = &mut self.boxes[at].ledger;
-      ledger.record_unreachable();
-      return ledger.admit_isolated(request);
+      let local_usage = &mut self.boxes[at].local_usage;
+      local_usage.record_unreachable();
+      return local_usage.admit_isolated(request);
     };
-    let used = self.boxes[at].ledger.take_unreported();
-    self.note_message(at, counting, used.len() + 1);
-    let asking: Name = self.fleet.name(at).as_str().into();
-    let book = &mut self.boxes[counting].book;
-    book.record_reporter(&asking, now_ms);
+    let used = self.boxes[at].local_usage.take_unreported();
+    self.record_message(at, coordinator, used.len() + 1);
+    let reporter: Name = self.fleet.name(at).as_str().into();
+    let usage_table = &mut self.boxes[coordinator].usage_table;
+    usage_table.record_reporter(&reporter, now_ms);
     for (organisation, units) in &used {
-      book.charge(organisation, *units, now_ms);
+      usage_table.charge(organisation, *units, now_ms);
     }
-    let verdict = book.admit(name, REQUEST_UNITS, now_ms);
-    let short = book.near_limit(now_ms);
-    let ledger = &mut self.boxes[at].ledger;
-    ledger.record_near_limit(short, now_ms);
+    let verdict = usage_table.admit(name, REQUEST_UNITS, now_ms);
+    let near = usage_table.near_limit(now_ms);
+    let local_usage = &mut self.boxes[at].local_usage;
+    local_usage.record_near_limit(near, now_ms);
     match verdict {
-      UsageVerdict::WithinLimit => ledger.record_admitted(name, REQUEST_UNITS, now_ms),
-      UsageVerdict::OverLimit {
-        remaining: left,
-        wait_ms,
-      } => ledger.record_rejected(name, left, wait_ms, now_ms),
+      UsageVerdict::WithinLimit => local_usage.record_admitted(name, REQUEST_UNITS, now_ms),
+      UsageVerdict::OverLimit { remaining, wait_ms } => {
+        local_usage.record_rejected(name, remaining, wait_ms, now_ms)
+      }
     }
     verdict
   }
 
-  fn tell(&mut self, from: usize, now_ms: u64) {
-    if !self.way.uses_coordinators() {
+  fn sync_usage(&mut self, from: usize, now_ms: u64) {
+    if !self.strategy.uses_coordinators() {
       return;
     }
-    if self.is_counting(from) {
-      return self.tell_the_others(from, now_ms);
+    if self.is_coordinator(from) {
+      return self.announce_totals(from, now_ms);
     }
-    let teller = &mut self.boxes[from];
-    let is_busy = teller.ledger.is_busy();
-    teller.idle_turns = if is_busy { 0 } else { teller.idle_turns + 1 };
-    if !is_busy && teller.idle_turns < IDLE_TURNS {
+    let sender = &mut self.boxes[from];
+    let is_busy = sender.local_usage.is_busy();
+    sender.idle_rounds = if is_busy { 0 } else { sender.idle_rounds + 1 };
+    if !is_busy && sender.idle_rounds < IDLE_ROUNDS {
       return;
     }
-    teller.idle_turns = 0;
-    let Some(at) = self.first_reached(from, now_ms) else {
-      self.boxes[from].ledger.record_unreachable();
+    sender.idle_rounds = 0;
+    let Some(at) = self.first_reachable_coordinator(from, now_ms) else {
+      self.boxes[from].local_usage.record_unreachable();
       return;
     };
-    let used = self.boxes[from].ledger.take_unreported();
-    self.note_message(from, at, used.len());
-    let at_ms = now_ms + self.message_ms(from, at, now_ms);
-    self.queue.put(at_ms, Event::HearsReport { at, from, used });
+    let used = self.boxes[from].local_usage.take_unreported();
+    self.record_message(from, at, used.len());
+    let at_ms = now_ms + self.message_delay_ms(from, at, now_ms);
+    self
+      .queue
+      .put(at_ms, Event::ReportReceived { at, from, used });
   }
 
-  fn tell_the_others(&mut self, from: usize, now_ms: u64) {
+  fn announce_totals(&mut self, from: usize, now_ms: u64) {
     let name: Name = self.fleet.name(from).as_str().into();
-    let place = self.fleet.place(from);
-    let teller = &mut self.boxes[from];
-    let span = match teller.turns % WHOLE_TURNS {
+    let location = self.fleet.location(from);
+    let sender = &mut self.boxes[from];
+    let scope = match sender.rounds % FULL_TOTALS_ROUNDS {
       0 => ReportScope::All,
       _ => ReportScope::Changed,
     };
-    teller.turns += 1;
-    teller.book.set_box_count(self.fleet.boxes, now_ms);
-    let reporters = teller.book.reporter_count(now_ms);
-    let told = teller.book.totals_to_report(span);
-    let claimed = told.into_iter().map(|(name, units)| {
-      let units = self.pattern.claims(place, units, now_ms);
+    sender.rounds += 1;
+    sender.usage_table.set_box_count(self.fleet.boxes, now_ms);
+    let reporters = sender.usage_table.reporter_count(now_ms);
+    let totals = sender.usage_table.totals_to_report(scope);
+    let announced = totals.into_iter().map(|(name, units)| {
+      let units = self.pattern.announced_units(location, units, now_ms);
       (name, units)
     });
     let totals = UsageTotals {
       box_name: name.clone(),
       reporters,
-      incarnation: teller.started_ms,
-      totals: claimed.collect(),
-      uptime_ms: now_ms - teller.started_ms,
+      incarnation: sender.started_ms,
+      totals: announced.collect(),
+      uptime_ms: now_ms - sender.started_ms,
     };
     for address in self.list.other_coordinators(&name) {
       let at = LimitFleet::number(address);
       if !self
         .pattern
-        .are_connected(place, self.fleet.place(at), now_ms)
+        .are_connected(location, self.fleet.location(at), now_ms)
       {
         continue;
       }
-      self.note_message(from, at, totals.totals.len());
-      let at_ms = now_ms + self.message_ms(from, at, now_ms);
+      self.record_message(from, at, totals.totals.len());
+      let at_ms = now_ms + self.message_delay_ms(from, at, now_ms);
       let totals = totals.clone();
-      self.queue.put(at_ms, Event::HearsTotals { at, totals });
+      self.queue.put(at_ms, Event::TotalsReceived { at, totals });
     }
   }
 
-  fn hear_report(&mut self, at: usize, from: usize, used: &[(Name, i64)], now_ms: u64) {
-    let reporting: Name = self.fleet.name(from).as_str().into();
-    let book = &mut self.boxes[at].book;
-    book.record_reporter(&reporting, now_ms);
+  fn handle_report(&mut self, at: usize, from: usize, used: &[(Name, i64)], now_ms: u64) {
+    let reporter: Name = self.fleet.name(from).as_str().into();
+    let usage_table = &mut self.boxes[at].usage_table;
+    usage_table.record_reporter(&reporter, now_ms);
     for (organisation, units) in used {
-      book.charge(organisation, *units, now_ms);
+      usage_table.charge(organisation, *units, now_ms);
     }
-    let short = book.near_limit(now_ms);
-    let at_ms = now_ms + self.message_ms(at, from, now_ms);
-    self.queue.put(at_ms, Event::HearsShort { at: from, short });
+    let near = usage_table.near_limit(now_ms);
+    let at_ms = now_ms + self.message_delay_ms(at, from, now_ms);
+    self
+      .queue
+      .put(at_ms, Event::NearLimitReceived { at: from, near });
   }
 
-  fn is_counting(&self, number: usize) -> bool {
-    let hall = format!("hall-{}", self.fleet.place(number).hall);
+  fn is_coordinator(&self, number: usize) -> bool {
+    let hall = format!("hall-{}", self.fleet.location(number).hall);
     self.list.is_coordinator(&self.fleet.name(number), &hall)
   }
 
-  /// The box that counts and that a box reaches first.
-  fn first_reached(&self, from: usize, now_ms: u64) -> Option<usize> {
-    let place = self.fleet.place(from);
-    let hall = format!("hall-{}", place.hall);
+  /// The first coordinator in a box's order that it can reach.
+  fn first_reachable_coordinator(&self, from: usize, now_ms: u64) -> Option<usize> {
+    let location = self.fleet.location(from);
+    let hall = format!("hall-{}", location.hall);
     let name = self.fleet.name(from);
-    let reached = |address: &SocketAddr| {
-      let other = self.fleet.place(LimitFleet::number(*address));
-      self.pattern.are_connected(place, other, now_ms)
+    let is_reachable = |address: &SocketAddr| {
+      let other = self.fleet.location(LimitFleet::number(*address));
+      self.pattern.are_connected(location, other, now_ms)
     };
-    let counting = self.list.coordinators_for(&name, &hall);
-    counting.into_iter().find(reached).map(LimitFleet::number)
+    let coordinators = self.list.coordinators_for(&name, &hall);
+    coordinators
+      .into_iter()
+      .find(is_reachable)
+      .map(LimitFleet::number)
   }
 
-  fn message_ms(&self, one: usize, other: usize, now_ms: u64) -> u64 {
-    let (one, other) = (self.fleet.place(one), self.fleet.place(other));
-    self.pattern.message_ms(one, other, now_ms)
+  fn message_delay_ms(&self, one: usize, other: usize, now_ms: u64) -> u64 {
+    let (one, other) = (self.fleet.location(one), self.fleet.location(other));
+    self.pattern.message_delay_ms(one, other, now_ms)
   }
 
-  fn note_message(&mut self, from: usize, to: usize, entries: usize) {
+  fn record_message(&mut self, from: usize, to: usize, entries: usize) {
     for number in [from, to] {
       self.boxes[number].messages += 1;
       self.boxes[number].bytes += entries * ENTRY_BYTES;
     }
   }
 
-  fn end(mut self) -> LimitFigures {
-    let seconds = ENDS_MS as f64 / 1_000.0;
+  fn into_figures(mut self) -> LimitFigures {
+    let seconds = SIMULATION_END_MS as f64 / 1_000.0;
     let messages = self.boxes.iter().map(|each| each.messages).max();
     let bytes = self.boxes.iter().map(|each| each.bytes).max();
     self.figures.busiest_messages_per_s = f64::from(messages.unwrap_or(0)) / seconds;
     self.figures.busiest_bytes_per_s = bytes.unwrap_or(0) as f64 / seconds;
     let limit = self.fleet.limit(0);
-    let pattern_s = (BEGINS_MS..ENDS_MS)
-      .filter(|at_ms| self.pattern.is_in_force(*at_ms))
+    let pattern_s = (PATTERN_START_MS..SIMULATION_END_MS)
+      .filter(|at_ms| self.pattern.is_active(*at_ms))
       .count() as f64
       / 1_000.0;
     self.figures.served_of_limit = self.served[0] / (limit.rate_per_s * pattern_s + limit.burst);
@@ -379,6 +393,6 @@
   }
 }
 
-fn organisation_is_hot(organisation: usize, fleet: LimitFleet) -> bool {
+fn is_overloading(organisation: usize, fleet: LimitFleet) -> bool {
   organisation == 0 || organisation + 1 == fleet.organisations
 }
--- a/emulator/src/limits/report.rs
+++ b/emulator/src/limits/report.rs
@@ -1,4 +1,4 @@
-//! The table of a replay of limits.
+//! The report of the limits simulation as a Markdown table.
 
 use {
   super::{LimitFigures, LimitFleet, LimitPattern, replay_limits},
@@ -6,10 +6,10 @@
   rillford::gateway::LimitStrategy,
 };
 
-/// Which table is wanted.
+/// Options of the limits report.
 #[derive(Bpaf, Clone, Copy, Debug)]
 pub struct LimitReport {
-  /// Seeds for each pattern and way
+  /// Seeds for each pattern and strategy
   #[bpaf(long, argument("N"), fallback(4))]
   seeds: u64,
   /// Boxes
@@ -23,7 +23,8 @@
   organisations: usize,
 }
 
-/// Plays all patterns in all ways and prints what came of them; the worst of the seeds stands for bounds.
+/// Runs every pattern with every strategy and prints a table: the maximum over all seeds for usage, messages and bytes, and the
+/// mean for the shares.
 pub fn print_limits(report: LimitReport) {
   let fleet = LimitFleet {
     boxes: report.boxes,
@@ -35,29 +36,29 @@
   );
   println!("| --- | --- | ---: | ---: | ---: | ---: | ---: |");
   for pattern in LimitPattern::ALL {
-    for way in [
+    for strategy in [
       LimitStrategy::EvenSplit,
       LimitStrategy::ReportedTotals,
       LimitStrategy::AskNearLimit,
     ] {
-      let plays: Vec<LimitFigures> = (1..=report.seeds)
-        .map(|seed| replay_limits(pattern, fleet, way, seed))
+      let runs: Vec<LimitFigures> = (1..=report.seeds)
+        .map(|seed| replay_limits(pattern, fleet, strategy, seed))
         .collect();
-      print_row(pattern, way, &plays);
+      print_row(pattern, strategy, &runs);
     }
   }
 }
 
-fn print_row(pattern: LimitPattern, way: LimitStrategy, plays: &[LimitFigures]) {
-  let most = |figure: fn(&LimitFigures) -> f64| plays.iter().map(figure).fold(0.0, f64::max);
+fn print_row(pattern: LimitPattern, strategy: LimitStrategy, runs: &[LimitFigures]) {
+  let max = |figure: fn(&LimitFigures) -> f64| runs.iter().map(figure).fold(0.0, f64::max);
   let mean =
-    |figure: fn(&LimitFigures) -> f64| plays.iter().map(figure).sum::<f64>() / plays.len() as f64;
+    |figure: fn(&LimitFigures) -> f64| runs.iter().map(figure).sum::<f64>() / runs.len() as f64;
   println!(
-    "| {pattern:?} | {way:?} | {:.2} | {:.5} | {:.2} | {:.1} | {:.0} |",
-    most(|play| play.most_used),
+    "| {pattern:?} | {strategy:?} | {:.2} | {:.5} | {:.2} | {:.1} | {:.0} |",
+    max(|run| run.most_used),
     mean(LimitFigures::refused_share),
-    mean(|play| play.served_of_limit),
-    most(|play| play.busiest_messages_per_s),
-    most(|play| play.busiest_bytes_per_s),
+    mean(|run| run.served_of_limit),
+    max(|run| run.busiest_messages_per_s),
+    max(|run| run.busiest_bytes_per_s),
   );
 }
