--- a/emulator/src/places/event.rs
+++ b/emulator/src/places/event.rs
@@ -1,57 +1,55 @@
-//! What happens in a replay of places.
+//! Events of the permit simulation.
 
 use rillford::gateway::{PermitRequest, PermitVerdict, UsageTotals};
 
-/// What happens at a moment.
 pub(super) enum Event {
-  /// A caller comes.
-  Arrives,
-  /// A box asks another one for places.
-  Question {
+  /// A caller's request arrives at a box.
+  RequestArrives,
+  /// A coordinator receives a permit request.
+  PermitRequest {
     from: usize,
     to: usize,
     number: u32,
-    wish: PermitRequest,
-    told: Word,
+    request: PermitRequest,
+    limit: ReceivedLimit,
   },
-  /// The answer is there.
-  Answer {
+  /// A box receives the response to its permit request.
+  PermitResponse {
     to: usize,
-    from: usize,
     number: u32,
     verdict: PermitVerdict,
-    told: Word,
+    limit: ReceivedLimit,
   },
-  /// A question has had its time.
-  TimedOut {
+  /// The timeout of a permit request.
+  PermitTimeout {
     at: usize,
     to: usize,
     number: u32,
-    wish: PermitRequest,
+    request: PermitRequest,
   },
   /// A request reaches the endpoint.
-  AtEndpoint { from: usize, is_told: bool },
-  /// Its answer is back, and names a limit.
-  Heard { at: usize, sent_ms: u64, per_s: f64 },
-  /// A box tells another one of the limit.
-  Told {
+  AtEndpoint { from: usize, knows_limit: bool },
+  /// A box receives the endpoint's response, which advertises a limit.
+  ResponseReceived { at: usize, sent_ms: u64, per_s: f64 },
+  /// A box receives the limit from another box.
+  LimitReceived {
     to: usize,
-    word: Word,
-    is_told_on: bool,
+    limit: ReceivedLimit,
+    is_forwarded: bool,
   },
-  /// A box's turn to tell its sum.
-  Turn { at: usize },
-  /// A sum is heard.
-  Totals { to: usize, totals: Box<UsageTotals> },
-  /// A box hears of a change of the list.
-  Listed { at: usize, has_counting: bool },
-  /// The box that counts starts with nothing.
-  Starts,
+  /// A box announces its total to all others.
+  AnnounceTotal { at: usize },
+  /// A box receives another's total.
+  TotalsReceived { to: usize, totals: Box<UsageTotals> },
+  /// A box receives a change of the box list.
+  ListReceived { at: usize, has_coordinator: bool },
+  /// The coordinator restarts with empty state.
+  CoordinatorRestarts,
 }
 
-/// An endpoint's word, and when it was heard.
+/// An advertised limit with the time at which a box received it from the endpoint.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Word {
+pub(super) struct ReceivedLimit {
   pub(super) per_s: f64,
-  pub(super) heard_ms: u64,
+  pub(super) received_ms: u64,
 }
--- a/emulator/src/places/figures.rs
+++ b/emulator/src/places/figures.rs
@@ -1,20 +1,20 @@
-//! What came of a replay of places.
+//! Results of a permit simulation.
 
-/// Figures of one replay.
+/// Results of one run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PlaceFigures {
-  /// The most requests in four seconds of boxes that had been told, from three seconds after the first word.
+  /// The highest number of requests within 4 s from boxes that knew the limit, starting 3 s after it was first advertised.
   pub most_in_window: u32,
-  /// Requests that the endpoint got from five seconds after its first word on, as a part of what it named.
+  /// Requests that the endpoint received from 5 s after it began to advertise the limit, as a fraction of that limit.
   pub used_share: f64,
-  /// Requests that it got after its first word from boxes that had not heard it.
+  /// Requests, sent after the limit was first advertised, of boxes that had not yet received a response with it.
   pub untold: u32,
-  /// Requests that went elsewhere.
+  /// Requests that were not sent to this endpoint.
   pub elsewhere: u32,
   /// Messages between boxes.
   pub messages: u32,
-  /// Bytes a second at the box that had most of them, from the first word on.
+  /// Bytes per second, sent and received, of the box with the most bytes, while the limit is advertised.
   pub busiest_bytes_per_s: f64,
-  /// Bytes a second of a box at the mean.
+  /// Bytes per second, sent and received, of the average box.
   pub mean_bytes_per_s: f64,
 }
--- a/emulator/src/places/fleet.rs
+++ b/emulator/src/places/fleet.rs
@@ -1,28 +1,26 @@
-//! The boxes of a replay of places.
+//! Boxes of the permit simulation.
 
 use {
   rillford::gateway::{BoxEntry, BoxList},
   std::net::{IpAddr, Ipv4Addr, SocketAddr},
 };
 
-/// Data halls.
 const HALLS: usize = 3;
-/// Ports begin here; an address leads back to its box's number.
+/// Port of box 0. A box's port is this plus its number, so that an address identifies its box.
 const FIRST_PORT: usize = 1_000;
 
-/// Boxes before an endpoint that names a limit.
+/// Number of boxes, the limit that the endpoint advertises and the load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlaceFleet {
-  /// Boxes.
   pub boxes: usize,
-  /// Requests a second that the endpoint names.
+  /// The advertised limit.
   pub limit_per_s: f64,
-  /// Requests a second that could go there.
+  /// Rate of the requests that could be sent to the endpoint.
   pub requests_per_s: f64,
 }
 
 impl PlaceFleet {
-  /// A fleet with enough requests for its limit.
+  /// A fleet whose load is four times the limit.
   pub fn pressed(boxes: usize, limit_per_s: f64) -> Self {
     Self {
       boxes,
@@ -31,7 +29,7 @@
     }
   }
 
-  /// What the users allow in a window of four seconds.
+  /// The requests that the endpoint may receive in a window of 4 s: the limit with its allowed overage.
   pub fn allowed(&self) -> f64 {
     self.limit_per_s * 4.0 * 1.5 + 5.0
   }
@@ -48,7 +46,7 @@
     usize::from(address.port()) - FIRST_PORT
   }
 
-  /// The list of all boxes but one.
+  /// The box list, without one box if `missing` is set.
   pub(super) fn list_without(&self, missing: Option<usize>) -> BoxList {
     let mut list = BoxList::default();
     for number in (0..self.boxes).filter(|number| Some(*number) != missing) {
--- a/emulator/src/places/mod.rs
+++ b/emulator/src/places/mod.rs
@@ -1,8 +1,8 @@
-//! An endpoint that names a limit for all boxes together, replayed in virtual time against the gateway's own decisions: hundreds of
-//! boxes without a process, a socket or a wait.
+//! Simulation of an endpoint that advertises a rate limit for all boxes together: hundreds of boxes run the gateway's decision
+//! code in virtual time, without processes or sockets. A place is a permit to send one request to the endpoint.
 //!
-//! A [`PlacePattern`] says what happens and when, a [`PlaceFleet`] how many boxes there are, which limit is named and how many
-//! requests come, a [`PlaceWay`] what boxes make of it; [`replay_places`] plays them with a seed and answers with [`PlaceFigures`].
+//! A [`PlacePattern`] sets the faults, a [`PlaceFleet`] the number of boxes, the limit and the load, a [`PlaceWay`] the strategy
+//! by which boxes enforce the limit. [`replay_places`] runs them with a seed and returns [`PlaceFigures`].
 
 mod event;
 mod figures;
--- a/emulator/src/places/pattern.rs
+++ b/emulator/src/places/pattern.rs
@@ -1,32 +1,32 @@
-//! What happens in a replay of places, and when.
+//! Load and faults of the permit simulation.
 
-/// When a replay ends.
-pub(super) const ENDS_MS: u64 = 60_000;
-/// From here on the endpoint names its limit.
-pub(super) const NAMED_FROM_MS: u64 = 5_000;
-/// When the box that counts freezes, or is cut off.
-const AWAY_MS: (u64, u64) = (15_000, 30_000);
-/// When it ends, and is back.
-pub(super) const ENDED_MS: (u64, u64) = (15_000, 32_000);
-/// Boxes hear of a change of their list up to so much later.
-pub(super) const LIST_LAG_MS: f64 = 2_000.0;
+/// End of the simulation.
+pub(super) const SIMULATION_END_MS: u64 = 60_000;
+/// Time from which the endpoint advertises its limit.
+pub(super) const ADVERTISED_FROM_MS: u64 = 5_000;
+/// Period in which the coordinator is frozen or the endpoint's hall is partitioned.
+const FAULT_MS: (u64, u64) = (15_000, 30_000);
+/// Period in which the coordinator is terminated.
+pub(super) const TERMINATED_MS: (u64, u64) = (15_000, 32_000);
+/// Maximum delay until a box receives a change of the box list.
+pub(super) const MAX_LIST_DELAY_MS: f64 = 2_000.0;
 
-/// What happens.
+/// Load and faults. The report prints the variants' names.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PlacePattern {
-  /// Callers come by all boxes.
+  /// Requests arrive at all boxes.
   Even,
-  /// All callers come by one box.
+  /// All requests arrive at one box.
   OneBox,
-  /// The box that counts does nothing for fifteen seconds.
+  /// The coordinator is frozen for 15 s.
   CountingFreezes,
-  /// The box that counts ends, and starts again; the others hear of it at different moments.
+  /// The coordinator terminates and restarts; the other boxes receive both changes at different times.
   CountingEnds,
-  /// The boxes of the endpoint's hall can't be reached from the others for fifteen seconds; the endpoint can.
+  /// The boxes of the endpoint's hall are partitioned from the others for 15 s; all boxes still reach the endpoint.
   HallCutOff,
-  /// Messages between boxes take up to 150 ms, and one in five is lost.
+  /// Messages between boxes are delayed by up to 150 ms, and one in five is lost.
   LateAndLost,
-  /// Each second answer names half of the limit.
+  /// Every second response advertises half of the limit.
   FiguresDiffer,
 }
 
@@ -42,22 +42,22 @@
     Self::FiguresDiffer,
   ];
 
-  /// Whether the box that counts does nothing.
+  /// Whether the coordinator is frozen.
   pub(super) fn is_frozen(self, now_ms: u64) -> bool {
-    self == Self::CountingFreezes && (AWAY_MS.0..AWAY_MS.1).contains(&now_ms)
+    self == Self::CountingFreezes && (FAULT_MS.0..FAULT_MS.1).contains(&now_ms)
   }
 
-  /// Whether the box that counts is not there.
-  pub(super) fn has_ended(self, now_ms: u64) -> bool {
-    self == Self::CountingEnds && (ENDED_MS.0..ENDED_MS.1).contains(&now_ms)
+  /// Whether the coordinator is terminated.
+  pub(super) fn is_terminated(self, now_ms: u64) -> bool {
+    self == Self::CountingEnds && (TERMINATED_MS.0..TERMINATED_MS.1).contains(&now_ms)
   }
 
-  /// Whether the endpoint's hall is cut off from other boxes.
-  pub(super) fn is_cut(self, now_ms: u64) -> bool {
-    self == Self::HallCutOff && (AWAY_MS.0..AWAY_MS.1).contains(&now_ms)
+  /// Whether the endpoint's hall is partitioned from the others.
+  pub(super) fn is_partitioned(self, now_ms: u64) -> bool {
+    self == Self::HallCutOff && (FAULT_MS.0..FAULT_MS.1).contains(&now_ms)
   }
 
-  /// Whether something keeps boxes from the one that counts, or changes the figure.
+  /// Whether the pattern has no fault and the advertised limit stays the same.
   pub fn is_calm(self) -> bool {
     matches!(self, Self::Even | Self::OneBox)
   }
--- a/emulator/src/places/report.rs
+++ b/emulator/src/places/report.rs
@@ -1,28 +1,29 @@
-//! The table of a replay of places.
+//! The report of the permit simulation as a Markdown table.
 
 use {
   super::{PlaceFigures, PlaceFleet, PlacePattern, PlaceWay, replay_places},
   bpaf::Bpaf,
 };
 
-/// The most boxes that tell each other their sums.
-const MOST_TOLD_SUMS: usize = 30;
+/// Maximum number of boxes for `ToldSums`, in which every box sends messages to every other.
+const MAX_TOLD_SUMS_BOXES: usize = 30;
 
-/// Which table is wanted.
+/// Options of the permit report.
 #[derive(Bpaf, Clone, Copy, Debug)]
 pub struct PlaceReport {
-  /// Seeds for each pattern and way
+  /// Seeds for each pattern and strategy
   #[bpaf(long, argument("N"), fallback(4))]
   seeds: u64,
   /// Boxes
   #[bpaf(long, argument("N"), fallback(8))]
   boxes: usize,
-  /// Requests a second that the endpoint names
+  /// Requests per second that the endpoint advertises as its limit
   #[bpaf(long, argument("N"), fallback(2.4))]
   limit_per_s: f64,
 }
 
-/// Plays all patterns in all ways and prints what came of them; the worst of the seeds stands for the window.
+/// Runs every pattern with every strategy and prints a table: the maximum over all seeds for the requests in a window, and the mean
+/// for all else.
 pub fn print_places(report: PlaceReport) {
   let fleet = PlaceFleet::pressed(report.boxes, report.limit_per_s);
   println!(
@@ -37,31 +38,30 @@
   );
   println!("| --- | --- | ---: | ---: | ---: | ---: | ---: | ---: |");
   for pattern in PlacePattern::ALL {
-    for way in PlaceWay::ALL {
-      // Each box tells each other one: that is hundreds of thousands of messages a second.
-      if way == PlaceWay::ToldSums && report.boxes > MOST_TOLD_SUMS {
+    for strategy in PlaceWay::ALL {
+      if strategy == PlaceWay::ToldSums && report.boxes > MAX_TOLD_SUMS_BOXES {
         continue;
       }
-      let plays: Vec<PlaceFigures> = (1..=report.seeds)
-        .map(|seed| replay_places(pattern, fleet, way, seed))
+      let runs: Vec<PlaceFigures> = (1..=report.seeds)
+        .map(|seed| replay_places(pattern, fleet, strategy, seed))
         .collect();
-      print_row(pattern, way, &plays);
+      print_row(pattern, strategy, &runs);
     }
   }
 }
 
-fn print_row(pattern: PlacePattern, way: PlaceWay, plays: &[PlaceFigures]) {
+fn print_row(pattern: PlacePattern, strategy: PlaceWay, runs: &[PlaceFigures]) {
   let mean =
-    |figure: fn(&PlaceFigures) -> f64| plays.iter().map(figure).sum::<f64>() / plays.len() as f64;
-  let most = plays.iter().map(|play| play.most_in_window).max();
+    |figure: fn(&PlaceFigures) -> f64| runs.iter().map(figure).sum::<f64>() / runs.len() as f64;
+  let max = runs.iter().map(|run| run.most_in_window).max();
   println!(
-    "| {pattern:?} | {way:?} | {} | {:.2} | {:.0} | {:.0} | {:.0} | {:.0}; {:.0} |",
-    most.unwrap_or(0),
-    mean(|play| play.used_share),
-    mean(|play| f64::from(play.untold)),
-    mean(|play| f64::from(play.elsewhere)),
-    mean(|play| f64::from(play.messages)),
-    mean(|play| play.busiest_bytes_per_s),
-    mean(|play| play.mean_bytes_per_s),
+    "| {pattern:?} | {strategy:?} | {} | {:.2} | {:.0} | {:.0} | {:.0} | {:.0}; {:.0} |",
+    max.unwrap_or(0),
+    mean(|run| run.used_share),
+    mean(|run| f64::from(run.untold)),
+    mean(|run| f64::from(run.elsewhere)),
+    mean(|run| f64::from(run.messages)),
+    mean(|run| run.busiest_bytes_per_s),
+    mean(|run| run.mean_bytes_per_s),
   );
 }
--- a/emulator/src/places/way.rs
+++ b/emulator/src/places/way.rs
@@ -1,22 +1,22 @@
-//! What boxes make of a limit that is meant for all of them together.
+//! Strategies of boxes for a limit that an endpoint advertises for all of them together.
 
-/// What boxes make of a limit.
+/// How boxes enforce the limit. The report prints the variants' names.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PlaceWay {
-  /// Nothing.
+  /// Not at all.
   Off,
-  /// Each keeps an even part of it.
+  /// Each box enforces an even share.
   EvenParts,
-  /// Each admits by the sum that it knows, and tells the others every 150 ms.
+  /// Each box admits by the total that it knows, and announces its own to all others every 150 ms.
   ToldSums,
-  /// One box gives out places, and the others ask it.
+  /// One box, the coordinator, grants permits; the others ask it.
   Asked,
-  /// The same, and who hears the limit first tells the others.
+  /// `Asked`, and the box that first receives the limit announces it to the others.
   AskedAndTold,
 }
 
 impl PlaceWay {
-  /// All ways, in the order of reports.
+  /// All strategies, in the order of reports.
   pub const ALL: [Self; 5] = [
     Self::Off,
     Self::EvenParts,
