--- a/emulator/src/notices/endpoint.rs
+++ b/emulator/src/notices/endpoint.rs
@@ -1,38 +1,37 @@
-//! A plain endpoint in a replay of notices.
+//! A simulated plain endpoint of the notice simulation.
 
 use std::collections::{HashMap, VecDeque};
 
-/// Requests that an endpoint works on at once, and that wait there.
-const SEATS: usize = 6;
-const MOST_WAITING: usize = 12;
+/// Requests that an endpoint processes at once.
+const SLOTS: usize = 6;
+const MAX_WAITING: usize = 12;
 
-/// What a box was told, to hold its sends against.
+/// Notices that an endpoint sent to a box, and the requests that the box sent in spite of them.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Told {
-  /// When the endpoint last asked that box for a pause, and its end.
-  pub(super) pause_ms: Option<(u64, u64)>,
-  /// What reached the endpoint from that box in it, from half a second after its word.
-  pub(super) in_pause: u32,
-  /// When it first told that box that it leaves.
+pub(super) struct SentNotices {
+  /// When the endpoint last asked that box for a backoff, and the end of the backoff.
+  pub(super) backoff_ms: Option<(u64, u64)>,
+  /// Requests received from that box in the backoff, not counting its first half second.
+  pub(super) in_backoff: u32,
+  /// When that box first received the notice that the endpoint leaves.
   pub(super) leaving_ms: Option<u64>,
 }
 
-/// An endpoint.
 #[derive(Debug, Default)]
 pub(super) struct Endpoint {
   pub(super) running: Vec<usize>,
   pub(super) waiting: VecDeque<usize>,
-  pub(super) has_ended: bool,
-  /// What it told each box.
-  pub(super) told: HashMap<usize, Told>,
+  pub(super) is_terminated: bool,
+  /// Notices by the box that they were sent to.
+  pub(super) notices: HashMap<usize, SentNotices>,
 }
 
 impl Endpoint {
-  pub(super) fn has_seat(&self) -> bool {
-    self.running.len() < SEATS
+  pub(super) fn has_free_slot(&self) -> bool {
+    self.running.len() < SLOTS
   }
 
   pub(super) fn is_full(&self) -> bool {
-    !self.has_seat() && self.waiting.len() >= MOST_WAITING
+    !self.has_free_slot() && self.waiting.len() >= MAX_WAITING
   }
 }
--- a/emulator/src/notices/event.rs
+++ b/emulator/src/notices/event.rs
@@ -1,36 +1,35 @@
-//! What happens in a replay of notices.
+//! Events of the notice simulation.
 
 use rillford::gateway::EndpointNotice;
 
-/// What happens at a moment.
 pub(super) enum Event {
-  /// A caller comes.
-  Arrives,
-  /// A caller's request is at a box.
+  /// A new caller sends its request.
+  CallerArrives,
+  /// A caller's request, the first or the retry, arrives at a box.
   AtBox { request: usize },
   /// It reaches the endpoint that the box chose.
   AtEndpoint { request: usize, endpoint: usize },
-  /// Its work is done there.
-  Worked { request: usize, endpoint: usize },
-  /// An answer is back at the box.
-  Answered {
+  /// The endpoint has processed it.
+  Processed { request: usize, endpoint: usize },
+  /// The box receives the endpoint's response.
+  ResponseReceived {
     request: usize,
     endpoint: usize,
     reply: Reply,
   },
-  /// A box hears from another one.
-  Told {
+  /// A box receives an endpoint's notice from another box.
+  NoticeReceived {
     at: usize,
     endpoint: usize,
     notice: EndpointNotice,
   },
-  /// An endpoint ends.
-  Ends { endpoint: usize },
-  /// The store lists an endpoint no more.
+  /// An endpoint terminates.
+  Terminates { endpoint: usize },
+  /// The store no longer lists an endpoint.
   Unlisted { endpoint: usize },
 }
 
-/// What an endpoint answers.
+/// The result of sending a request to an endpoint.
 #[derive(Clone, Debug)]
 pub(super) struct Reply {
   pub(super) kind: ReplyKind,
@@ -40,9 +39,10 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum ReplyKind {
   Done,
-  TurnedAway,
-  /// The endpoint was not there.
-  Refused,
-  /// The endpoint ended with it.
+  /// The endpoint rejected the request.
+  Rejected,
+  /// The connection was refused, as the endpoint had terminated.
+  Unreachable,
+  /// The endpoint terminated with the request queued or in progress.
   Lost,
 }
--- a/emulator/src/notices/figures.rs
+++ b/emulator/src/notices/figures.rs
@@ -1,28 +1,28 @@
-//! What came of a replay of notices.
+//! Results of a notice simulation.
 
-/// Figures of one replay.
+/// Results of one run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NoticeFigures {
-  /// Callers.
   pub callers: u32,
-  /// Of these, those who got an answer.
+  /// Callers that received a response in time.
   pub served: u32,
-  /// Refusals, each with when to come back.
+  /// Rejections by boxes, each with a retry-after delay.
   pub refused: u32,
-  /// Sends to a further endpoint.
+  /// Retries at another endpoint.
   pub repeats: u32,
-  /// Sends that an endpoint turned away.
+  /// Requests that an endpoint rejected.
   pub turned_away: u32,
-  /// The most requests of one box that one endpoint got in a pause it wanted, from half a second after its word. Two are allowed.
+  /// The highest number of requests that an endpoint received from one box in a backoff that it asked for, not counting the first
+  /// half second. Two are allowed.
   pub most_in_pause: u32,
-  /// Sends to an endpoint later than two seconds after it told that box that it leaves. None is allowed.
+  /// Requests that an endpoint received from a box more than 2 s after that box was notified that it leaves. None is allowed.
   pub late_after_word: u32,
   /// Messages between boxes.
   pub messages: u32,
 }
 
 impl NoticeFigures {
-  /// Part of the callers who got an answer.
+  /// Fraction of the callers that received a response in time.
   pub fn served_share(&self) -> f64 {
     f64::from(self.served) / f64::from(self.callers.max(1))
   }
--- a/emulator/src/notices/fleet.rs
+++ b/emulator/src/notices/fleet.rs
@@ -1,30 +1,29 @@
-//! How many boxes and endpoints a replay of notices has.
+//! Boxes and endpoints of the notice simulation.
 
-/// Boxes and plain endpoints.
+/// Number of boxes and plain endpoints, and the load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NoticeFleet {
-  /// Boxes.
   pub boxes: usize,
   /// Endpoints of one service.
   pub endpoints: usize,
-  /// Requests a second for each endpoint.
+  /// Requests per second and endpoint.
   pub requests_per_s: f64,
 }
 
 impl NoticeFleet {
-  /// The users' smallest deployment, at a usual load.
+  /// A small deployment at normal load.
   pub const SMALL: Self = Self {
     boxes: 8,
     endpoints: 3,
     requests_per_s: 12.0,
   };
-  /// Many boxes before few endpoints, which are busy.
+  /// Many boxes with few, busy endpoints.
   pub const WIDE: Self = Self {
     boxes: 300,
     endpoints: 3,
     requests_per_s: 60.0,
   };
-  /// Many boxes before many endpoints.
+  /// Many boxes with many endpoints.
   pub const LARGE: Self = Self {
     boxes: 300,
     endpoints: 60,
--- a/emulator/src/notices/mod.rs
+++ b/emulator/src/notices/mod.rs
@@ -1,8 +1,8 @@
-//! Endpoints that say in their answers that they leave or want no work for a while, replayed in virtual time against the gateway's
-//! own book of endpoints and budget for repeats: hundreds of boxes without a process, a socket or a wait.
+//! Simulation of endpoints whose responses carry a notice that they leave or ask for a backoff: hundreds of boxes run the gateway's
+//! endpoint registry and retry budget in virtual time, without processes or sockets.
 //!
-//! A [`NoticePattern`] says what endpoints do and when, a [`NoticeFleet`] how many boxes and endpoints there are, a [`NoticeWay`] what
-//! boxes make of it; [`replay_notices`] plays them with a seed and answers with [`NoticeFigures`].
+//! A [`NoticePattern`] sets what endpoints do, a [`NoticeFleet`] the number of boxes and endpoints, a [`NoticeWay`] the strategy by
+//! which boxes apply notices. [`replay_notices`] runs them with a seed and returns [`NoticeFigures`].
 
 mod endpoint;
 mod event;
--- a/emulator/src/notices/pattern.rs
+++ b/emulator/src/notices/pattern.rs
@@ -1,32 +1,33 @@
-//! What endpoints do in a replay of notices, and when.
+//! Behaviour of endpoints and callers in the notice simulation.
 
-/// When a replay ends.
-pub(super) const ENDS_MS: u64 = 40_000;
-/// When endpoints turn requests away.
+/// Time from which no new callers arrive.
+pub(super) const ARRIVALS_END_MS: u64 = 40_000;
+/// Periods in which endpoint 0 rejects all requests.
 const SHEDS_MS: [(u64, u64); 2] = [(5_000, 14_000), (22_000, 31_000)];
-/// When all of them do.
+/// Period in which all endpoints reject all requests.
 const ALL_SHED_MS: (u64, u64) = (10_000, 13_000);
-/// When callers press.
-const PRESSED_MS: (u64, u64) = (5_000, 15_000);
-/// When an endpoint says that it leaves, ends, and is listed as gone.
+/// Period of increased load.
+const OVERLOAD_MS: (u64, u64) = (5_000, 15_000);
+/// When endpoint 0 begins to send leaving notices, terminates, and is removed from the list.
 const LEAVES_MS: (u64, u64, u64) = (5_000, 18_000, 18_600);
-/// When endpoints say by mistake that they leave.
+/// Period in which all endpoints send leaving notices by mistake.
 const MISTAKEN_MS: (u64, u64) = (10_000, 12_000);
+const OVERLOAD_FACTOR: f64 = 4.0;
 
-/// What endpoints do.
+/// Behaviour of endpoints and callers. The report prints the variants' names.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NoticePattern {
-  /// One turns all away for 9 s, twice, and wants 3 s without any.
+  /// One endpoint rejects all requests for 9 s, twice, and asks for a backoff of 3 s.
   OneSheds,
-  /// One always turns all away, and wants ten hours.
+  /// One endpoint always rejects all requests, and asks for a backoff of 10 h.
   OneAlwaysSheds,
-  /// All turn all away for 3 s, and want 2 s.
+  /// All endpoints reject all requests for 3 s, and ask for a backoff of 2 s.
   AllShed,
-  /// Callers press; endpoints whose queue is full want 1 s.
+  /// The load is four times the normal load for 10 s; endpoints with a full queue ask for a backoff of 1 s.
   Pressed,
-  /// One leaves while the store is away, and ends.
+  /// One endpoint sends leaving notices while the store still lists it, and terminates.
   OneLeaves,
-  /// All say for 2 s by mistake that they leave.
+  /// All endpoints send leaving notices by mistake for 2 s.
   AllMistaken,
 }
 
@@ -41,8 +42,8 @@
     Self::AllMistaken,
   ];
 
-  /// Whether an endpoint turns all away at a time.
-  pub(super) fn sheds(self, endpoint: usize, now_ms: u64) -> bool {
+  /// Whether an endpoint rejects all requests.
+  pub(super) fn rejects_all(self, endpoint: usize, now_ms: u64) -> bool {
     let within = |(from_ms, until_ms): (u64, u64)| (from_ms..until_ms).contains(&now_ms);
     match self {
       Self::OneSheds => endpoint == 0 && SHEDS_MS.into_iter().any(within),
@@ -52,8 +53,8 @@
     }
   }
 
-  /// The pause that an endpoint wants.
-  pub(super) fn pause_ms(self) -> u64 {
+  /// The backoff that a rejecting endpoint asks for.
+  pub(super) fn backoff_ms(self) -> u64 {
     match self {
       Self::OneAlwaysSheds => 36_000_000,
       Self::AllShed => 2_000,
@@ -62,8 +63,8 @@
     }
   }
 
-  /// Whether an endpoint says that it leaves.
-  pub(super) fn leaves(self, endpoint: usize, now_ms: u64) -> bool {
+  /// Whether an endpoint sends leaving notices.
+  pub(super) fn is_leaving(self, endpoint: usize, now_ms: u64) -> bool {
     match self {
       Self::OneLeaves => endpoint == 0 && now_ms >= LEAVES_MS.0,
       Self::AllMistaken => (MISTAKEN_MS.0..MISTAKEN_MS.1).contains(&now_ms),
@@ -71,22 +72,19 @@
     }
   }
 
-  /// When the first endpoint ends, and when the store says so.
-  pub(super) fn end_ms(self) -> Option<(u64, u64)> {
-    let (_, ends_ms, listed_ms) = LEAVES_MS;
-    (self == Self::OneLeaves).then_some((ends_ms, listed_ms))
+  /// When endpoint 0 terminates, and when the store no longer lists it.
+  pub(super) fn termination_ms(self) -> Option<(u64, u64)> {
+    let (_, terminates_ms, unlisted_ms) = LEAVES_MS;
+    (self == Self::OneLeaves).then_some((terminates_ms, unlisted_ms))
   }
 
-  /// How many times the usual requests come.
-  pub(super) fn pressure(self, now_ms: u64) -> f64 {
-    let is_pressed = (PRESSED_MS.0..PRESSED_MS.1).contains(&now_ms);
-    if self == Self::Pressed && is_pressed {
-      PRESSURE
+  /// The load as a multiple of the normal load.
+  pub(super) fn load(self, now_ms: u64) -> f64 {
+    let is_overloaded = (OVERLOAD_MS.0..OVERLOAD_MS.1).contains(&now_ms);
+    if self == Self::Pressed && is_overloaded {
+      OVERLOAD_FACTOR
     } else {
       1.0
     }
   }
 }
-
-/// Callers who press come so many times as often.
-const PRESSURE: f64 = 4.0;
--- a/emulator/src/notices/replay.rs
+++ b/emulator/src/notices/replay.rs
@@ -1,4 +1,4 @@
-//! The replay: boxes that decide by the gateway's own book and budget, and endpoints that say what they want.
+//! The notice simulation: boxes decide with the gateway's own endpoint registry and retry budget, endpoints send notices.
 
 use {
   super::{
@@ -6,7 +6,7 @@
     event::{Event, Reply, ReplyKind},
     figures::NoticeFigures,
     fleet::NoticeFleet,
-    pattern::{ENDS_MS, NoticePattern},
+    pattern::{ARRIVALS_END_MS, NoticePattern},
     way::NoticeWay,
   },
   crate::queue::Queue,
@@ -23,46 +23,46 @@
 };
 
 const SERVICE: &str = "portal";
-/// The way between a box and an endpoint.
-const WAY_MS: u64 = 2;
-/// The way between boxes.
-const WORD_MS: u64 = 20;
-/// Work on a request.
-const WORK_MS: (u64, u64) = (30, 90);
-/// How long a caller waits in all; it comes again once.
-const PATIENCE_MS: u64 = 4_000;
-/// When a caller is told to come back where nothing pauses.
-const FULL_MS: u64 = 400;
-/// The users' bounds: on repeats of all boxes, on sends after an endpoint's word, and from when on sends in a pause count.
+/// Network delay between a box and an endpoint.
+const ENDPOINT_DELAY_MS: u64 = 2;
+/// Network delay between boxes.
+const BOX_DELAY_MS: u64 = 20;
+/// Minimum and maximum processing time of a request.
+const PROCESSING_MS: (u64, u64) = (30, 90);
+/// Total time of a caller, including its one retry.
+const CALLER_TIMEOUT_MS: u64 = 4_000;
+/// Retry-after delay when no endpoint is in a backoff.
+const DEFAULT_RETRY_AFTER_MS: u64 = 400;
+/// Bound on the retries of all boxes.
 const ALLOWANCE: RetryAllowance = RetryAllowance {
   ratio: 0.2,
   slack: 56.0,
   window_ms: 10_000,
 };
+/// Time after which a box must no longer send to an endpoint whose leaving notice it has received.
 const LEAVING_BOUND_MS: u64 = 2_000;
-const PAUSE_SLACK_MS: u64 = 500;
+/// Time after which requests in a backoff are counted.
+const BACKOFF_SLACK_MS: u64 = 500;
 
-/// A caller's request.
 #[derive(Clone, Debug)]
 struct Request {
   at: usize,
-  until_ms: u64,
+  deadline_ms: u64,
   tried: Vec<Name>,
-  may_come_again: bool,
-  /// When the try that is under way was sent.
+  may_retry: bool,
+  /// Start of the current attempt.
   sent_ms: u64,
 }
 
-/// A box.
 struct GatewayBox {
-  book: EndpointRegistry,
-  window: RetryWindow,
+  endpoints: EndpointRegistry,
+  retry_window: RetryWindow,
 }
 
 struct NoticeReplay {
   pattern: NoticePattern,
   fleet: NoticeFleet,
-  way: NoticeWay,
+  strategy: NoticeWay,
   random: ChaCha8Rng,
   queue: Queue<Event>,
   boxes: Vec<GatewayBox>,
@@ -71,15 +71,15 @@
   figures: NoticeFigures,
 }
 
-/// Plays a pattern with a seed.
+/// Runs a pattern with a seed.
 pub fn replay_notices(
   pattern: NoticePattern,
   fleet: NoticeFleet,
-  way: NoticeWay,
+  strategy: NoticeWay,
   seed: u64,
 ) -> NoticeFigures {
   let mut replay = NoticeReplay {
-    boxes: (0..fleet.boxes).map(|_| new_box(fleet, way)).collect(),
+    boxes: (0..fleet.boxes).map(|_| new_box(fleet, strategy)).collect(),
     endpoints: (0..fleet.endpoints).map(|_| Endpoint::default()).collect(),
     figures: NoticeFigures::default(),
     fleet,
@@ -87,31 +87,35 @@
     queue: Queue::new(),
     random: ChaCha8Rng::seed_from_u64(seed),
     requests: Vec::new(),
-    way,
+    strategy,
   };
-  replay.queue.put(0, Event::Arrives);
-  if let Some((ends_ms, listed_ms)) = pattern.end_ms() {
-    replay.queue.put(ends_ms, Event::Ends { endpoint: 0 });
-    replay.queue.put(listed_ms, Event::Unlisted { endpoint: 0 });
+  replay.queue.put(0, Event::CallerArrives);
+  if let Some((terminates_ms, unlisted_ms)) = pattern.termination_ms() {
+    replay
+      .queue
+      .put(terminates_ms, Event::Terminates { endpoint: 0 });
+    replay
+      .queue
+      .put(unlisted_ms, Event::Unlisted { endpoint: 0 });
   }
   while let Some((now_ms, event)) = replay.queue.next() {
-    replay.happen(event, now_ms);
+    replay.handle(event, now_ms);
   }
   replay.figures
 }
 
-fn new_box(fleet: NoticeFleet, way: NoticeWay) -> GatewayBox {
-  let mut book = match way {
+fn new_box(fleet: NoticeFleet, strategy: NoticeWay) -> GatewayBox {
+  let mut endpoints = match strategy {
     NoticeWay::Off => EndpointRegistry::ignoring_notices(),
     _ => EndpointRegistry::default(),
   };
   for number in 0..fleet.endpoints {
-    book.put(entry(number));
+    endpoints.put(entry(number));
   }
-  book.set_store_connected_since(Some(0));
+  endpoints.set_store_connected_since(Some(0));
   GatewayBox {
-    book,
-    window: RetryWindow::default(),
+    endpoints,
+    retry_window: RetryWindow::default(),
   }
 }
 
@@ -130,69 +134,68 @@
 }
 
 impl NoticeReplay {
-  fn happen(&mut self, event: Event, now_ms: u64) {
+  fn handle(&mut self, event: Event, now_ms: u64) {
     match event {
-      Event::Arrives => self.arrive(now_ms),
-      Event::AtBox { request } => self.begin(request, now_ms),
-      Event::AtEndpoint { request, endpoint } => self.reach(request, endpoint, now_ms),
-      Event::Worked { request, endpoint } => self.worked(request, endpoint, now_ms),
-      Event::Answered {
+      Event::CallerArrives => self.handle_caller(now_ms),
+      Event::AtBox { request } => self.handle_at_box(request, now_ms),
+      Event::AtEndpoint { request, endpoint } => self.handle_at_endpoint(request, endpoint, now_ms),
+      Event::Processed { request, endpoint } => self.handle_processed(request, endpoint, now_ms),
+      Event::ResponseReceived {
         request,
         endpoint,
         reply,
-      } => self.answered(request, endpoint, reply, now_ms),
-      Event::Told {
+      } => self.handle_response(request, endpoint, reply, now_ms),
+      Event::NoticeReceived {
         at,
         endpoint,
         notice,
       } => {
         self.boxes[at]
-          .book
+          .endpoints
           .record_notice(&entry(endpoint), &notice, now_ms);
       }
-      Event::Ends { endpoint } => self.end(endpoint, now_ms),
+      Event::Terminates { endpoint } => self.terminate(endpoint, now_ms),
       Event::Unlisted { endpoint } => {
         for each in &mut self.boxes {
-          each.book.remove(&entry(endpoint).id);
+          each.endpoints.remove(&entry(endpoint).id);
         }
       }
     }
   }
 
-  fn arrive(&mut self, now_ms: u64) {
-    if now_ms >= ENDS_MS {
+  fn handle_caller(&mut self, now_ms: u64) {
+    if now_ms >= ARRIVALS_END_MS {
       return;
     }
     self.figures.callers += 1;
     self.requests.push(Request {
       at: self.random.random_range(0..self.fleet.boxes),
-      may_come_again: true,
+      may_retry: true,
       sent_ms: now_ms,
       tried: Vec::new(),
-      until_ms: now_ms + PATIENCE_MS,
+      deadline_ms: now_ms + CALLER_TIMEOUT_MS,
     });
     let request = self.requests.len() - 1;
     self.queue.put(now_ms, Event::AtBox { request });
-    let per_s =
-      self.fleet.requests_per_s * self.fleet.endpoints as f64 * self.pattern.pressure(now_ms);
+    let per_s = self.fleet.requests_per_s * self.fleet.endpoints as f64 * self.pattern.load(now_ms);
     let draw: f64 = self.random.random();
-    let pause_ms = -(1.0 - draw).ln() * 1_000.0 / per_s;
-    // Arrivals of a millisecond come together: their mean rate is kept.
-    let rounded_ms = pause_ms as u64 + u64::from(self.random.random::<f64>() < pause_ms.fract());
-    self.queue.put(now_ms + rounded_ms, Event::Arrives);
+    let interval_ms = -(1.0 - draw).ln() * 1_000.0 / per_s;
+    // Random rounding to whole milliseconds keeps the mean rate.
+    let rounded_ms =
+      interval_ms as u64 + u64::from(self.random.random::<f64>() < interval_ms.fract());
+    self.queue.put(now_ms + rounded_ms, Event::CallerArrives);
   }
 
-  /// A try begins at a box.
-  fn begin(&mut self, number: usize, now_ms: u64) {
+  fn handle_at_box(&mut self, number: usize, now_ms: u64) {
     let at = self.requests[number].at;
-    self.boxes[at].window.record_request(now_ms);
-    self.boxes[at].book.expire_notices(now_ms);
+    self.boxes[at].retry_window.record_request(now_ms);
+    self.boxes[at].endpoints.expire_notices(now_ms);
     if !self.send(number, now_ms) {
-      self.refuse(number, now_ms);
+      self.reject(number, now_ms);
     }
   }
 
-  /// Sends a request to the best endpoint that has not been tried; `false` when there is none.
+  /// Sends a request to the best endpoint that has not been tried. Returns `false` if there is none.
   fn send(&mut self, number: usize, now_ms: u64) -> bool {
     let Some(endpoint) = self.choose(number, now_ms) else {
       return false;
@@ -201,20 +204,20 @@
     let id = entry(endpoint).id;
     request.tried.push(id.clone());
     request.sent_ms = now_ms;
-    let book = &mut self.boxes[request.at].book;
-    book.record_send(&id, 1);
-    book.record_probe(&id, now_ms);
-    let reaches = Event::AtEndpoint {
+    let endpoints = &mut self.boxes[request.at].endpoints;
+    endpoints.record_send(&id, 1);
+    endpoints.record_probe(&id, now_ms);
+    let event = Event::AtEndpoint {
       endpoint,
       request: number,
     };
-    self.queue.put(now_ms + WAY_MS, reaches);
+    self.queue.put(now_ms + ENDPOINT_DELAY_MS, event);
     true
   }
 
   fn choose(&mut self, number: usize, now_ms: u64) -> Option<usize> {
     let request = &self.requests[number];
-    let wanted = EndpointCriteria {
+    let criteria = EndpointCriteria {
       allowed_halls: &AllowedHalls::Any,
       hall: "north",
       is_retryable: false,
@@ -225,190 +228,198 @@
     };
     let random = &mut self.random;
     let choice = self.boxes[request.at]
-      .book
-      .choose(wanted, now_ms, || random.random())?;
+      .endpoints
+      .choose(criteria, now_ms, || random.random())?;
     Some(usize::from(choice.entry.address.port()))
   }
 
-  fn reach(&mut self, number: usize, endpoint: usize, now_ms: u64) {
-    self.hold_against_word(number, endpoint, now_ms);
-    if self.endpoints[endpoint].has_ended {
-      return self.reply(number, endpoint, ReplyKind::Refused, now_ms);
+  fn handle_at_endpoint(&mut self, number: usize, endpoint: usize, now_ms: u64) {
+    self.count_violations(number, endpoint, now_ms);
+    if self.endpoints[endpoint].is_terminated {
+      return self.reply(number, endpoint, ReplyKind::Unreachable, now_ms);
     }
-    let here = &mut self.endpoints[endpoint];
-    if here.is_full() || self.pattern.sheds(endpoint, now_ms) {
+    let target = &mut self.endpoints[endpoint];
+    if target.is_full() || self.pattern.rejects_all(endpoint, now_ms) {
       self.figures.turned_away += 1;
-      return self.reply(number, endpoint, ReplyKind::TurnedAway, now_ms);
+      return self.reply(number, endpoint, ReplyKind::Rejected, now_ms);
     }
-    if here.has_seat() {
-      self.work(number, endpoint, now_ms);
+    if target.has_free_slot() {
+      self.start_processing(number, endpoint, now_ms);
     } else {
-      here.waiting.push_back(number);
+      target.waiting.push_back(number);
     }
   }
 
-  /// Counts what the endpoint had told this box not to send.
-  fn hold_against_word(&mut self, number: usize, endpoint: usize, now_ms: u64) {
+  /// Counts a request that the box sent in spite of the endpoint's notices.
+  fn count_violations(&mut self, number: usize, endpoint: usize, now_ms: u64) {
     let at = self.requests[number].at;
-    let told = self.endpoints[endpoint].told.entry(at).or_default();
-    if let Some((asked_ms, until_ms)) = told.pause_ms
-      && (asked_ms + PAUSE_SLACK_MS..until_ms).contains(&now_ms)
+    let sent = self.endpoints[endpoint].notices.entry(at).or_default();
+    if let Some((asked_ms, until_ms)) = sent.backoff_ms
+      && (asked_ms + BACKOFF_SLACK_MS..until_ms).contains(&now_ms)
     {
-      told.in_pause += 1;
-      self.figures.most_in_pause = self.figures.most_in_pause.max(told.in_pause);
+      sent.in_backoff += 1;
+      self.figures.most_in_pause = self.figures.most_in_pause.max(sent.in_backoff);
     }
-    let is_late = told
+    let is_late = sent
       .leaving_ms
-      .is_some_and(|said_ms| now_ms > said_ms + LEAVING_BOUND_MS);
+      .is_some_and(|notified_ms| now_ms > notified_ms + LEAVING_BOUND_MS);
     self.figures.late_after_word += u32::from(is_late);
   }
 
-  fn work(&mut self, number: usize, endpoint: usize, now_ms: u64) {
+  fn start_processing(&mut self, number: usize, endpoint: usize, now_ms: u64) {
     self.endpoints[endpoint].running.push(number);
-    let takes_ms = self.random.random_range(WORK_MS.0..=WORK_MS.1);
-    let worked = Event::Worked {
+    let processing_ms = self.random.random_range(PROCESSING_MS.0..=PROCESSING_MS.1);
+    let event = Event::Processed {
       endpoint,
       request: number,
     };
-    self.queue.put(now_ms + takes_ms, worked);
+    self.queue.put(now_ms + processing_ms, event);
   }
 
-  fn worked(&mut self, number: usize, endpoint: usize, now_ms: u64) {
-    let here = &mut self.endpoints[endpoint];
-    if here.has_ended {
+  fn handle_processed(&mut self, number: usize, endpoint: usize, now_ms: u64) {
+    let target = &mut self.endpoints[endpoint];
+    if target.is_terminated {
       return;
     }
-    here.running.retain(|other| *other != number);
-    if let Some(next) = here.waiting.pop_front() {
-      self.work(next, endpoint, now_ms);
+    target.running.retain(|other| *other != number);
+    if let Some(next) = target.waiting.pop_front() {
+      self.start_processing(next, endpoint, now_ms);
     }
     self.reply(number, endpoint, ReplyKind::Done, now_ms);
   }
 
-  /// An endpoint answers, and says of itself what it has to.
+  /// Sends an endpoint's response with its notice.
   fn reply(&mut self, number: usize, endpoint: usize, kind: ReplyKind, now_ms: u64) {
     let at = self.requests[number].at;
-    let speaks = matches!(kind, ReplyKind::Done | ReplyKind::TurnedAway);
+    let has_notice = matches!(kind, ReplyKind::Done | ReplyKind::Rejected);
     let notice = EndpointNotice {
       cold_ms: None,
-      leaving: speaks && self.pattern.leaves(endpoint, now_ms),
+      leaving: has_notice && self.pattern.is_leaving(endpoint, now_ms),
       limit: LimitHeader::Absent,
-      backoff_ms: (kind == ReplyKind::TurnedAway).then(|| self.pattern.pause_ms()),
+      backoff_ms: (kind == ReplyKind::Rejected).then(|| self.pattern.backoff_ms()),
       unreadable: None,
     };
-    let told = self.endpoints[endpoint].told.entry(at).or_default();
-    if let Some(pause_ms) = notice.backoff_ms {
-      let is_over = told.pause_ms.is_none_or(|(_, until_ms)| until_ms <= now_ms);
+    let sent = self.endpoints[endpoint].notices.entry(at).or_default();
+    if let Some(backoff_ms) = notice.backoff_ms {
+      let is_over = sent
+        .backoff_ms
+        .is_none_or(|(_, until_ms)| until_ms <= now_ms);
       if is_over {
-        told.in_pause = 0;
-        told.pause_ms = Some((now_ms, now_ms + pause_ms));
+        sent.in_backoff = 0;
+        sent.backoff_ms = Some((now_ms, now_ms + backoff_ms));
       }
     }
     if notice.leaving && kind == ReplyKind::Done && self.pattern == NoticePattern::OneLeaves {
-      told.leaving_ms.get_or_insert(now_ms + WAY_MS);
+      sent.leaving_ms.get_or_insert(now_ms + ENDPOINT_DELAY_MS);
     }
-    let answered = Event::Answered {
+    let event = Event::ResponseReceived {
       endpoint,
       reply: Reply { kind, notice },
       request: number,
     };
-    self.queue.put(now_ms + WAY_MS, answered);
+    self.queue.put(now_ms + ENDPOINT_DELAY_MS, event);
   }
 
-  fn answered(&mut self, number: usize, endpoint: usize, reply: Reply, now_ms: u64) {
+  fn handle_response(&mut self, number: usize, endpoint: usize, reply: Reply, now_ms: u64) {
     let request = &self.requests[number];
     let at = request.at;
     let took_ms = now_ms - request.sent_ms;
     let id = entry(endpoint).id;
-    self.hear(at, endpoint, reply.notice, now_ms);
-    let book = &mut self.boxes[at].book;
-    let end = match reply.kind {
+    self.apply_notice(at, endpoint, reply.notice, now_ms);
+    let endpoints = &mut self.boxes[at].endpoints;
+    let outcome = match reply.kind {
       ReplyKind::Done => AttemptOutcome::Answered { took_ms },
-      ReplyKind::TurnedAway => AttemptOutcome::Full,
-      ReplyKind::Refused | ReplyKind::Lost => AttemptOutcome::Lost,
+      ReplyKind::Rejected => AttemptOutcome::Full,
+      ReplyKind::Unreachable | ReplyKind::Lost => AttemptOutcome::Lost,
     };
-    book.record_outcome(&id, 1, 1, end, now_ms);
+    endpoints.record_outcome(&id, 1, 1, outcome, now_ms);
     match reply.kind {
       ReplyKind::Done => {
-        book.record_accepted(&id, now_ms);
-        self.figures.served += u32::from(now_ms <= self.requests[number].until_ms);
+        endpoints.record_accepted(&id, now_ms);
+        self.figures.served += u32::from(now_ms <= self.requests[number].deadline_ms);
       }
-      // It may have run: this kind of request is not sent again.
+      // The request may have run, and it is not retryable.
       ReplyKind::Lost => {}
-      ReplyKind::TurnedAway => self.send_again(number, now_ms),
-      ReplyKind::Refused => {
+      ReplyKind::Rejected => self.retry(number, now_ms),
+      ReplyKind::Unreachable => {
         if !self.send(number, now_ms) {
-          self.refuse(number, now_ms);
+          self.reject(number, now_ms);
         }
       }
     }
   }
 
-  /// A box hears what an endpoint says of itself.
-  fn hear(&mut self, at: usize, endpoint: usize, mut notice: EndpointNotice, now_ms: u64) {
-    if let (NoticeWay::OwnBoxSpread, Some(pause_ms)) = (self.way, &mut notice.backoff_ms) {
-      *pause_ms = jittered_backoff_ms(*pause_ms, self.fleet.boxes, self.random.random());
+  /// Applies an endpoint's notice at the box that received it, and forwards it if the strategy says so.
+  fn apply_notice(&mut self, at: usize, endpoint: usize, mut notice: EndpointNotice, now_ms: u64) {
+    if let (NoticeWay::OwnBoxSpread, Some(backoff_ms)) = (self.strategy, &mut notice.backoff_ms) {
+      *backoff_ms = jittered_backoff_ms(*backoff_ms, self.fleet.boxes, self.random.random());
     }
-    let news = self.boxes[at]
-      .book
+    let change = self.boxes[at]
+      .endpoints
       .record_notice(&entry(endpoint), &notice, now_ms);
-    if self.way != NoticeWay::Told || news == NoticeChange::default() {
+    if self.strategy != NoticeWay::Told || change == NoticeChange::default() {
       return;
     }
     for other in (0..self.fleet.boxes).filter(|other| *other != at) {
       self.figures.messages += 1;
-      let told = Event::Told {
+      let event = Event::NoticeReceived {
         at: other,
         endpoint,
         notice: notice.clone(),
       };
-      self.queue.put(now_ms + WORD_MS, told);
+      self.queue.put(now_ms + BOX_DELAY_MS, event);
     }
   }
 
-  /// A request that was turned away goes to a further endpoint, if there is one and the budget allows.
-  fn send_again(&mut self, number: usize, now_ms: u64) {
+  /// Retries a rejected request at another endpoint, if there is one and the retry budget allows it.
+  fn retry(&mut self, number: usize, now_ms: u64) {
     if self.choose(number, now_ms).is_none() {
-      return self.refuse(number, now_ms);
+      return self.reject(number, now_ms);
     }
     let at = self.requests[number].at;
     let boxes = self.fleet.boxes;
-    if !self.boxes[at].window.take(ALLOWANCE, boxes, now_ms) {
-      return self.refuse(number, now_ms);
+    if !self.boxes[at].retry_window.take(ALLOWANCE, boxes, now_ms) {
+      return self.reject(number, now_ms);
     }
     self.figures.repeats += 1;
     if !self.send(number, now_ms) {
-      self.refuse(number, now_ms);
+      self.reject(number, now_ms);
     }
   }
 
-  /// A caller is told when to come back, and does once if that is within its time.
-  fn refuse(&mut self, number: usize, now_ms: u64) {
+  /// Rejects a request with a retry-after delay. The caller retries once if the delay ends before its deadline.
+  fn reject(&mut self, number: usize, now_ms: u64) {
     self.figures.refused += 1;
     let request = &self.requests[number];
-    let available_in_ms = self.boxes[request.at].book.available_in_ms(SERVICE, now_ms);
+    let available_in_ms = self.boxes[request.at]
+      .endpoints
+      .available_in_ms(SERVICE, now_ms);
     let draw: f64 = self.random.random();
-    let wait_ms = available_in_ms.map_or(FULL_MS, |ms| retry_after_backoff_ms(ms, draw));
-    let again_ms = now_ms + wait_ms;
-    if !request.may_come_again || again_ms >= request.until_ms {
+    let wait_ms = available_in_ms.map_or(DEFAULT_RETRY_AFTER_MS, |ms| {
+      retry_after_backoff_ms(ms, draw)
+    });
+    let retry_at_ms = now_ms + wait_ms;
+    if !request.may_retry || retry_at_ms >= request.deadline_ms {
       return;
     }
     let at = self.random.random_range(0..self.fleet.boxes);
     let request = &mut self.requests[number];
-    request.may_come_again = false;
+    request.may_retry = false;
     request.tried.clear();
     request.at = at;
-    self.queue.put(again_ms, Event::AtBox { request: number });
+    self
+      .queue
+      .put(retry_at_ms, Event::AtBox { request: number });
   }
 
-  /// An endpoint ends with all that it works on.
-  fn end(&mut self, endpoint: usize, now_ms: u64) {
-    let here = &mut self.endpoints[endpoint];
-    here.has_ended = true;
-    let lost: Vec<usize> = here
+  /// Terminates an endpoint, which loses all its requests.
+  fn terminate(&mut self, endpoint: usize, now_ms: u64) {
+    let target = &mut self.endpoints[endpoint];
+    target.is_terminated = true;
+    let lost: Vec<usize> = target
       .running
       .drain(..)
-      .chain(here.waiting.drain(..))
+      .chain(target.waiting.drain(..))
       .collect();
     for number in lost {
       self.reply(number, endpoint, ReplyKind::Lost, now_ms);
--- a/emulator/src/notices/report.rs
+++ b/emulator/src/notices/report.rs
@@ -1,14 +1,14 @@
-//! The table of a replay of notices.
+//! The report of the notice simulation as a Markdown table.
 
 use {
   super::{NoticeFigures, NoticeFleet, NoticePattern, NoticeWay, replay_notices},
   bpaf::Bpaf,
 };
 
-/// Which table is wanted.
+/// Options of the notice report.
 #[derive(Bpaf, Clone, Copy, Debug)]
 pub struct NoticeReport {
-  /// Seeds for each pattern and way
+  /// Seeds for each pattern and strategy
   #[bpaf(long, argument("N"), fallback(4))]
   seeds: u64,
   /// Boxes
@@ -17,12 +17,13 @@
   /// Endpoints of one service
   #[bpaf(long, argument("N"), fallback(NoticeFleet::SMALL.endpoints))]
   endpoints: usize,
-  /// Requests a second for each endpoint
+  /// Requests per second and endpoint
   #[bpaf(long, argument("N"), fallback(NoticeFleet::SMALL.requests_per_s))]
   requests_per_s: f64,
 }
 
-/// Plays all patterns in all ways and prints what came of them; the worst of the seeds stands for bounds.
+/// Runs every pattern with every strategy and prints a table: the maximum over all seeds for figures with a bound, and the mean for
+/// all else.
 pub fn print_notices(report: NoticeReport) {
   let fleet = NoticeFleet {
     boxes: report.boxes,
@@ -34,27 +35,27 @@
   );
   println!("| --- | --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: |");
   for pattern in NoticePattern::ALL {
-    for way in NoticeWay::ALL {
-      let plays: Vec<NoticeFigures> = (1..=report.seeds)
-        .map(|seed| replay_notices(pattern, fleet, way, seed))
+    for strategy in NoticeWay::ALL {
+      let runs: Vec<NoticeFigures> = (1..=report.seeds)
+        .map(|seed| replay_notices(pattern, fleet, strategy, seed))
         .collect();
-      print_row(pattern, way, &plays);
+      print_row(pattern, strategy, &runs);
     }
   }
 }
 
-fn print_row(pattern: NoticePattern, way: NoticeWay, plays: &[NoticeFigures]) {
+fn print_row(pattern: NoticePattern, strategy: NoticeWay, runs: &[NoticeFigures]) {
   let mean =
-    |figure: fn(&NoticeFigures) -> f64| plays.iter().map(figure).sum::<f64>() / plays.len() as f64;
-  let most = |figure: fn(&NoticeFigures) -> u32| plays.iter().map(figure).max().unwrap_or(0);
+    |figure: fn(&NoticeFigures) -> f64| runs.iter().map(figure).sum::<f64>() / runs.len() as f64;
+  let max = |figure: fn(&NoticeFigures) -> u32| runs.iter().map(figure).max().unwrap_or(0);
   println!(
-    "| {pattern:?} | {way:?} | {:.4} | {:.0} | {:.0} | {:.0} | {} | {} | {:.0} |",
+    "| {pattern:?} | {strategy:?} | {:.4} | {:.0} | {:.0} | {:.0} | {} | {} | {:.0} |",
     mean(NoticeFigures::served_share),
-    mean(|play| f64::from(play.refused)),
-    mean(|play| f64::from(play.repeats)),
-    mean(|play| f64::from(play.turned_away)),
-    most(|play| play.most_in_pause),
-    most(|play| play.late_after_word),
-    mean(|play| f64::from(play.messages)),
+    mean(|run| f64::from(run.refused)),
+    mean(|run| f64::from(run.repeats)),
+    mean(|run| f64::from(run.turned_away)),
+    max(|run| run.most_in_pause),
+    max(|run| run.late_after_word),
+    mean(|run| f64::from(run.messages)),
   );
 }
--- a/emulator/src/notices/way.rs
+++ b/emulator/src/notices/way.rs
@@ -1,19 +1,19 @@
-//! What boxes make of what endpoints say of themselves.
+//! Strategies of boxes for the notices of endpoints.
 
-/// What boxes make of what endpoints say of themselves.
+/// How boxes apply the notices of endpoints. The report prints the variants' names.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NoticeWay {
-  /// Nothing: an endpoint that turns a request away is left alone for a moment.
+  /// Notices are ignored: boxes back off briefly from an endpoint that rejects a request.
   Off,
-  /// Each box keeps to what it was told itself.
+  /// Each box applies the notices that it receives itself.
   OwnBox,
-  /// The same, and the boxes come back one after the other.
+  /// `OwnBox`, with jitter added to backoffs so that boxes return at different times.
   OwnBoxSpread,
-  /// Boxes tell each other.
+  /// `OwnBox`, and boxes forward notices to each other.
   Told,
 }
 
 impl NoticeWay {
-  /// All ways, in the order of reports.
+  /// All strategies, in the order of reports.
   pub const ALL: [Self; 4] = [Self::Off, Self::OwnBox, Self::OwnBoxSpread, Self::Told];
 }
