--- a/emulator/src/quarantine/engine.rs
+++ b/emulator/src/quarantine/engine.rs
@@ -1,19 +1,18 @@
-//! An engine of a replay of crashes.
+//! A simulated engine of the crash simulation.
 
 use rillford::gateway::EndpointIncarnation;
 
-/// One engine.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Engine {
-  /// Counts its starts.
-  pub(super) born: u64,
+  /// Number of restarts, which identifies the incarnation.
+  pub(super) restarts: u64,
   pub(super) is_down: bool,
-  /// The requests that run there.
-  pub(super) runs: Vec<usize>,
+  /// Requests that run on it.
+  pub(super) running: Vec<usize>,
 }
 
 impl Engine {
-  pub(super) fn life(&self, number: usize) -> EndpointIncarnation {
-    EndpointIncarnation::of(&format!("engine-{number}"), Some(self.born))
+  pub(super) fn incarnation(&self, number: usize) -> EndpointIncarnation {
+    EndpointIncarnation::of(&format!("engine-{number}"), Some(self.restarts))
   }
 }
--- a/emulator/src/quarantine/event.rs
+++ b/emulator/src/quarantine/event.rs
@@ -1,29 +1,28 @@
-//! What happens in a replay of crashes.
+//! Events of the crash simulation.
 
 use rillford::gateway::{Fingerprint, QuarantineKey};
 
-/// What happens at a moment.
 pub(super) enum Event {
-  /// An innocent request comes.
-  Arrives,
-  /// A body that ends engines comes, and is due so many times more.
-  Crashing { body: u64, left: u32 },
-  /// A new body begins to come.
+  /// An innocent caller sends a request.
+  InnocentArrives,
+  /// A request with a crashing body arrives; `left` counts it and the further ones with this body.
+  CrashingArrives { body: u64, left: u32 },
+  /// A new crashing body begins to arrive.
   NewBody { body: u64 },
-  /// A request is sent, or sent once more.
-  Sent { request: usize },
-  /// A run comes to its end.
-  RunEnds { request: usize, run: u64 },
-  /// A run ends its engine.
+  /// A box sends a request to an engine, at first or as a retry.
+  Send { request: usize },
+  /// A run completes.
+  RunCompletes { request: usize, run: u64 },
+  /// A run crashes its engine.
   RunCrashes { request: usize, run: u64 },
-  /// An engine is back.
-  EngineBack { engine: usize },
-  /// A third of the engines goes.
-  RackGoes,
-  /// A box hears of a mark.
-  Hears { at: usize, key: QuarantineKey },
-  /// A box hears that a request is free.
-  HearsClear { at: usize, fingerprint: Fingerprint },
-  /// All boxes start anew, with what the store has.
-  AllNew,
+  /// An engine has restarted.
+  EngineRestarted { engine: usize },
+  /// A third of the engines fails.
+  RackFails,
+  /// A box receives a quarantine mark.
+  MarkReceived { at: usize, key: QuarantineKey },
+  /// A box receives the notice that a request's marks are cleared.
+  ClearReceived { at: usize, fingerprint: Fingerprint },
+  /// All boxes restart and load the marks in the store.
+  BoxesRestart,
 }
--- a/emulator/src/quarantine/figures.rs
+++ b/emulator/src/quarantine/figures.rs
@@ -1,26 +1,26 @@
-//! What came of a replay of crashes.
+//! Results of a crash simulation.
 
-/// Figures of one replay.
+/// Results of one run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CrashFigures {
-  /// Engines that a request ended.
+  /// Engine crashes that requests caused.
   pub ended: u32,
-  /// The most runs that one body began later than the users' 3 s after its third end; they allow three.
+  /// The highest number of runs of one body that started more than 3 s after its third crash. Three are allowed.
   pub most_late: u32,
-  /// Innocent callers.
+  /// Callers whose requests crash no engine.
   pub innocent: u32,
-  /// Of these, those who got a whole answer.
+  /// Innocent callers that received a complete response.
   pub served: u32,
-  /// Tries of innocent callers that were held.
+  /// Requests of innocent callers that were quarantined.
   pub innocent_held: u32,
   /// Calls to the store.
   pub store_calls: u32,
-  /// Requests in the largest book.
+  /// The highest number of requests in the quarantine registry of a box.
   pub largest_book: usize,
 }
 
 impl CrashFigures {
-  /// Part of the innocent callers who got a whole answer.
+  /// Fraction of the innocent callers that received a complete response.
   pub fn served_share(&self) -> f64 {
     f64::from(self.served) / f64::from(self.innocent.max(1))
   }
--- a/emulator/src/quarantine/fleet.rs
+++ b/emulator/src/quarantine/fleet.rs
@@ -1,27 +1,26 @@
-//! How many boxes and engines a replay of crashes has.
+//! Boxes and engines of the crash simulation.
 
-/// Boxes and engines.
+/// Number of boxes and engines.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CrashFleet {
-  /// Boxes.
   pub boxes: usize,
-  /// Engines that write answers.
+  /// Decode engines.
   pub engines: usize,
 }
 
 impl CrashFleet {
-  /// The users' smallest deployment.
+  /// A small deployment.
   pub const SMALL: Self = Self {
     boxes: 8,
     engines: 7,
   };
-  /// The users' deployment of 78 boxes.
+  /// A large deployment.
   pub const LARGE: Self = Self {
     boxes: 78,
     engines: 105,
   };
 
-  /// Innocent streams a second: some eight at each engine at the mean.
+  /// Arrival rate of innocent requests: with streams of 5 s on average, 8 run on each engine.
   pub(super) fn streams_per_s(self) -> f64 {
     self.engines as f64 * 1.6
   }
--- a/emulator/src/quarantine/mod.rs
+++ b/emulator/src/quarantine/mod.rs
@@ -1,9 +1,10 @@
-//! Requests that end engines, replayed in virtual time against the gateway's own book: hundreds of boxes, engines that end with all
-//! that runs on them, and innocent streams beside, without a process, a socket or a wait.
+//! Simulation of requests that crash engines: hundreds of boxes run the gateway's quarantine registry in virtual time, without
+//! processes or sockets. An engine that crashes also loses the streams of innocent requests.
 //!
-//! A [`CrashPattern`] says what goes wrong and when, a [`CrashFleet`] how many boxes and engines there are; [`replay_crashes`]
-//! plays them with a seed and answers with [`CrashFigures`].
+//! A [`CrashPattern`] sets the load and the faults, a [`CrashFleet`] the number of boxes and engines. [`replay_crashes`] runs them
+//! with a seed and returns [`CrashFigures`].
 
+mod announcements;
 mod engine;
 mod event;
 mod figures;
@@ -12,7 +13,6 @@
 mod replay;
 mod report;
 mod request;
-mod words;
 
 pub use self::{
   figures::CrashFigures,
--- a/emulator/src/quarantine/pattern.rs
+++ b/emulator/src/quarantine/pattern.rs
@@ -1,33 +1,34 @@
-//! What goes wrong in a replay of crashes, and when.
+//! Load and faults of the crash simulation.
 
-/// When a replay ends.
-pub(super) const ENDS_MS: u64 = 60_000;
-/// When all boxes start anew, and when the store is away.
-const TURN_MS: u64 = 20_000;
-const AWAY_MS: (u64, u64) = (4_000, 16_000);
-/// When a rack goes.
-const RACK_MS: [u64; 3] = [10_000, 25_000, 40_000];
+/// End of the simulation.
+pub(super) const SIMULATION_END_MS: u64 = 60_000;
+/// Time at which all boxes restart.
+const BOXES_RESTART_MS: u64 = 20_000;
+/// Period in which the store is unavailable.
+const STORE_OUTAGE_MS: (u64, u64) = (4_000, 16_000);
+/// Times at which a rack fails.
+const RACK_FAILURES_MS: [u64; 3] = [10_000, 25_000, 40_000];
 
-/// A way in which requests end engines, or seem to.
+/// A way in which requests crash engines, or seem to. The report prints the variants' names.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CrashPattern {
-  /// One body ends engines; it comes again after some 0.4 s, at any box.
+  /// One body crashes engines; requests with it arrive every 0.4 s on average, at any box.
   OneBody,
-  /// The same, and what boxes tell each other takes two seconds.
+  /// `OneBody`, with a delay of about 2 s until a box receives another's marks.
   OneBodySlowWord,
-  /// The same, while the store is away for 12 s.
+  /// `OneBody`, while the store is unavailable for 12 s.
   OneBodyStoreAway,
-  /// The same, and all boxes start anew after 20 s.
+  /// `OneBody`, and all boxes restart after 20 s.
   OneBodyAllNew,
-  /// Twelve bodies, each as often.
+  /// Twelve bodies, each as often as in `OneBody`.
   TwelveBodies,
-  /// A new body every second, each asked for six times.
+  /// A new body every second, each in six requests.
   NewBodies,
-  /// A third of the engines goes three times in a minute; no body ends any.
+  /// A third of the engines fails three times in a minute; no body crashes any.
   Rack,
-  /// The same, and all innocent requests have one of four bodies.
+  /// `Rack`, and all innocent requests have one of four bodies.
   RackPopular,
-  /// The same rack, beside one body.
+  /// `OneBody` and `Rack` together.
   OneBodyAndRack,
 }
 
@@ -45,7 +46,7 @@
     Self::OneBodyAndRack,
   ];
 
-  /// Crashing bodies that come from the start.
+  /// Number of crashing bodies that arrive from the start.
   pub(super) fn bodies(self) -> u64 {
     match self {
       Self::TwelveBodies => 12,
@@ -54,36 +55,36 @@
     }
   }
 
-  /// How often each crashing body comes.
-  pub(super) fn repeats(self) -> u32 {
+  /// Number of requests with each crashing body.
+  pub(super) fn requests_per_body(self) -> u32 {
     if self == Self::NewBodies { 6 } else { u32::MAX }
   }
 
-  /// Pause between new crashing bodies.
-  pub(super) fn new_body_ms(self) -> Option<u64> {
+  /// Interval between new crashing bodies.
+  pub(super) fn new_body_interval_ms(self) -> Option<u64> {
     (self == Self::NewBodies).then_some(1_000)
   }
 
-  /// When racks go.
-  pub(super) fn racks(self) -> &'static [u64] {
+  /// Times at which a rack fails.
+  pub(super) fn rack_failures_ms(self) -> &'static [u64] {
     match self {
-      Self::Rack | Self::RackPopular | Self::OneBodyAndRack => &RACK_MS,
+      Self::Rack | Self::RackPopular | Self::OneBodyAndRack => &RACK_FAILURES_MS,
       _ => &[],
     }
   }
 
-  /// How many bodies innocent requests have; nothing when each has its own.
+  /// Number of bodies that innocent requests share, or `None` if each has its own.
   pub(super) fn popular_bodies(self) -> Option<u64> {
     (self == Self::RackPopular).then_some(4)
   }
 
-  /// When all boxes lose what they know, but for what the store has.
-  pub(super) fn all_new_ms(self) -> Option<u64> {
-    (self == Self::OneBodyAllNew).then_some(TURN_MS)
+  /// Time at which all boxes restart and keep only the marks in the store.
+  pub(super) fn boxes_restart_ms(self) -> Option<u64> {
+    (self == Self::OneBodyAllNew).then_some(BOXES_RESTART_MS)
   }
 
-  /// How long a word by the store takes.
-  pub(super) fn word_ms(self) -> u64 {
+  /// Typical delay until a box receives a mark through the store.
+  pub(super) fn store_delay_ms(self) -> u64 {
     if self == Self::OneBodySlowWord {
       2_000
     } else {
@@ -91,10 +92,10 @@
     }
   }
 
-  /// When the store is back, if it is away.
-  pub(super) fn store_back_ms(self, now_ms: u64) -> Option<u64> {
-    let (from_ms, until_ms) = AWAY_MS;
-    let is_away = self == Self::OneBodyStoreAway && (from_ms..until_ms).contains(&now_ms);
-    is_away.then_some(until_ms)
+  /// The end of the store's outage, if there is one now.
+  pub(super) fn store_outage_end_ms(self, now_ms: u64) -> Option<u64> {
+    let (from_ms, until_ms) = STORE_OUTAGE_MS;
+    let is_unavailable = self == Self::OneBodyStoreAway && (from_ms..until_ms).contains(&now_ms);
+    is_unavailable.then_some(until_ms)
   }
 }
--- a/emulator/src/quarantine/report.rs
+++ b/emulator/src/quarantine/report.rs
@@ -1,4 +1,4 @@
-//! The table of a replay of crashes.
+//! The report of the crash simulation as a Markdown table.
 
 use {
   super::{CrashFigures, CrashFleet, CrashPattern, replay_crashes},
@@ -6,21 +6,22 @@
   rillford::gateway::QuarantineStrategy,
 };
 
-/// Which table is wanted.
+/// Options of the crash report.
 #[derive(Bpaf, Clone, Copy, Debug)]
 pub struct CrashReport {
-  /// Seeds for each pattern and way
+  /// Seeds for each pattern and strategy
   #[bpaf(long, argument("N"), fallback(4))]
   seeds: u64,
   /// Boxes
   #[bpaf(long, argument("N"), fallback(CrashFleet::SMALL.boxes))]
   boxes: usize,
-  /// Engines that write answers
+  /// Decode engines
   #[bpaf(long, argument("N"), fallback(CrashFleet::SMALL.engines))]
   engines: usize,
 }
 
-/// Plays all patterns in all ways and prints what came of them; the worst of the seeds stands for bounds.
+/// Runs every pattern with every strategy and prints a table: the maximum over all seeds for late runs and the registry's size, and
+/// the mean for all else.
 pub fn print_crashes(report: CrashReport) {
   let fleet = CrashFleet {
     boxes: report.boxes,
@@ -31,31 +32,31 @@
   );
   println!("| --- | --- | ---: | ---: | ---: | ---: | ---: | ---: |");
   for pattern in CrashPattern::ALL {
-    for way in [
+    for strategy in [
       QuarantineStrategy::Off,
       QuarantineStrategy::OwnBox,
       QuarantineStrategy::Shared,
     ] {
-      let plays: Vec<CrashFigures> = (1..=report.seeds)
-        .map(|seed| replay_crashes(pattern, fleet, way, seed))
+      let runs: Vec<CrashFigures> = (1..=report.seeds)
+        .map(|seed| replay_crashes(pattern, fleet, strategy, seed))
         .collect();
-      print_row(pattern, way, &plays);
+      print_row(pattern, strategy, &runs);
     }
   }
 }
 
-fn print_row(pattern: CrashPattern, way: QuarantineStrategy, plays: &[CrashFigures]) {
+fn print_row(pattern: CrashPattern, strategy: QuarantineStrategy, runs: &[CrashFigures]) {
   let mean =
-    |figure: fn(&CrashFigures) -> f64| plays.iter().map(figure).sum::<f64>() / plays.len() as f64;
-  let most_late = plays.iter().map(|play| play.most_late).max();
-  let largest = plays.iter().map(|play| play.largest_book).max();
+    |figure: fn(&CrashFigures) -> f64| runs.iter().map(figure).sum::<f64>() / runs.len() as f64;
+  let max_late = runs.iter().map(|run| run.most_late).max();
+  let largest = runs.iter().map(|run| run.largest_book).max();
   println!(
-    "| {pattern:?} | {way:?} | {:.1} | {} | {:.4} | {:.1} | {:.0} | {} |",
-    mean(|play| f64::from(play.ended)),
-    most_late.unwrap_or(0),
+    "| {pattern:?} | {strategy:?} | {:.1} | {} | {:.4} | {:.1} | {:.0} | {} |",
+    mean(|run| f64::from(run.ended)),
+    max_late.unwrap_or(0),
     mean(CrashFigures::served_share),
-    mean(|play| f64::from(play.innocent_held)),
-    mean(|play| f64::from(play.store_calls)),
+    mean(|run| f64::from(run.innocent_held)),
+    mean(|run| f64::from(run.store_calls)),
     largest.unwrap_or(0),
   );
 }
--- a/emulator/src/quarantine/request.rs
+++ b/emulator/src/quarantine/request.rs
@@ -1,24 +1,25 @@
-//! A request of a replay of crashes.
+//! A simulated request of the crash simulation.
 
 use rillford::gateway::Fingerprint;
 
-/// One try of a caller.
+/// A caller's request with its current attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Request {
   pub(super) fingerprint: Fingerprint,
-  /// The number of its body, if it ends engines.
+  /// The number of its body, if it crashes engines.
   pub(super) crashing: Option<usize>,
-  /// The box that it came to.
+  /// The box that it arrived at.
   pub(super) at: usize,
-  /// Engines that it may still be sent to.
+  /// Engines that the box may still send it to.
   pub(super) attempts_left: u32,
-  /// Whether it is a trial.
+  /// Whether it is a quarantine probe.
   pub(super) is_probe: bool,
-  /// Tries that its caller has left.
-  pub(super) tries_left: u32,
-  /// When its caller gives up.
-  pub(super) until_ms: u64,
-  /// The number of its present run, and its engine.
+  /// How often the caller may still send it again.
+  pub(super) caller_retries_left: u32,
+  /// Time after which the caller does not send it again.
+  pub(super) deadline_ms: u64,
+  /// The number of the current run, by which events of earlier runs are ignored.
   pub(super) run: u64,
+  /// The engine of the current run.
   pub(super) engine: Option<usize>,
 }
