--- a/emulator/src/load/figures.rs
+++ b/emulator/src/load/figures.rs
@@ -1,29 +1,29 @@
-//! What came of a replay.
+//! Results of a load simulation.
 
-/// Counts of one replay, over the time in which its pattern is in force and shortly after.
+/// Results of one run, over the requests that arrive while its pattern is active and shortly after.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Figures {
-  /// Requests that came.
+  /// Requests that arrived.
   pub asked: u32,
-  /// Requests that were served, at whatever try.
+  /// Requests that were served, at the first attempt or a later one.
   pub served: u32,
-  /// Sends that were lost: each a prompt that may have been read in vain.
+  /// Attempts that failed after they reached an engine, each of which may have wasted a prefill.
   pub lost_sends: u32,
-  /// Sends to an engine that was gone: each costs its caller the time that a connection is waited for.
+  /// Attempts at an engine that was unreachable, each of which costs its caller the connect timeout.
   pub unreached_sends: u32,
-  /// Sends that an engine refused because its seats were taken.
+  /// Attempts that an engine rejected because its slots were full.
   pub refused_sends: u32,
-  /// Sends to each engine, by its number.
+  /// Attempts by the number of the engine.
   pub sends: Vec<u32>,
 }
 
 impl Figures {
-  /// Part of the requests that were served.
+  /// Fraction of the requests that was served.
   pub fn served_share(&self) -> f64 {
     f64::from(self.served) / f64::from(self.asked.max(1))
   }
 
-  /// Sends to one engine, as a multiple of the mean.
+  /// Attempts at one engine, as a multiple of the mean over all engines.
   ///
   /// ```
   /// use emulator::load::Figures;
--- a/emulator/src/load/mod.rs
+++ b/emulator/src/load/mod.rs
@@ -1,8 +1,8 @@
-//! Load at its worst, replayed in virtual time against the gateway's own decisions: arrivals, seats and losses over hundreds
-//! of boxes and engines, without a process, a socket or a wait.
+//! Simulation of overload and failures: hundreds of boxes run the gateway's endpoint registry in virtual time against engines with
+//! batch slots, without processes or sockets.
 //!
-//! A [`Pattern`] says what goes wrong and when; a [`Variant`] says which decisions are in use; [`replay`] plays both with a
-//! seed and answers with [`Figures`].
+//! A [`Pattern`] sets the load and the faults, a [`Variant`] the decisions that boxes use. [`replay`] runs them with a seed and
+//! returns [`Figures`].
 
 mod figures;
 mod pattern;
--- a/emulator/src/load/replay.rs
+++ b/emulator/src/load/replay.rs
@@ -1,4 +1,4 @@
-//! The replay: boxes that choose by the gateway's own book of endpoints, and engines with seats.
+//! The load simulation: boxes choose with the gateway's own endpoint registry, engines have batch slots.
 
 use {
   super::{
@@ -18,56 +18,56 @@
   },
 };
 
-/// Boxes, engines that write answers, and halls of the users' site of hundreds of machines.
+// The size of a deployment of hundreds of boxes.
 const BOXES: usize = 195;
+/// Decode engines.
 const ENGINES: usize = 93;
 const HALLS: usize = 5;
-/// Streams that one engine writes at once, bounded by its memory.
-const SEATS: u32 = 9;
-/// Requests a second, over all boxes.
+/// Streams that an engine decodes at once, bounded by its memory.
+const SLOTS: u32 = 9;
+/// Requests per second at all boxes.
 const REQUESTS_PER_S: f64 = 115.0;
-/// From a request's arrival at an engine to its first event.
-const HEAD_MS: u64 = 100;
-/// How long a stream holds its seat on the mean.
-const STREAM_MS: f64 = 3_300.0;
-/// A refusal.
-const REFUSAL_MS: u64 = 2;
-/// How long a connection to an engine that is out of reach is waited for.
-const CONNECT_MS: u64 = 150;
-/// Sends of a request that may be lost, and those that may be refused or not arrive.
-const MOST_LOSSES: u32 = 2;
-const MOST_REFUSALS: u32 = 4;
-/// Tokens of a prompt: the size of a request at an engine.
+/// Time from a request's arrival at an engine to the first event.
+const FIRST_EVENT_MS: u64 = 100;
+/// Mean duration of a stream, in which it takes a slot.
+const MEAN_STREAM_MS: f64 = 3_300.0;
+/// Time until a box receives a rejection.
+const REJECTION_MS: u64 = 2;
+/// Timeout of a connection to an unreachable engine.
+const CONNECT_TIMEOUT_MS: u64 = 150;
+/// Lost attempts after which a request fails.
+const MAX_LOSSES: u32 = 2;
+/// Rejected and unreachable attempts after which a request fails.
+const MAX_REJECTIONS: u32 = 4;
+/// Size of a request.
 const PROMPT_TOKENS: u64 = 5_000;
-/// Ports of the engines begin here; an address leads back to its engine's number.
+/// Port of engine 0. An engine's port is this plus its number, so that an address identifies its engine.
 const FIRST_PORT: u16 = 1_000;
 
-/// What happens at a moment.
 enum Event {
-  /// A request comes to a box.
-  Arrives,
-  /// A request is sent to an engine that its box chooses now.
+  /// A request arrives at a box.
+  RequestArrives,
+  /// A box sends a request to an engine, which it chooses now.
   Send(Request),
-  /// A send comes to its end at the box.
-  Ends {
+  /// A box receives the outcome of an attempt.
+  AttemptEnds {
     request: Request,
     engine: usize,
-    end: AttemptOutcome,
+    outcome: AttemptOutcome,
   },
-  /// A stream is whole.
+  /// A stream completes.
   StreamEnds { at_box: usize, engine: usize },
-  /// All boxes start anew.
-  BoxesStart,
+  /// All boxes restart.
+  BoxesRestart,
 }
 
-/// A request on its way.
 struct Request {
   at_box: usize,
   tried: Vec<Name>,
   losses: u32,
-  refusals: u32,
-  /// Whether it came in the time that is counted.
-  counts: bool,
+  rejections: u32,
+  /// Whether it is counted in the results.
+  is_counted: bool,
 }
 
 struct Replay {
@@ -75,13 +75,13 @@
   variant: Variant,
   random: ChaCha8Rng,
   queue: Queue<Event>,
-  books: Vec<EndpointRegistry>,
-  /// Streams at each engine.
+  registries: Vec<EndpointRegistry>,
+  /// Number of streams by engine.
   running: Vec<u32>,
   figures: Figures,
 }
 
-/// Plays a pattern with a seed.
+/// Runs a pattern with a seed.
 ///
 /// ```
 /// use emulator::load::{Pattern, Variant, replay};
@@ -92,7 +92,7 @@
 /// ```
 pub fn replay(pattern: Pattern, variant: Variant, seed: u64) -> Figures {
   let mut replay = Replay {
-    books: new_books(),
+    registries: new_registries(),
     figures: Figures {
       sends: vec![0; ENGINES],
       ..Figures::default()
@@ -103,12 +103,12 @@
     running: vec![0; ENGINES],
     variant,
   };
-  replay.queue.put(0, Event::Arrives);
-  if let Some(at_ms) = pattern.boxes_start_ms() {
-    replay.queue.put(at_ms, Event::BoxesStart);
+  replay.queue.put(0, Event::RequestArrives);
+  if let Some(at_ms) = pattern.boxes_restart_ms() {
+    replay.queue.put(at_ms, Event::BoxesRestart);
   }
   while let Some((now_ms, event)) = replay.queue.next() {
-    if now_ms >= pattern.ends_ms() {
+    if now_ms >= pattern.simulation_end_ms() {
       break;
     }
     replay.handle(now_ms, event);
@@ -116,7 +116,6 @@
   replay.figures
 }
 
-/// The hall of a box or an engine.
 fn hall_of(number: usize) -> usize {
   number % HALLS
 }
@@ -139,58 +138,60 @@
     id: engine_name(number),
     leaving: false,
     role: Some(Role::Decode),
-    slots: SEATS,
+    slots: SLOTS,
     service: "llm".into(),
   }
 }
 
-/// The book of each box, with all engines in it.
-fn new_books() -> Vec<EndpointRegistry> {
-  let book = |_| {
-    let mut book = EndpointRegistry::default();
-    (0..ENGINES).for_each(|engine| book.put(entry(engine)));
-    book
+/// The registry of each box, with all engines.
+fn new_registries() -> Vec<EndpointRegistry> {
+  let registry = |_| {
+    let mut registry = EndpointRegistry::default();
+    (0..ENGINES).for_each(|engine| registry.put(entry(engine)));
+    registry
   };
-  (0..BOXES).map(book).collect()
+  (0..BOXES).map(registry).collect()
 }
 
 impl Replay {
   fn handle(&mut self, now_ms: u64, event: Event) {
     match event {
-      Event::Arrives => self.arrive(now_ms),
+      Event::RequestArrives => self.handle_arrival(now_ms),
       Event::Send(request) => self.send(now_ms, request),
-      Event::Ends {
+      Event::AttemptEnds {
         request,
         engine,
-        end,
-      } => self.end(now_ms, request, engine, end),
+        outcome,
+      } => self.handle_outcome(now_ms, request, engine, outcome),
       Event::StreamEnds { at_box, engine } => {
         self.running[engine] -= 1;
-        let end = AttemptOutcome::Answered { took_ms: HEAD_MS };
-        self.book_end(now_ms, at_box, engine, end);
+        let outcome = AttemptOutcome::Answered {
+          took_ms: FIRST_EVENT_MS,
+        };
+        self.record_outcome(now_ms, at_box, engine, outcome);
       }
-      Event::BoxesStart => self.books = new_books(),
+      Event::BoxesRestart => self.registries = new_registries(),
     }
   }
 
-  /// A request comes, and the next one is drawn.
-  fn arrive(&mut self, now_ms: u64) {
-    let counts = self.pattern.counts(now_ms);
-    self.figures.asked += u32::from(counts);
+  /// Sends a request from a random box, and schedules the next arrival.
+  fn handle_arrival(&mut self, now_ms: u64) {
+    let is_counted = self.pattern.is_counted(now_ms);
+    self.figures.asked += u32::from(is_counted);
     let request = Request {
       at_box: self.random.random_range(0..BOXES),
-      counts,
+      is_counted,
       losses: 0,
-      refusals: 0,
+      rejections: 0,
       tried: Vec::new(),
     };
     self.send(now_ms, request);
     let mean_ms = 1_000.0 / (REQUESTS_PER_S * self.pattern.load(now_ms));
-    let pause_ms = self.exponential(mean_ms);
-    self.queue.put(now_ms + pause_ms, Event::Arrives);
+    let interval_ms = self.exponential(mean_ms);
+    self.queue.put(now_ms + interval_ms, Event::RequestArrives);
   }
 
-  /// A time of a mean; the clock counts whole milliseconds.
+  /// Draws an exponentially distributed time, rounded to whole milliseconds.
   fn exponential(&mut self, mean_ms: f64) -> u64 {
     let draw: f64 = self.random.random();
     (-(1.0 - draw).ln() * mean_ms).round() as u64
@@ -200,8 +201,8 @@
   fn send(&mut self, now_ms: u64, mut request: Request) {
     let hall = hall_name(request.at_box);
     let random = &mut self.random;
-    let book = &mut self.books[request.at_box];
-    let wanted = EndpointCriteria {
+    let registry = &mut self.registries[request.at_box];
+    let criteria = EndpointCriteria {
       allowed_halls: &AllowedHalls::Any,
       hall: &hall,
       is_retryable: true,
@@ -210,94 +211,105 @@
       size: PROMPT_TOKENS,
       tried: &request.tried,
     };
-    let Some(choice) = book.choose(wanted, now_ms, || random.random()) else {
+    let Some(choice) = registry.choose(criteria, now_ms, || random.random()) else {
       return;
     };
-    book.record_send(&choice.entry.id, PROMPT_TOKENS);
+    registry.record_send(&choice.entry.id, PROMPT_TOKENS);
     let engine = usize::from(choice.entry.address.port() - FIRST_PORT);
-    self.figures.sends[engine] += u32::from(request.counts);
-    let (end, took_ms) = self.fate(now_ms, request.at_box, engine);
+    self.figures.sends[engine] += u32::from(request.is_counted);
+    let (outcome, took_ms) = self.attempt(now_ms, request.at_box, engine);
     request.tried.push(choice.entry.id);
-    let event = Event::Ends {
-      end,
+    let event = Event::AttemptEnds {
       engine,
+      outcome,
       request,
     };
     self.queue.put(now_ms + took_ms, event);
   }
 
-  /// What an engine does with a send, and how long that takes.
-  fn fate(&mut self, now_ms: u64, at_box: usize, engine: usize) -> (AttemptOutcome, u64) {
+  /// Returns the outcome of an attempt at an engine, and the time until the box receives it.
+  fn attempt(&mut self, now_ms: u64, at_box: usize, engine: usize) -> (AttemptOutcome, u64) {
     let (from, to) = (hall_of(at_box), hall_of(engine));
     let state = self.pattern.engine(engine, now_ms);
     if state == EngineState::Gone || !self.pattern.are_connected(from, to, now_ms) {
-      return (AttemptOutcome::Unreachable, CONNECT_MS);
+      return (AttemptOutcome::Unreachable, CONNECT_TIMEOUT_MS);
     }
-    if self.running[engine] >= SEATS {
-      return (AttemptOutcome::Full, REFUSAL_MS);
+    if self.running[engine] >= SLOTS {
+      return (AttemptOutcome::Full, REJECTION_MS);
     }
     match state {
       EngineState::Loses(share) if self.random.random::<f64>() < share => {
-        (AttemptOutcome::Lost, HEAD_MS)
+        (AttemptOutcome::Lost, FIRST_EVENT_MS)
       }
       _ => {
         self.running[engine] += 1;
-        (AttemptOutcome::Answered { took_ms: HEAD_MS }, HEAD_MS)
+        (
+          AttemptOutcome::Answered {
+            took_ms: FIRST_EVENT_MS,
+          },
+          FIRST_EVENT_MS,
+        )
       }
     }
   }
 
-  /// A send has ended: the stream runs, or another engine is tried.
-  fn end(&mut self, now_ms: u64, mut request: Request, engine: usize, end: AttemptOutcome) {
-    let counted = u32::from(request.counts);
-    match end {
-      AttemptOutcome::Answered { .. } => return self.stream(now_ms, &request, engine),
+  /// Starts the stream, or retries the request at another engine.
+  fn handle_outcome(
+    &mut self,
+    now_ms: u64,
+    mut request: Request,
+    engine: usize,
+    outcome: AttemptOutcome,
+  ) {
+    let counted = u32::from(request.is_counted);
+    match outcome {
+      AttemptOutcome::Answered { .. } => return self.start_stream(now_ms, &request, engine),
       AttemptOutcome::Full => {
         self.figures.refused_sends += counted;
-        request.refusals += 1;
+        request.rejections += 1;
       }
       AttemptOutcome::Unreachable => {
         self.figures.unreached_sends += counted;
-        request.refusals += 1;
+        request.rejections += 1;
       }
       AttemptOutcome::Cancelled | AttemptOutcome::Failed | AttemptOutcome::Lost => {
         self.figures.lost_sends += counted;
         request.losses += 1;
       }
     }
-    self.book_end(now_ms, request.at_box, engine, end);
-    if request.losses < MOST_LOSSES && request.refusals < MOST_REFUSALS {
+    self.record_outcome(now_ms, request.at_box, engine, outcome);
+    if request.losses < MAX_LOSSES && request.rejections < MAX_REJECTIONS {
       self.queue.put(now_ms, Event::Send(request));
     }
   }
 
-  /// The engine streams, and has told its load.
-  fn stream(&mut self, now_ms: u64, request: &Request, engine: usize) {
-    self.figures.served += u32::from(request.counts);
+  /// Starts a stream at an engine, which reports its load to the box.
+  fn start_stream(&mut self, now_ms: u64, request: &Request, engine: usize) {
+    self.figures.served += u32::from(request.is_counted);
     let at_box = request.at_box;
     if self.variant.heeds_told_load {
       let load = LoadHeader {
         running: self.running[engine],
-        slots: SEATS,
+        slots: SLOTS,
         waiting: 0,
       };
-      self.books[at_box].record_load(&engine_name(engine), load, now_ms);
+      self.registries[at_box].record_load(&engine_name(engine), load, now_ms);
     }
-    let stream_ms = self.exponential(STREAM_MS);
+    let stream_ms = self.exponential(MEAN_STREAM_MS);
     let event = Event::StreamEnds { at_box, engine };
     self.queue.put(now_ms + stream_ms, event);
   }
 
-  /// The box's book learns how a send ended, as far as the variant heeds it.
-  fn book_end(&mut self, now_ms: u64, at_box: usize, engine: usize, end: AttemptOutcome) {
-    let noted = match end {
+  /// Records the outcome of an attempt in the box's registry, as far as the variant uses it.
+  fn record_outcome(&mut self, now_ms: u64, at_box: usize, engine: usize, outcome: AttemptOutcome) {
+    let recorded = match outcome {
       AttemptOutcome::Lost | AttemptOutcome::Unreachable if !self.variant.heeds_losses => {
         AttemptOutcome::Cancelled
       }
       AttemptOutcome::Unreachable if !self.variant.notices_cut_halls => AttemptOutcome::Lost,
-      end => end,
+      outcome => outcome,
     };
-    let book = &mut self.books[at_box];
-    book.record_outcome(&engine_name(engine), PROMPT_TOKENS, 1, noted, now_ms);
+    let registry = &mut self.registries[at_box];
+    registry.record_outcome(&engine_name(engine), PROMPT_TOKENS, 1, recorded, now_ms);
   }
 }
--- a/emulator/src/load/variant.rs
+++ b/emulator/src/load/variant.rs
@@ -1,6 +1,6 @@
-//! Which decisions of the gateway a replay uses.
+//! The gateway's decisions that a simulation uses.
 
-/// Decisions that are in use.
+/// Decisions that boxes use.
 ///
 /// ```
 /// use emulator::load::Variant;
@@ -9,16 +9,16 @@
 /// ```
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Variant {
-  /// Boxes heed the load that an endpoint tells with its answers.
+  /// Boxes use the load that an endpoint reports in its responses.
   pub heeds_told_load: bool,
-  /// Losses and silence are heeded at all: endpoints are left alone for a while, and cut halls are noticed.
+  /// Boxes use lost and unreachable attempts: they back off from endpoints and detect partitioned halls.
   pub heeds_losses: bool,
-  /// A hall of which several endpoints don't answer counts as cut off.
+  /// Boxes treat a hall with several unreachable endpoints as partitioned.
   pub notices_cut_halls: bool,
 }
 
 impl Variant {
-  /// All decisions, and each of them switched off, with a name.
+  /// All decisions, and all but one for each, with the names that the report prints.
   pub fn ablation() -> [(&'static str, Self); 4] {
     let all = Self::default();
     [
