--- a/emulator/src/limits/mod.rs
+++ b/emulator/src/limits/mod.rs
@@ -1,8 +1,8 @@
 //! Simulation of organisations' limits: hundreds of boxes run the gateway's decision code in virtual time, without processes
 //! or sockets.
 //!
-//! A [`LimitPattern`] sets the load and the faults, a [`LimitFleet`] the number of boxes and organisations. [`replay_limits`]
-//! runs them with a seed and returns [`LimitFigures`].
+//! A [`LimitPattern`] sets the load and the faults, a [`LimitFleet`] the number of boxes and organisations.
+//! [`replay_limits`] runs them with a seed and returns [`LimitFigures`].
 
 mod event;
 mod figures;
--- a/emulator/src/limits/replay.rs
+++ b/emulator/src/limits/replay.rs
@@ -21,7 +21,8 @@
   std::net::SocketAddr,
 };
 
-// The sync interval, the rounds until an idle box sends an empty report and the rounds between full totals are the gateway's.
+// The sync interval, the rounds until an idle box sends an empty report and the rounds between full totals are the
+// gateway's.
 const SYNC_INTERVAL_MS: u64 = 150;
 const IDLE_ROUNDS: u32 = 3;
 const FULL_TOTALS_ROUNDS: u32 = 10;
--- a/emulator/src/limits/report.rs
+++ b/emulator/src/limits/report.rs
@@ -23,8 +23,8 @@
   organisations: usize,
 }
 
-/// Runs every pattern with every strategy and prints a table: the maximum over all seeds for usage, messages and bytes, and the
-/// mean for the shares.
+/// Runs every pattern with every strategy and prints a table: the maximum over all seeds for usage, messages and bytes, and
+/// the mean for the shares.
 pub fn print_limits(report: LimitReport) {
   let fleet = LimitFleet {
     boxes: report.boxes,
--- a/emulator/src/load/mod.rs
+++ b/emulator/src/load/mod.rs
@@ -1,8 +1,8 @@
-//! Simulation of overload and failures: hundreds of boxes run the gateway's endpoint registry in virtual time against engines with
-//! batch slots, without processes or sockets.
+//! Simulation of overload and failures: hundreds of boxes run the gateway's endpoint registry in virtual time against
+//! engines with batch slots, without processes or sockets.
 //!
-//! A [`Pattern`] sets the load and the faults, a [`Variant`] the decisions that boxes use. [`replay`] runs them with a seed and
-//! returns [`Figures`].
+//! A [`Pattern`] sets the load and the faults, a [`Variant`] the decisions that boxes use. [`replay`] runs them with a seed
+//! and returns [`Figures`].
 
 mod figures;
 mod pattern;
--- a/emulator/src/notices/figures.rs
+++ b/emulator/src/notices/figures.rs
@@ -12,10 +12,11 @@
   pub repeats: u32,
   /// Requests that an endpoint rejected.
   pub turned_away: u32,
-  /// The highest number of requests that an endpoint received from one box in a backoff that it asked for, not counting the first
-  /// half second. Two are allowed.
+  /// The highest number of requests that an endpoint received from one box in a backoff that it asked for, not counting the
+  /// first half second. Two are allowed.
   pub most_in_pause: u32,
-  /// Requests that an endpoint received from a box more than 2 s after that box was notified that it leaves. None is allowed.
+  /// Requests that an endpoint received from a box more than 2 s after that box was notified that it leaves. None is
+  /// allowed.
   pub late_after_word: u32,
   /// Messages between boxes.
   pub messages: u32,
--- a/emulator/src/notices/replay.rs
+++ b/emulator/src/notices/replay.rs
@@ -349,7 +349,7 @@
     }
   }
 
-  /// Applies an endpoint's notice at the box that received it, and forwards it if the strategy says so.
+  /// Applies an endpoint's notice at the box that received it, and forwards it under `NoticeWay::Told`.
   fn apply_notice(&mut self, at: usize, endpoint: usize, mut notice: EndpointNotice, now_ms: u64) {
     if let (NoticeWay::OwnBoxSpread, Some(backoff_ms)) = (self.strategy, &mut notice.backoff_ms) {
       *backoff_ms = jittered_backoff_ms(*backoff_ms, self.fleet.boxes, self.random.random());
--- a/emulator/src/notices/report.rs
+++ b/emulator/src/notices/report.rs
@@ -22,8 +22,8 @@
   requests_per_s: f64,
 }
 
-/// Runs every pattern with every strategy and prints a table: the maximum over all seeds for figures with a bound, and the mean for
-/// all else.
+/// Runs every pattern with every strategy and prints a table: the maximum over all seeds for figures with a bound, and the
+/// mean for all else.
 pub fn print_notices(report: NoticeReport) {
   let fleet = NoticeFleet {
     boxes: report.boxes,
--- a/emulator/src/places/report.rs
+++ b/emulator/src/places/report.rs
@@ -22,8 +22,8 @@
   limit_per_s: f64,
 }
 
-/// Runs every pattern with every strategy and prints a table: the maximum over all seeds for the requests in a window, and the mean
-/// for all else.
+/// Runs every pattern with every strategy and prints a table: the maximum over all seeds for the requests in a window, and
+/// the mean for all else.
 pub fn print_places(report: PlaceReport) {
   let fleet = PlaceFleet::pressed(report.boxes, report.limit_per_s);
   println!(
--- a/emulator/src/quarantine/replay.rs
+++ b/emulator/src/quarantine/replay.rs
@@ -381,7 +381,8 @@
     self.crash_engine(engine, now_ms);
   }
 
-  /// Crashes an engine with all requests that run on it. Each of them gets a mark, as the box can't tell which one was the cause.
+  /// Crashes an engine with all requests that run on it. Each of them gets a mark, as the box can't tell which one was the
+  /// cause.
   fn crash_engine(&mut self, engine: usize, now_ms: u64) {
     if self.engines[engine].is_down {
       return;
--- a/emulator/src/quarantine/report.rs
+++ b/emulator/src/quarantine/report.rs
@@ -20,8 +20,8 @@
   engines: usize,
 }
 
-/// Runs every pattern with every strategy and prints a table: the maximum over all seeds for late runs and the registry's size, and
-/// the mean for all else.
+/// Runs every pattern with every strategy and prints a table: the maximum over all seeds for late runs and the registry's
+/// size, and the mean for all else.
 pub fn print_crashes(report: CrashReport) {
   let fleet = CrashFleet {
     boxes: report.boxes,
