--- a/emulator/src/decisions/experiments.rs
+++ b/emulator/src/decisions/experiments.rs
@@ -1,4 +1,4 @@
-//! The tables of the decision bench.
+//! Tables of the decision simulation.
 
 use {
   super::{
@@ -11,25 +11,28 @@
   std::{fmt::Write, io, path::Path, thread},
 };
 
-/// What to print.
+/// Options of the report.
 #[derive(Clone, Debug)]
 pub struct Report {
   /// Seeds, from 1.
   pub seeds: u64,
-  /// Where plots go, if anywhere.
+  /// Folder for plots, if they are drawn.
   pub plots: Option<std::path::PathBuf>,
-  /// Only tables whose title contains this.
+  /// Text that the titles of the printed tables contain.
   pub only: Option<String>,
 }
 
 impl Report {
-  fn wants(&self, site: Site, title: &str) -> bool {
-    let whole = format!("{site:?}: {title}");
-    self.only.as_ref().is_none_or(|only| whole.contains(only))
+  fn includes(&self, site: Site, title: &str) -> bool {
+    let full_title = format!("{site:?}: {title}");
+    self
+      .only
+      .as_ref()
+      .is_none_or(|only| full_title.contains(only))
   }
 }
 
-/// Rows of one table, all variants at once: the machine's cores bound what runs side by side.
+/// Formats a table. All variants run in parallel.
 fn table(title: &str, site: Site, bounds: &[f64], variants: &[Variant], seeds: u64) -> String {
   let mut text = format!("\n### {site:?}: {title}\n\n{TABLE_HEAD}");
   let rows = thread::scope(|scope| {
@@ -43,8 +46,8 @@
     let variants = variants.iter().map(|variant| {
       scope.spawn(move || row(variant.name, &runs(site, Day::Peak, variant, seeds)))
     });
-    let started = bounds.into_iter().chain(variants.collect::<Vec<_>>());
-    started
+    let handles = bounds.into_iter().chain(variants.collect::<Vec<_>>());
+    handles
       .filter_map(|row| row.join().ok())
       .collect::<Vec<_>>()
   });
@@ -52,12 +55,12 @@
   text
 }
 
-fn named(name: &'static str, variant: Variant) -> Variant {
+fn renamed(name: &'static str, variant: Variant) -> Variant {
   Variant { name, ..variant }
 }
 
-/// The ways of deciding, side by side.
-fn ways(site: Site) -> Vec<Variant> {
+/// Variants of the decisions.
+fn strategies(site: Site) -> Vec<Variant> {
   let shipped = || Variant::shipped("shipped", site);
   vec![
     shipped(),
@@ -65,17 +68,17 @@
     Variant::two_choices(site),
     Variant::lagging_load(site),
     Variant::fixed_shares(site),
-    named(
+    renamed(
       "no reservation",
       shipped().tuned(|tuning| tuning.reserve_before_prefill = false),
     ),
-    named(
+    renamed(
       "no early refusal",
       shipped().tuned(|tuning| tuning.early_refusal = false),
     ),
     Variant {
       cache_events: false,
-      ..named("no cache events", shipped())
+      ..renamed("no cache events", shipped())
     },
   ]
 }
@@ -107,22 +110,22 @@
   ]
 }
 
-/// Prints the tables, and draws the plots where asked to.
+/// Prints the tables and draws the plots.
 pub fn run_report(report: &Report) -> io::Result<()> {
   let mut text = String::new();
   for site in [Site::Oslo, Site::Sariwa] {
     let tables = [
-      ("ways of deciding, at the peak", vec![1.0], ways(site)),
+      ("ways of deciding, at the peak", vec![1.0], strategies(site)),
       ("over the load", vec![1.5], loads(site)),
       ("under faults, at the peak", vec![], faults(site)),
     ];
     for (title, bounds, variants) in tables {
-      if !report.wants(site, title) {
+      if !report.includes(site, title) {
         continue;
       }
       text.push_str(&table(title, site, &bounds, &variants, report.seeds));
     }
-    if !report.wants(site, "the knob") {
+    if !report.includes(site, "the knob") {
       continue;
     }
     let curve = plots::certainty_curve(site, report.seeds);
@@ -140,7 +143,7 @@
 }
 
 fn draw(folder: &Path, site: Site, curve: &[plots::CurvePoint], seeds: u64) -> io::Result<()> {
-  let word = format!("{site:?}").to_lowercase();
-  plots::draw_curve(&folder.join(format!("knob-{word}.svg")), site, curve)?;
-  plots::draw_load(&folder.join(format!("load-{word}.svg")), site, seeds)
+  let site_name = format!("{site:?}").to_lowercase();
+  plots::draw_curve(&folder.join(format!("knob-{site_name}.svg")), site, curve)?;
+  plots::draw_load(&folder.join(format!("load-{site_name}.svg")), site, seeds)
 }
--- a/emulator/src/decisions/figures.rs
+++ b/emulator/src/decisions/figures.rs
@@ -1,81 +1,80 @@
-//! What a run came to.
+//! Results of a run.
 
 use std::{collections::BTreeMap, fmt::Write};
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Figures {
-  /// Completions asked for in the counted time.
-  pub asked: u64,
-  /// Answered whole.
+  /// Completions requested in the measured period.
+  pub requested: u64,
+  /// Completions answered in full.
   pub answered: u64,
-  /// Answered within both targets.
+  /// Completions answered within both latency targets.
   pub good: u64,
-  /// Told "not run".
+  /// Completions with the outcome "not run".
   pub not_run: u64,
-  /// Told "unknown".
+  /// Completions with an unknown outcome.
   pub unknown: u64,
-  /// Left before the end.
-  pub left: u64,
-  /// Never told anything by the end of the run.
-  pub untold: u64,
-  /// Prompt tokens read.
-  pub read_tokens: u64,
-  /// Prompt tokens read for results that were never used.
+  /// Completions whose caller disconnected.
+  pub abandoned: u64,
+  /// Completions without an outcome at the end of the run.
+  pub unresolved: u64,
+  /// Prompt tokens that were prefilled.
+  pub prefilled_tokens: u64,
+  /// Prefilled prompt tokens whose result was never used.
   pub wasted_tokens: u64,
-  /// First-token times of answered completions.
+  /// Time to the first token of the answered completions.
   pub first_token_ms: Vec<f64>,
-  /// Mean times between tokens of answered completions.
-  pub between_ms: Vec<f64>,
-  /// Plain calls, and those answered in time.
+  /// Mean time between tokens of the answered completions.
+  pub between_tokens_ms: Vec<f64>,
+  /// Plain calls.
   pub calls: u64,
   /// Plain calls answered in time.
   pub good_calls: u64,
-  /// Time that plain calls took beyond the service's own.
+  /// Latency of plain calls in addition to the service's processing time.
   pub call_delay_ms: Vec<f64>,
-  /// Asked and good, by organisation.
+  /// Requested completions and those within both targets, by organisation.
   pub organisations: BTreeMap<String, (u64, u64)>,
   /// Bytes sent between boxes.
   pub peer_bytes: u64,
   /// Calls to the platform's key-value service.
   pub platform_calls: u64,
-  /// Boxes.
   pub boxes: u64,
-  /// Time counted.
+  /// Length of the measured period.
   pub seconds: f64,
-  /// Engine memory still held when all was quiet.
-  pub held_at_end: u64,
+  /// Engine slots still in use after the quiet period at the end.
+  pub slots_held_at_end: u64,
 }
 
-/// A rank of sorted numbers.
-pub(super) fn rank(numbers: &[f64], share: f64) -> f64 {
+/// The quantile of numbers, or 0 without any.
+pub(super) fn quantile(numbers: &[f64], level: f64) -> f64 {
   if numbers.is_empty() {
     return 0.0;
   }
   let mut sorted = numbers.to_vec();
   sorted.sort_by(f64::total_cmp);
   let last = sorted.len() - 1;
-  sorted[((last as f64) * share).round() as usize]
+  sorted[((last as f64) * level).round() as usize]
 }
 
 impl Figures {
-  /// Completions a second within both targets.
+  /// Completions per second within both latency targets.
   pub fn goodput_per_s(&self) -> f64 {
     self.good as f64 / self.seconds
   }
 
-  /// Share of prompt work that was never used.
+  /// Fraction of the prefilled tokens whose result was never used.
   pub fn wasted_share(&self) -> f64 {
-    self.wasted_tokens as f64 / self.read_tokens.max(1) as f64
+    self.wasted_tokens as f64 / self.prefilled_tokens.max(1) as f64
   }
 
-  /// Jain's index over the organisations' shares of good answers; 1 is even.
+  /// Jain's fairness index of the organisations' shares of completions within both targets. 1 is even.
   pub fn fairness(&self) -> f64 {
     let shares = self
       .organisations
       .values()
-      .filter(|(asked, _)| *asked > 0)
-      .map(|(asked, good)| *good as f64 / *asked as f64)
+      .filter(|(requested, _)| *requested > 0)
+      .map(|(requested, good)| *good as f64 / *requested as f64)
       .collect::<Vec<_>>();
     let sum = shares.iter().sum::<f64>();
     let squares = shares.iter().map(|share| share * share).sum::<f64>();
@@ -85,7 +84,7 @@
     sum * sum / (shares.len() as f64 * squares)
   }
 
-  /// Bytes a second that each box sends to its peers.
+  /// Mean bytes per second that a box sends to its peers.
   pub fn peer_bytes_per_s(&self) -> f64 {
     self.peer_bytes as f64 / self.seconds / self.boxes.max(1) as f64
   }
@@ -112,14 +111,13 @@
   }
 }
 
-/// The head of a table of runs.
 pub(super) const TABLE_HEAD: &str = "\
 | variant | goodput /s | ± | wasted prefill % | ± | first token p50 / p95 ms | between p50 / p95 ms | \
 answered | not run | unknown | fairness | calls in time % | call delay p99 ms | peer B/s a box | held at end |
 | --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |
 ";
 
-/// One row over all seeds of a variant.
+/// Formats the table row of a variant over all its seeds.
 pub(super) fn row(name: &str, runs: &[Figures]) -> String {
   let goodput = spread(runs, Figures::goodput_per_s);
   let wasted = spread(runs, |run| run.wasted_share() * 100.0);
@@ -132,18 +130,18 @@
     goodput.deviation,
     wasted.mean,
     wasted.deviation,
-    mean(&|run| rank(&run.first_token_ms, 0.5)),
-    mean(&|run| rank(&run.first_token_ms, 0.95)),
-    mean(&|run| rank(&run.between_ms, 0.5)),
-    mean(&|run| rank(&run.between_ms, 0.95)),
-    mean(&|run| run.answered as f64 * 100.0 / run.asked.max(1) as f64),
-    mean(&|run| run.not_run as f64 * 100.0 / run.asked.max(1) as f64),
-    mean(&|run| run.unknown as f64 * 100.0 / run.asked.max(1) as f64),
+    mean(&|run| quantile(&run.first_token_ms, 0.5)),
+    mean(&|run| quantile(&run.first_token_ms, 0.95)),
+    mean(&|run| quantile(&run.between_tokens_ms, 0.5)),
+    mean(&|run| quantile(&run.between_tokens_ms, 0.95)),
+    mean(&|run| run.answered as f64 * 100.0 / run.requested.max(1) as f64),
+    mean(&|run| run.not_run as f64 * 100.0 / run.requested.max(1) as f64),
+    mean(&|run| run.unknown as f64 * 100.0 / run.requested.max(1) as f64),
     mean(&Figures::fairness),
     mean(&|run| run.good_calls as f64 * 100.0 / run.calls.max(1) as f64),
-    mean(&|run| rank(&run.call_delay_ms, 0.99)),
+    mean(&|run| quantile(&run.call_delay_ms, 0.99)),
     mean(&Figures::peer_bytes_per_s),
-    mean(&|run| run.held_at_end as f64),
+    mean(&|run| run.slots_held_at_end as f64),
   );
   text
 }
--- a/emulator/src/decisions/mod.rs
+++ b/emulator/src/decisions/mod.rs
@@ -1,5 +1,5 @@
-//! The decision bench: the real `decide` of several boxes, in virtual time, over small fakes of
-//! engines, links and lagging reports.
+//! Simulation of the decision code: the `decide` machines of several boxes run in virtual time against simulated engines,
+//! links and delayed load reports.
 
 mod experiments;
 mod figures;
--- a/emulator/src/decisions/plots.rs
+++ b/emulator/src/decisions/plots.rs
@@ -1,4 +1,4 @@
-//! The drawn curves, as SVG.
+//! Plots as SVG files.
 
 use {
   super::{
@@ -13,7 +13,7 @@
 
 const SIZE: (u32, u32) = (720, 440);
 
-/// Goodput and waste at one setting of the knob.
+/// Goodput and wasted prefill at one value of `slot_certainty`.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CurvePoint {
   certainty: f64,
@@ -21,7 +21,7 @@
   wasted_percent: f64,
 }
 
-/// The knob between goodput and waste, from one end to the other, at 1.25 of the peak.
+/// Goodput and wasted prefill over the range of `slot_certainty`, at 1.25 of the peak load.
 pub(super) fn certainty_curve(site: Site, seeds: u64) -> Vec<CurvePoint> {
   (0..=5)
     .map(|step| {
@@ -53,22 +53,22 @@
   text
 }
 
-fn failed<E: std::error::Error + Send + Sync>(error: DrawingAreaErrorKind<E>) -> io::Error {
+fn drawing_error<E: std::error::Error + Send + Sync>(error: DrawingAreaErrorKind<E>) -> io::Error {
   io::Error::other(error.to_string())
 }
 
-/// Draws waste against goodput, a point a setting.
+/// Draws goodput over wasted prefill, with a point for each value of `slot_certainty`.
 pub(super) fn draw_curve(path: &Path, site: Site, curve: &[CurvePoint]) -> io::Result<()> {
   let root = SVGBackend::new(path, SIZE).into_drawing_area();
-  root.fill(&WHITE).map_err(failed)?;
-  let most = |of: fn(&CurvePoint) -> f64| curve.iter().map(of).fold(0.0, f64::max);
-  let least = curve
+  root.fill(&WHITE).map_err(drawing_error)?;
+  let max = |of: fn(&CurvePoint) -> f64| curve.iter().map(of).fold(0.0, f64::max);
+  let min_goodput = curve
     .iter()
     .map(|point| point.goodput_per_s)
     .fold(f64::INFINITY, f64::min);
-  let most_goodput = most(|point| point.goodput_per_s);
-  let margin = ((most_goodput - least) * 0.2).max(0.05);
-  let most_waste = (most(|point| point.wasted_percent) * 1.2).max(0.5);
+  let max_goodput = max(|point| point.goodput_per_s);
+  let margin = ((max_goodput - min_goodput) * 0.2).max(0.05);
+  let max_waste = (max(|point| point.wasted_percent) * 1.2).max(0.5);
   let mut chart = ChartBuilder::on(&root)
     .caption(
       format!("{site:?}: the knob seat_certainty, at 1.25 of the peak"),
@@ -77,24 +77,24 @@
     .margin(12)
     .x_label_area_size(40)
     .y_label_area_size(56)
-    .build_cartesian_2d(0.0..most_waste, least - margin..most_goodput + margin)
-    .map_err(failed)?;
+    .build_cartesian_2d(0.0..max_waste, min_goodput - margin..max_goodput + margin)
+    .map_err(drawing_error)?;
   chart
     .configure_mesh()
     .x_desc("wasted prefill, % of tokens read")
     .y_desc("goodput, completions a second")
     .draw()
-    .map_err(failed)?;
+    .map_err(drawing_error)?;
   let points = curve
     .iter()
     .map(|point| (point.wasted_percent, point.goodput_per_s));
   chart
     .draw_series(LineSeries::new(points.clone(), &BLUE))
-    .map_err(failed)?;
+    .map_err(drawing_error)?;
   chart
     .draw_series(curve.iter().map(|point| {
-      let place = (point.wasted_percent, point.goodput_per_s);
-      EmptyElement::at(place)
+      let position = (point.wasted_percent, point.goodput_per_s);
+      EmptyElement::at(position)
         + Circle::new((0, 0), 4, BLUE.filled())
         + Text::new(
           format!("{:.1}", point.certainty),
@@ -102,11 +102,11 @@
           ("sans-serif", 13).into_font(),
         )
     }))
-    .map_err(failed)?;
-  root.present().map_err(failed)
+    .map_err(drawing_error)?;
+  root.present().map_err(drawing_error)
 }
 
-/// Draws goodput over the load, beside the upper bound and two choices.
+/// Draws goodput over the load for the shipped settings, two choices and the upper bound.
 pub(super) fn draw_load(path: &Path, site: Site, seeds: u64) -> io::Result<()> {
   let loads = [0.5, 0.75, 1.0, 1.25, 1.5, 2.0];
   let shipped = Variant::shipped("shipped", site);
@@ -126,13 +126,13 @@
       BLACK,
     ),
   ];
-  let most = lines
+  let max = lines
     .iter()
     .flat_map(|(_, points, _)| points)
     .map(|(_, goodput)| *goodput)
     .fold(0.0, f64::max);
   let root = SVGBackend::new(path, SIZE).into_drawing_area();
-  root.fill(&WHITE).map_err(failed)?;
+  root.fill(&WHITE).map_err(drawing_error)?;
   let mut chart = ChartBuilder::on(&root)
     .caption(
       format!("{site:?}: goodput over the load"),
@@ -141,18 +141,18 @@
     .margin(12)
     .x_label_area_size(40)
     .y_label_area_size(56)
-    .build_cartesian_2d(0.4..2.1, 0.0..most * 1.1)
-    .map_err(failed)?;
+    .build_cartesian_2d(0.4..2.1, 0.0..max * 1.1)
+    .map_err(drawing_error)?;
   chart
     .configure_mesh()
     .x_desc("load, share of the peak")
     .y_desc("goodput, completions a second")
     .draw()
-    .map_err(failed)?;
+    .map_err(drawing_error)?;
   for (name, points, colour) in lines {
     chart
       .draw_series(LineSeries::new(points, &colour))
-      .map_err(failed)?
+      .map_err(drawing_error)?
       .label(name)
       .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 18, y)], colour));
   }
@@ -161,6 +161,6 @@
     .border_style(BLACK)
     .background_style(WHITE)
     .draw()
-    .map_err(failed)?;
-  root.present().map_err(failed)
+    .map_err(drawing_error)?;
+  root.present().map_err(drawing_error)
 }
--- a/emulator/src/decisions/runs.rs
+++ b/emulator/src/decisions/runs.rs
@@ -10,20 +10,20 @@
   std::thread,
 };
 
-/// Runs a variant over all seeds, a thread a seed.
+/// Runs a variant with all seeds, each in a thread.
 pub(super) fn runs(site: Site, day: Day, variant: &Variant, seeds: u64) -> Vec<Figures> {
   thread::scope(|scope| {
-    let started = (1..=seeds)
+    let handles = (1..=seeds)
       .map(|seed| scope.spawn(move || simulate(site, day, variant, seed)))
       .collect::<Vec<_>>();
-    started
+    handles
       .into_iter()
       .filter_map(|run| run.join().ok())
       .collect()
   })
 }
 
-/// The best of all ways under perfect knowledge, seed by seed.
+/// The run with the highest goodput among the variants with perfect knowledge, for each seed.
 pub(super) fn upper_bound(site: Site, day: Day, load: f64, seeds: u64) -> Vec<Figures> {
   let mut best = Vec::<Figures>::new();
   for variant in Variant::perfect(site) {
--- a/emulator/src/decisions/schedule.rs
+++ b/emulator/src/decisions/schedule.rs
@@ -1,4 +1,4 @@
-//! Virtual time: what happens next, in order, ties broken by insertion.
+//! Event queue in virtual time. Events at the same time come in the order of insertion.
 
 use std::{
   cmp::{Ordering, Reverse},
@@ -8,7 +8,7 @@
 struct Entry<T> {
   time_us: u64,
   sequence: u64,
-  what: T,
+  event: T,
 }
 
 impl<T> PartialEq for Entry<T> {
@@ -31,7 +31,6 @@
   }
 }
 
-/// What is to happen, by time.
 pub(super) struct Schedule<T> {
   pub(super) now_us: u64,
   sequence: u64,
@@ -47,25 +46,24 @@
     }
   }
 
-  /// Something is to happen after a delay.
-  pub(super) fn after(&mut self, delay_us: u64, what: T) {
-    self.at(self.now_us + delay_us, what);
+  pub(super) fn after(&mut self, delay_us: u64, event: T) {
+    self.at(self.now_us + delay_us, event);
   }
 
-  /// Something is to happen at a time.
-  pub(super) fn at(&mut self, time_us: u64, what: T) {
+  /// Schedules an event, or makes it due now if its time has passed.
+  pub(super) fn at(&mut self, time_us: u64, event: T) {
     self.sequence += 1;
     self.heap.push(Reverse(Entry {
       sequence: self.sequence,
       time_us: time_us.max(self.now_us),
-      what,
+      event,
     }));
   }
 
-  /// The next thing to happen; time moves on to it.
+  /// Removes the next event and advances the time to it.
   pub(super) fn next(&mut self) -> Option<T> {
     let Reverse(entry) = self.heap.pop()?;
     self.now_us = entry.time_us;
-    Some(entry.what)
+    Some(entry.event)
   }
 }
--- a/emulator/src/decisions/sim_service.rs
+++ b/emulator/src/decisions/sim_service.rs
@@ -1,13 +1,12 @@
-//! A fake of a plain service: a fixed time a call, as many at once as it has seats.
+//! A simulated plain service with a fixed processing time and a number of slots.
 
 use std::collections::VecDeque;
 
-/// A plain service in virtual time.
 #[derive(Default)]
 pub(super) struct SimService {
   pub(super) busy: u32,
   pub(super) waiting: VecDeque<usize>,
 }
 
-/// Time of one call.
+/// Processing time of a call.
 pub(super) const CALL_US: u64 = 30_000;
--- a/emulator/src/decisions/variant.rs
+++ b/emulator/src/decisions/variant.rs
@@ -1,4 +1,4 @@
-//! What is compared in the decision bench.
+//! Variants that the decision simulation compares.
 
 use {
   super::workload::Site,
@@ -20,57 +20,53 @@
   document.expect("the example is a platform document").tuning
 }
 
-/// How well boxes know the engines.
+/// How well boxes know the state of the engines.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Knowledge {
-  /// Several boxes, reports with a lag, delays between all.
+  /// Several boxes per hall, delayed load reports and network delays.
   Real,
-  /// One box a hall, no lag, no delay, exact lengths: the upper bound.
+  /// One box per hall, no delays, known response lengths: the upper bound.
   Perfect,
 }
 
-/// What goes wrong in the middle of a run.
+/// Fault in the middle of a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-  /// Nothing.
   None,
-  /// A tenth of the engines stall for a minute.
+  /// A tenth of the engines stalls for a minute.
   EnginesStall,
-  /// One box dies.
+  /// One box crashes.
   BoxDies,
-  /// Reports are three seconds late.
+  /// Load reports are delayed by 3 s.
   LateReports,
-  /// One hall's boxes can't reach the other halls nor the platform.
+  /// The network between one hall and the others is partitioned.
   HallCut,
-  /// The key-value service is away.
+  /// The key-value service is unavailable.
   PlatformAway,
-  /// Half of the callers leave within two seconds.
+  /// Half of the callers disconnect within 2 s.
   CallersLeave,
-  /// Callers who are refused come back at once, not when they are told.
+  /// Rejected callers retry at once, without the retry-after delay.
   RetryStorm,
-  /// A decode engine dies.
+  /// A decode engine crashes.
   EngineDies,
 }
 
-/// One way of deciding.
+/// Settings and conditions of a run.
 #[derive(Clone, Debug)]
 pub struct Variant {
-  /// Its name in tables.
+  /// Name in the tables.
   pub name: &'static str,
-  /// The knobs.
   pub tuning: Tuning,
-  /// What boxes know.
   pub knowledge: Knowledge,
-  /// Load as a share of the peak.
+  /// Load as a fraction of the peak.
   pub load: f64,
-  /// What goes wrong.
   pub fault: Fault,
-  /// Whether cached prefixes are published by engines.
+  /// Whether engines publish their cached prefixes.
   pub cache_events: bool,
 }
 
 impl Variant {
-  /// The design as the site's example ships it.
+  /// The settings of the site's example.
   pub fn shipped(name: &'static str, site: Site) -> Self {
     Self {
       cache_events: true,
@@ -82,25 +78,25 @@
     }
   }
 
-  /// The same with other knobs.
+  /// Changes the settings.
   pub fn tuned(mut self, change: impl FnOnce(&mut Tuning)) -> Self {
     change(&mut self.tuning);
     self
   }
 
-  /// The same at another load.
+  /// Sets the load.
   pub fn at(mut self, load: f64) -> Self {
     self.load = load;
     self
   }
 
-  /// The same with a fault.
+  /// Sets the fault.
   pub fn with(mut self, fault: Fault) -> Self {
     self.fault = fault;
     self
   }
 
-  /// Perfect knowledge, no lag: the best of several ways counts, run by run.
+  /// The variants with perfect knowledge, the best of which is the upper bound of a seed.
   pub fn perfect(site: Site) -> Vec<Self> {
     let perfect = |variant: Self| Self {
       knowledge: Knowledge::Perfect,
@@ -117,7 +113,7 @@
     ]
   }
 
-  /// Round robin over engines, no reservation.
+  /// Round robin over engines, without reservations.
   pub fn round_robin(site: Site) -> Self {
     Self::shipped("round robin", site).tuned(|tuning| {
       tuning.placement = PlacementMode::RoundRobin;
@@ -127,7 +123,7 @@
     })
   }
 
-  /// The less loaded of two, by lagging load, no reservation.
+  /// The less loaded of two random engines, by delayed load reports and without reservations.
   pub fn two_choices(site: Site) -> Self {
     Self::shipped("two choices", site).tuned(|tuning| {
       tuning.placement = PlacementMode::TwoChoices;
@@ -137,12 +133,12 @@
     })
   }
 
-  /// The shipped placement, with seats by lagging load.
+  /// The shipped placement, with slots assigned by delayed load reports.
   pub fn lagging_load(site: Site) -> Self {
     Self::shipped("lagging load", site).tuned(|tuning| tuning.slot_mode = SlotMode::LaggingLoad)
   }
 
-  /// The shipped placement, with a fixed share of seats for each box.
+  /// The shipped placement, with a fixed share of the slots for each box.
   pub fn fixed_shares(site: Site) -> Self {
     Self::shipped("fixed shares", site).tuned(|tuning| tuning.slot_mode = SlotMode::FixedShares)
   }
--- a/emulator/src/decisions/workload.rs
+++ b/emulator/src/decisions/workload.rs
@@ -1,4 +1,4 @@
-//! The two days: who asks for what, when.
+//! Sites and their load.
 
 use {
   rand::{Rng, RngExt, SeedableRng},
@@ -9,12 +9,12 @@
   },
 };
 
-/// Which team's site is simulated.
+/// The simulated site. The tables print the variants' names.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Site {
   /// Long lecture prompts, few engines.
   Oslo,
-  /// Short interactive prompts beside storefront calls.
+  /// Short interactive prompts, and calls of a plain service.
   Sariwa,
 }
 
@@ -23,13 +23,13 @@
 pub enum Day {
   /// The peak, after a short warm-up.
   Peak,
-  /// Morning, peak, evening and a silent night, compressed.
+  /// A compressed day with a morning, a peak, an evening and a night without load.
   Whole,
 }
 
-/// One request to come.
+/// A request of the load.
 #[derive(Clone, Debug)]
-pub(super) struct Ask {
+pub(super) struct RequestSpec {
   pub(super) at_us: u64,
   pub(super) hall: usize,
   pub(super) organisation: Name,
@@ -38,12 +38,12 @@
   pub(super) prefix: Vec<u64>,
   pub(super) output_tokens: u64,
   pub(super) max_tokens: u64,
-  /// Target for the first token, by which goodput is counted.
+  /// Latency target of the first token, or of the whole call.
   pub(super) first_token_ms: u64,
-  /// A plain call instead of a completion.
+  /// Whether it is a plain call instead of a completion.
   pub(super) is_call: bool,
-  /// When the caller leaves, counted from arrival.
-  pub(super) leaves_us: Option<u64>,
+  /// Time from the arrival until the caller disconnects.
+  pub(super) disconnects_after_us: Option<u64>,
 }
 
 /// A site's halls, engines, boxes and rates.
@@ -51,20 +51,20 @@
   pub(super) halls: Vec<Name>,
   pub(super) boxes: Vec<usize>,
   pub(super) engines: Vec<EndpointSpec>,
-  pub(super) between_halls_us: u64,
+  pub(super) hall_delay_us: u64,
   pub(super) calls_per_s: f64,
-  pub(super) asks_per_s: f64,
+  pub(super) completions_per_s: f64,
   pub(super) policy: &'static str,
   pub(super) token_base_us: u64,
   pub(super) token_slope_us: u64,
 }
 
-/// Time of the run that is counted, and its warm-up.
+/// Period before the measured one.
 pub(super) const WARM_UP_S: u64 = 40;
 pub(super) const PEAK_S: u64 = 180;
 pub(super) const DAY_S: u64 = 900;
 
-/// Between-token target.
+/// Latency target between tokens.
 pub(super) const BETWEEN_TOKEN_MS: f64 = 36.0;
 
 const OSLO_POLICY: &str = include_str!("../../../examples/oslo/policy.rhai");
@@ -125,8 +125,8 @@
     };
     match site {
       Site::Oslo => Self {
-        asks_per_s: 6.4,
-        between_halls_us: 1_500,
+        completions_per_s: 6.4,
+        hall_delay_us: 1_500,
         boxes: vec![3, 3, 2],
         calls_per_s: 6.0,
         engines: endpoints(site, &halls, &[of(2, 2, 1), of(1, 2, 1), of(1, 2, 1)]),
@@ -136,8 +136,8 @@
         token_slope_us: 1_800,
       },
       Site::Sariwa => Self {
-        asks_per_s: 74.0,
-        between_halls_us: 500,
+        completions_per_s: 74.0,
+        hall_delay_us: 500,
         boxes: vec![3, 3, 2],
         calls_per_s: 60.0,
         engines: endpoints(site, &halls, &[of(2, 5, 1), of(2, 5, 1), of(2, 4, 1)]),
@@ -149,9 +149,9 @@
     }
   }
 
-  /// Each hall's share of the load: that of its decode engines, as a balancer would be set.
+  /// Each hall's share of the load, in proportion to its decode engines.
   fn shares(&self) -> Vec<f64> {
-    let decoders = |hall: &Name| {
+    let decode_engines = |hall: &Name| {
       self
         .engines
         .iter()
@@ -161,13 +161,12 @@
         })
         .count() as f64
     };
-    let counts = self.halls.iter().map(decoders).collect::<Vec<_>>();
+    let counts = self.halls.iter().map(decode_engines).collect::<Vec<_>>();
     let total = counts.iter().sum::<f64>();
     counts.into_iter().map(|count| count / total).collect()
   }
 }
 
-/// Length of a run.
 pub(super) fn run_s(day: Day) -> u64 {
   match day {
     Day::Peak => WARM_UP_S + PEAK_S,
@@ -175,13 +174,13 @@
   }
 }
 
-/// The load at a time, as a share of the peak.
-fn shape(day: Day, time_s: f64) -> f64 {
+/// The load at a time as a fraction of the peak.
+fn load_shape(day: Day, time_s: f64) -> f64 {
   match day {
     Day::Peak => (time_s / WARM_UP_S as f64).min(1.0),
     Day::Whole => {
-      let turn = std::f64::consts::TAU * time_s / DAY_S as f64;
-      (0.5 - 0.62 * turn.cos()).clamp(0.0, 1.0)
+      let phase = std::f64::consts::TAU * time_s / DAY_S as f64;
+      (0.5 - 0.62 * phase.cos()).clamp(0.0, 1.0)
     }
   }
 }
@@ -190,7 +189,7 @@
   -mean * (1.0 - random.random::<f64>()).ln()
 }
 
-fn between(random: &mut impl Rng, low: u64, high: u64) -> u64 {
+fn log_uniform(random: &mut impl Rng, low: u64, high: u64) -> u64 {
   let low_ln = (low as f64).ln();
   let high_ln = (high as f64).ln();
   (low_ln + random.random::<f64>() * (high_ln - low_ln)).exp() as u64
@@ -202,7 +201,7 @@
   prompt: (u64, u64),
   output: (u64, u64),
   first_token_ms: u64,
-  /// Texts that share the longer part of their prompt; 0 for none.
+  /// Number of subjects. Prompts with the same subject share most of their blocks. 0 for none.
   subjects: u64,
 }
 
@@ -273,23 +272,29 @@
   &items[items.len() - 1]
 }
 
-/// Blocks of a prompt: most of it is the subject's text, shared; the rest is the request's own.
-fn prefix(subject: Option<u64>, prompt_tokens: u64, own: u64) -> Vec<u64> {
-  const MOST_BLOCKS: u64 = 64;
-  let blocks = (prompt_tokens / BLOCK_TOKENS).min(MOST_BLOCKS);
+/// Blocks of a prompt: four fifths are shared by all prompts of the subject, the rest is unique to the request.
+fn prefix(subject: Option<u64>, prompt_tokens: u64, unique: u64) -> Vec<u64> {
+  const MAX_BLOCKS: u64 = 64;
+  let blocks = (prompt_tokens / BLOCK_TOKENS).min(MAX_BLOCKS);
   let shared = blocks * 4 / 5;
   (0..blocks)
     .map(|index| match subject {
       Some(subject) if index < shared => subject * 1_000 + index,
-      _ => (1 << 40) + own * 1_000 + index,
+      _ => (1 << 40) + unique * 1_000 + index,
     })
     .collect()
 }
 
-/// All requests of a run.
-pub(super) fn asks(plan: &SitePlan, site: Site, day: Day, load: f64, seed: u64) -> Vec<Ask> {
+/// Draws all requests of a run.
+pub(super) fn requests(
+  plan: &SitePlan,
+  site: Site,
+  day: Day,
+  load: f64,
+  seed: u64,
+) -> Vec<RequestSpec> {
   let mut random = ChaCha8Rng::seed_from_u64(seed);
-  let mut asks = Vec::new();
+  let mut requests = Vec::new();
   let tasks = match site {
     Site::Oslo => &OSLO_TASKS,
     Site::Sariwa => &SARIWA_TASKS,
@@ -300,7 +305,7 @@
     let rate = if is_call {
       plan.calls_per_s
     } else {
-      plan.asks_per_s
+      plan.completions_per_s
     };
     let rate = rate * load;
     let mut time_s = 0.0;
@@ -309,27 +314,27 @@
       if time_s >= end_s {
         break;
       }
-      if random.random::<f64>() > shape(day, time_s) {
+      if random.random::<f64>() > load_shape(day, time_s) {
         continue;
       }
       let halls = shares.iter().enumerate().collect::<Vec<_>>();
       let hall = pick(&mut random, &halls, |(_, share)| **share).0;
       let organisation = pick(&mut random, &ORGANISATIONS, |(_, share)| *share).0;
       let task = pick(&mut random, tasks, |task| task.share);
-      let own = asks.len() as u64;
-      let prompt_tokens = between(&mut random, task.prompt.0, task.prompt.1);
-      let output_tokens = between(&mut random, task.output.0, task.output.1);
+      let unique = requests.len() as u64;
+      let prompt_tokens = log_uniform(&mut random, task.prompt.0, task.prompt.1);
+      let output_tokens = log_uniform(&mut random, task.output.0, task.output.1);
       let subject = (task.subjects > 0).then(|| random.random_range(0..task.subjects));
-      asks.push(Ask {
+      requests.push(RequestSpec {
         at_us: (time_s * 1e6) as u64,
         first_token_ms: if is_call { 300 } else { task.first_token_ms },
         hall,
         is_call,
-        leaves_us: None,
+        disconnects_after_us: None,
         max_tokens: (output_tokens * 3 / 2).max(64),
         organisation: organisation.into(),
         output_tokens,
-        prefix: prefix(subject, prompt_tokens, own),
+        prefix: prefix(subject, prompt_tokens, unique),
         prompt_tokens,
         task: match (is_call, site) {
           (true, Site::Oslo) => "lookup".into(),
@@ -339,6 +344,6 @@
       });
     }
   }
-  asks.sort_by_key(|ask| ask.at_us);
-  asks
+  requests.sort_by_key(|spec| spec.at_us);
+  requests
 }
--- a/emulator/src/decisions/world.rs
+++ b/emulator/src/decisions/world.rs
@@ -1,4 +1,4 @@
-//! Boxes, engines, services and callers in virtual time.
+//! The simulation: boxes, engines, services and callers in virtual time.
 
 use {
   super::{
@@ -7,7 +7,7 @@
     sim_engine::SimEngine,
     sim_service::{CALL_US, SimService},
     variant::{Fault, Knowledge, Variant},
-    workload::{Ask, BETWEEN_TOKEN_MS, Day, Site, SitePlan, WARM_UP_S, asks, run_s},
+    workload::{BETWEEN_TOKEN_MS, Day, RequestSpec, Site, SitePlan, WARM_UP_S, requests, run_s},
   },
   rand::{RngExt, SeedableRng},
   rand_chacha::ChaCha8Rng,
@@ -25,48 +25,58 @@
 };
 
 const BOX_START_UNIX_MS: u64 = 36_000_000;
-const CACHE_EVENT_GAP: f64 = 0.2;
-const CACHE_EVENT_LAG_US: u64 = 1_000_000;
+/// Fraction of the cache events that are lost.
+const CACHE_EVENT_LOSS: f64 = 0.2;
+const CACHE_EVENT_DELAY_US: u64 = 1_000_000;
+/// Latency of the key-value service.
 const KEY_VALUE_US: u64 = 3_000;
-const KEY_VALUE_OUTAGE_US: u64 = 1_000_000;
-const LOCAL_US: u64 = 250;
+/// Timeout of a call while the key-value service is unavailable.
+const KEY_VALUE_TIMEOUT_US: u64 = 1_000_000;
+/// Network delay within a hall.
+const LOCAL_DELAY_US: u64 = 250;
+/// Time after the load in which requests complete.
 const QUIET_S: u64 = 60;
-const REPORT_LAG_US: u64 = 300_000;
-const LATE_REPORT_LAG_US: u64 = 3_000_000;
-const STALL_US: u64 = 1_500_000;
+const REPORT_DELAY_US: u64 = 300_000;
+const SLOW_REPORT_DELAY_US: u64 = 3_000_000;
+const STALL_TIMEOUT_US: u64 = 1_500_000;
 const TICK_US: u64 = 10_000;
-const STORM_PAUSE_US: u64 = 100_000;
-const STORM_TRIES: u32 = 5;
+/// Delay of a caller's retry in a retry storm.
+const STORM_RETRY_US: u64 = 100_000;
+const MAX_STORM_TRIES: u32 = 5;
 
+mod commands;
 mod faults;
-mod orders;
 mod reports;
 
-enum What {
-  Arrive(usize),
-  Leave(usize),
+enum SimEvent {
+  RequestArrives(usize),
+  CallerDisconnects(usize),
   Tick(usize),
-  Tell(usize, Event),
-  Order(usize, Action),
-  PromptRead(usize, AttemptId),
-  ExportLapses(usize, AttemptId),
-  Moved(usize, AttemptId, usize),
-  Mark(usize, u64),
-  CallDone(usize),
-  TimedOut(usize, AttemptId, usize, u64),
-  FaultBegins,
+  /// An event reaches a box.
+  Deliver(usize, Event),
+  /// A box's command reaches an engine or service.
+  Command(usize, Action),
+  PrefillCompletes(usize, AttemptId),
+  ExportExpires(usize, AttemptId),
+  TransferCompletes(usize, AttemptId, usize),
+  /// A decode of an engine reaches its first token or its end.
+  DecodeProgress(usize, u64),
+  CallCompletes(usize),
+  StallTimeout(usize, AttemptId, usize, u64),
+  FaultStarts,
   FaultEnds,
 }
 
-/// What became of one request.
+/// The progress and outcome of a request.
 #[derive(Clone, Default)]
-struct Fate {
+struct RequestState {
   box_index: usize,
-  ending: Option<RequestOutcome>,
+  outcome: Option<RequestOutcome>,
   first_us: Option<u64>,
-  between_ms: f64,
+  between_tokens_ms: f64,
   tries: u32,
   arrived_us: u64,
+  /// Counts changes of the stage: a stall timeout of an earlier stage is ignored.
   stage: u64,
   finished_us: u64,
   ended_us: u64,
@@ -76,35 +86,36 @@
   machine: Machine,
   name: Name,
   hall: usize,
-  alive: bool,
+  is_alive: bool,
 }
 
 struct World {
-  schedule: Schedule<What>,
+  schedule: Schedule<SimEvent>,
   plan: SitePlan,
   variant: Variant,
-  asks: Vec<Ask>,
-  fates: Vec<Fate>,
+  requests: Vec<RequestSpec>,
+  request_states: Vec<RequestState>,
   boxes: Vec<SimBox>,
   box_index: BTreeMap<Name, usize>,
   engines: Vec<SimEngine>,
   engine_index: BTreeMap<Name, usize>,
   services: BTreeMap<Name, SimService>,
   calls: BTreeMap<usize, (AttemptId, Name)>,
-  read: BTreeMap<AttemptId, u64>,
-  used: u64,
-  read_tokens: u64,
+  /// Prefilled tokens of attempts that have not reached the first token.
+  unused_prefills: BTreeMap<AttemptId, u64>,
+  used_tokens: u64,
+  prefilled_tokens: u64,
   random: ChaCha8Rng,
   figures: Figures,
-  faulty: bool,
+  is_fault_active: bool,
   end_us: u64,
 }
 
-/// Runs one variant with one seed.
+/// Runs a variant with a seed.
 pub fn simulate(site: Site, day: Day, variant: &Variant, seed: u64) -> Figures {
   let mut world = World::new(site, day, variant, seed);
   world.run();
-  world.sum_up()
+  world.into_figures()
 }
 
 fn engine_role(kind: &EndpointKind) -> Option<Role> {
@@ -117,12 +128,12 @@
 impl World {
   fn new(site: Site, day: Day, variant: &Variant, seed: u64) -> Self {
     let plan = SitePlan::of(site);
-    let mut asks = asks(&plan, site, day, variant.load, seed);
+    let mut requests = requests(&plan, site, day, variant.load, seed);
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0xb0b);
     if variant.fault == Fault::CallersLeave {
-      for ask in &mut asks {
+      for spec in &mut requests {
         if random.random::<f64>() < 0.5 {
-          ask.leaves_us = Some(random.random_range(50_000..2_000_000));
+          spec.disconnects_after_us = Some(random.random_range(50_000..2_000_000));
         }
       }
     }
@@ -153,17 +164,17 @@
         .map(|(index, engine)| (engine.spec.name.clone(), index))
         .collect(),
       engines,
-      fates: vec![Fate::default(); asks.len()],
-      asks,
-      faulty: false,
+      request_states: vec![RequestState::default(); requests.len()],
+      requests,
+      is_fault_active: false,
       figures: Figures::default(),
       plan,
       random,
-      read: BTreeMap::new(),
-      read_tokens: 0,
+      unused_prefills: BTreeMap::new(),
+      prefilled_tokens: 0,
       schedule: Schedule::new(),
       services,
-      used: 0,
+      used_tokens: 0,
       variant: variant.clone(),
     };
     world.add_boxes(seed);
@@ -208,7 +219,7 @@
         });
         self.box_index.insert(name.clone(), self.boxes.len());
         self.boxes.push(SimBox {
-          alive: true,
+          is_alive: true,
           hall,
           machine,
           name,
@@ -216,11 +227,11 @@
       }
     }
     for index in 0..self.boxes.len() {
-      self.tell_now(index, Event::Boxes(entries.clone()));
-      self.tell_now(index, Event::Configured(view.clone()));
-      // Ticks of boxes do not fall together.
+      self.deliver(index, Event::Boxes(entries.clone()));
+      self.deliver(index, Event::Configured(view.clone()));
+      // Ticks of different boxes are spread over time.
       let offset_us = 1_300 * index as u64 % TICK_US;
-      self.schedule.after(offset_us, What::Tick(index));
+      self.schedule.after(offset_us, SimEvent::Tick(index));
     }
   }
 
@@ -233,97 +244,108 @@
   }
 
   fn run(&mut self) {
-    for index in 0..self.asks.len() {
+    for index in 0..self.requests.len() {
       self
         .schedule
-        .at(self.asks[index].at_us, What::Arrive(index));
+        .at(self.requests[index].at_us, SimEvent::RequestArrives(index));
     }
     let middle_us = (WARM_UP_S + 20) * 1_000_000;
     if self.variant.fault != Fault::None {
-      self.schedule.at(middle_us, What::FaultBegins);
-      self.schedule.at(middle_us + 60_000_000, What::FaultEnds);
+      self.schedule.at(middle_us, SimEvent::FaultStarts);
+      self
+        .schedule
+        .at(middle_us + 60_000_000, SimEvent::FaultEnds);
     }
     let stop_us = self.end_us + QUIET_S * 1_000_000;
-    while let Some(what) = self.schedule.next() {
+    while let Some(event) = self.schedule.next() {
       if self.schedule.now_us > stop_us {
         break;
       }
-      self.happen(what);
+      self.handle(event);
     }
   }
 
-  fn happen(&mut self, what: What) {
-    match what {
-      What::Arrive(request) => self.arrive(request),
-      What::Leave(request) => self.leave(request),
-      What::Tick(index) => {
-        if self.boxes[index].alive {
-          self.tell_now(index, Event::Tick);
-          self.schedule.after(TICK_US, What::Tick(index));
+  fn handle(&mut self, event: SimEvent) {
+    match event {
+      SimEvent::RequestArrives(request) => self.handle_arrival(request),
+      SimEvent::CallerDisconnects(request) => self.handle_disconnect(request),
+      SimEvent::Tick(index) => {
+        if self.boxes[index].is_alive {
+          self.deliver(index, Event::Tick);
+          self.schedule.after(TICK_US, SimEvent::Tick(index));
         }
       }
-      What::Tell(index, event) => {
-        if self.boxes[index].alive {
-          self.tell_now(index, event);
+      SimEvent::Deliver(index, event) => {
+        if self.boxes[index].is_alive {
+          self.deliver(index, event);
         }
       }
-      What::Order(index, action) => self.order(index, action),
-      What::PromptRead(engine, attempt) => self.prompt_read(engine, &attempt),
-      What::ExportLapses(engine, attempt) => {
+      SimEvent::Command(index, action) => self.execute(index, action),
+      SimEvent::PrefillCompletes(engine, attempt) => self.complete_prefill(engine, &attempt),
+      SimEvent::ExportExpires(engine, attempt) => {
         self.engines[engine].exports.remove(&attempt);
       }
-      What::Moved(engine, attempt, box_index) => self.moved(engine, attempt, box_index),
-      What::Mark(engine, version) => self.mark(engine, version),
-      What::CallDone(request) => self.call_done(request),
-      What::TimedOut(box_index, attempt, engine, stage) => {
-        self.timed_out(box_index, attempt, engine, stage);
+      SimEvent::TransferCompletes(engine, attempt, box_index) => {
+        self.complete_transfer(engine, attempt, box_index)
       }
-      What::FaultBegins => self.fault(true),
-      What::FaultEnds => self.fault(false),
+      SimEvent::DecodeProgress(engine, version) => self.handle_progress(engine, version),
+      SimEvent::CallCompletes(request) => self.complete_call(request),
+      SimEvent::StallTimeout(box_index, attempt, engine, stage) => {
+        self.handle_stall_timeout(box_index, attempt, engine, stage);
+      }
+      SimEvent::FaultStarts => self.set_fault(true),
+      SimEvent::FaultEnds => self.set_fault(false),
     }
   }
 
-  fn tell_now(&mut self, index: usize, event: Event) {
+  fn deliver(&mut self, index: usize, event: Event) {
     let now_ms = self.schedule.now_us / 1_000;
     let actions = self.boxes[index].machine.handle(now_ms, event);
     for action in actions {
-      self.act(index, action);
+      self.perform(index, action);
     }
   }
 
   fn delay_us(&self, one: usize, other: usize) -> u64 {
     match self.variant.knowledge {
       Knowledge::Perfect => 0,
-      Knowledge::Real if one == other => LOCAL_US,
-      Knowledge::Real => self.plan.between_halls_us,
+      Knowledge::Real if one == other => LOCAL_DELAY_US,
+      Knowledge::Real => self.plan.hall_delay_us,
     }
   }
 
-  fn is_cut(&self, one: usize, other: usize) -> bool {
-    self.faulty && self.variant.fault == Fault::HallCut && one != other && (one == 0 || other == 0)
+  fn is_partitioned(&self, one: usize, other: usize) -> bool {
+    self.is_fault_active
+      && self.variant.fault == Fault::HallCut
+      && one != other
+      && (one == 0 || other == 0)
   }
 
-  /// What a box wants done, on its way.
-  fn act(&mut self, index: usize, action: Action) {
+  /// Performs an action of a box; commands take a network delay.
+  fn perform(&mut self, index: usize, action: Action) {
     match action {
       Action::Record(_) | Action::AbortStream(..) => {}
-      Action::Complete(request, ending) => self.ended(request, ending),
+      Action::Complete(request, outcome) => self.complete_request(request, outcome),
       Action::Send(to, message) => self.send(index, &to, message),
       Action::Claim(request, ..) => {
         self.figures.platform_calls += 1;
-        let away = self.faulty && self.variant.fault == Fault::PlatformAway;
-        let (delay_us, outcome) = if away {
-          (KEY_VALUE_OUTAGE_US, ClaimOutcome::Unavailable)
+        let is_unavailable = self.is_fault_active && self.variant.fault == Fault::PlatformAway;
+        let (delay_us, outcome) = if is_unavailable {
+          (KEY_VALUE_TIMEOUT_US, ClaimOutcome::Unavailable)
         } else {
           (KEY_VALUE_US, ClaimOutcome::Held)
         };
         let event = Event::ClaimSettled(request, outcome);
-        self.schedule.after(delay_us, What::Tell(index, event));
+        self
+          .schedule
+          .after(delay_us, SimEvent::Deliver(index, event));
       }
       Action::ReleaseClaim(..) => self.figures.platform_calls += 2,
-      order => {
+      command => {
         let delay_us = self.delay_us(0, 0);
-        self.schedule.after(delay_us, What::Order(index, order));
+        self
+          .schedule
+          .after(delay_us, SimEvent::Command(index, command));
       }
     }
   }
@@ -342,18 +364,20 @@
       self.figures.peer_bytes += bytes;
     }
     let (one, other) = (self.boxes[index].hall, self.boxes[target].hall);
-    if self.is_cut(one, other) {
+    if self.is_partitioned(one, other) {
       return;
     }
     let event = Event::Peer(frame.from, frame.message);
     let delay_us = self.delay_us(one, other);
-    self.schedule.after(delay_us, What::Tell(target, event));
+    self
+      .schedule
+      .after(delay_us, SimEvent::Deliver(target, event));
   }
 
-  fn arrive(&mut self, request: usize) {
-    let hall = self.asks[request].hall;
+  fn handle_arrival(&mut self, request: usize) {
+    let hall = self.requests[request].hall;
     let boxes = (0..self.boxes.len())
-      .filter(|index| self.boxes[*index].hall == hall && self.boxes[*index].alive)
+      .filter(|index| self.boxes[*index].hall == hall && self.boxes[*index].is_alive)
       .collect::<Vec<_>>();
     let Some(index) = boxes
       .get(self.random.random_range(0..boxes.len().max(1)))
@@ -361,15 +385,15 @@
     else {
       return;
     };
-    let ask = self.asks[request].clone();
-    let fate = &mut self.fates[request];
-    fate.box_index = index;
-    fate.tries += 1;
-    fate.ending = None;
-    if fate.tries == 1 {
-      fate.arrived_us = self.schedule.now_us;
+    let spec = self.requests[request].clone();
+    let state = &mut self.request_states[request];
+    state.box_index = index;
+    state.tries += 1;
+    state.outcome = None;
+    if state.tries == 1 {
+      state.arrived_us = self.schedule.now_us;
     }
-    let work = if ask.is_call {
+    let work = if spec.is_call {
       Work::Service(ServiceWork {
         idempotent: false,
         service: "store".into(),
@@ -377,109 +401,116 @@
     } else {
       Work::Model(ModelWork {
         max_tokens: match self.variant.knowledge {
-          Knowledge::Real => ask.max_tokens,
-          Knowledge::Perfect => ask.output_tokens,
+          Knowledge::Real => spec.max_tokens,
+          Knowledge::Perfect => spec.output_tokens,
         },
         model: "model".into(),
-        prefix: ask.prefix.clone(),
-        prompt_tokens: ask.prompt_tokens,
+        prefix: spec.prefix.clone(),
+        prompt_tokens: spec.prompt_tokens,
       })
     };
     let arrival = Arrival {
-      deadline_ms: Some(ask.first_token_ms),
+      deadline_ms: Some(spec.first_token_ms),
       idempotency_key: None,
       not_repeatable: false,
-      organisation: ask.organisation.clone(),
+      organisation: spec.organisation.clone(),
       request: RequestId(request as u64),
-      task: ask.task.clone(),
+      task: spec.task.clone(),
       work,
     };
-    if let Some(leaves_us) = ask.leaves_us {
-      self.schedule.after(leaves_us, What::Leave(request));
+    if let Some(disconnects_after_us) = spec.disconnects_after_us {
+      self
+        .schedule
+        .after(disconnects_after_us, SimEvent::CallerDisconnects(request));
     }
-    self.tell_now(index, Event::Arrived(arrival));
+    self.deliver(index, Event::Arrived(arrival));
   }
 
-  fn leave(&mut self, request: usize) {
-    if self.fates[request].ending.is_some() {
+  fn handle_disconnect(&mut self, request: usize) {
+    if self.request_states[request].outcome.is_some() {
       return;
     }
-    let index = self.fates[request].box_index;
-    if self.boxes[index].alive {
-      self.tell_now(index, Event::CallerDisconnected(RequestId(request as u64)));
+    let index = self.request_states[request].box_index;
+    if self.boxes[index].is_alive {
+      self.deliver(index, Event::CallerDisconnected(RequestId(request as u64)));
     }
   }
 
-  fn ended(&mut self, request: RequestId, ending: RequestOutcome) {
+  fn complete_request(&mut self, request: RequestId, outcome: RequestOutcome) {
     let request = request.0 as usize;
     let now_us = self.schedule.now_us;
-    let fate = &mut self.fates[request];
-    fate.ending = Some(ending);
-    fate.ended_us = now_us;
-    let storms = self.variant.fault == Fault::RetryStorm && self.faulty;
-    if storms && matches!(ending, RequestOutcome::NotRun { .. }) && fate.tries < STORM_TRIES {
-      self.schedule.after(STORM_PAUSE_US, What::Arrive(request));
+    let state = &mut self.request_states[request];
+    state.outcome = Some(outcome);
+    state.ended_us = now_us;
+    let is_storm = self.variant.fault == Fault::RetryStorm && self.is_fault_active;
+    if is_storm && matches!(outcome, RequestOutcome::NotRun { .. }) && state.tries < MAX_STORM_TRIES
+    {
+      self
+        .schedule
+        .after(STORM_RETRY_US, SimEvent::RequestArrives(request));
     }
   }
 
-  fn sum_up(mut self) -> Figures {
+  fn into_figures(mut self) -> Figures {
     let from_us = WARM_UP_S * 1_000_000;
-    for (ask, fate) in self.asks.iter().zip(&self.fates) {
-      if ask.at_us < from_us || ask.at_us >= self.end_us {
+    for (spec, state) in self.requests.iter().zip(&self.request_states) {
+      if spec.at_us < from_us || spec.at_us >= self.end_us {
         continue;
       }
-      if ask.is_call {
-        count_call(&mut self.figures, ask, fate);
+      if spec.is_call {
+        count_call(&mut self.figures, spec, state);
       } else {
-        count_ask(&mut self.figures, ask, fate);
+        count_completion(&mut self.figures, spec, state);
       }
     }
-    self.figures.read_tokens = self.read_tokens;
-    self.figures.wasted_tokens = self.read_tokens - self.used.min(self.read_tokens);
+    self.figures.prefilled_tokens = self.prefilled_tokens;
+    self.figures.wasted_tokens =
+      self.prefilled_tokens - self.used_tokens.min(self.prefilled_tokens);
     self.figures.boxes = self.boxes.len() as u64;
     self.figures.seconds = (self.end_us - from_us) as f64 / 1e6;
-    self.figures.held_at_end = self
+    self.figures.slots_held_at_end = self
       .engines
       .iter()
-      .filter(|engine| !engine.dead)
+      .filter(|engine| !engine.is_dead)
       .map(|engine| u64::from(engine.used()))
       .sum();
     self.figures
   }
 }
 
-fn count_call(figures: &mut Figures, ask: &Ask, fate: &Fate) {
+fn count_call(figures: &mut Figures, spec: &RequestSpec, state: &RequestState) {
   figures.calls += 1;
-  let Some(first_us) = fate.first_us else {
+  let Some(first_us) = state.first_us else {
     return;
   };
-  let took_ms = (first_us - fate.arrived_us) as f64 / 1_000.0;
+  let took_ms = (first_us - state.arrived_us) as f64 / 1_000.0;
   figures
     .call_delay_ms
     .push(took_ms - CALL_US as f64 / 1_000.0);
-  if took_ms <= ask.first_token_ms as f64 {
+  if took_ms <= spec.first_token_ms as f64 {
     figures.good_calls += 1;
   }
 }
 
-fn count_ask(figures: &mut Figures, ask: &Ask, fate: &Fate) {
-  figures.asked += 1;
+fn count_completion(figures: &mut Figures, spec: &RequestSpec, state: &RequestState) {
+  figures.requested += 1;
   let organisation = figures
     .organisations
-    .entry(ask.organisation.to_string())
+    .entry(spec.organisation.to_string())
     .or_default();
   organisation.0 += 1;
-  match fate.ending {
-    None => figures.untold += 1,
+  match state.outcome {
+    None => figures.unresolved += 1,
     Some(RequestOutcome::NotRun { .. }) => figures.not_run += 1,
     Some(RequestOutcome::Unknown { .. }) => figures.unknown += 1,
-    Some(RequestOutcome::Abandoned) => figures.left += 1,
+    Some(RequestOutcome::Abandoned) => figures.abandoned += 1,
     Some(RequestOutcome::Answered) => {
       figures.answered += 1;
-      let first_ms = (fate.first_us.unwrap_or(fate.finished_us) - fate.arrived_us) as f64 / 1_000.0;
+      let first_ms =
+        (state.first_us.unwrap_or(state.finished_us) - state.arrived_us) as f64 / 1_000.0;
       figures.first_token_ms.push(first_ms);
-      figures.between_ms.push(fate.between_ms);
-      if first_ms <= ask.first_token_ms as f64 && fate.between_ms <= BETWEEN_TOKEN_MS {
+      figures.between_tokens_ms.push(state.between_tokens_ms);
+      if first_ms <= spec.first_token_ms as f64 && state.between_tokens_ms <= BETWEEN_TOKEN_MS {
         figures.good += 1;
         organisation.1 += 1;
       }
--- a/emulator/src/decisions/world/faults.rs
+++ b/emulator/src/decisions/world/faults.rs
@@ -1,76 +1,80 @@
-//! What goes wrong in the middle of a run.
+//! Faults in the middle of a run.
 
 use {
-  super::{super::variant::Fault, What, World},
+  super::{super::variant::Fault, SimEvent, World},
   rillford::decide::Role,
 };
 
 impl World {
-  pub(super) fn fault(&mut self, begins: bool) {
-    self.faulty = begins;
+  pub(super) fn set_fault(&mut self, is_active: bool) {
+    self.is_fault_active = is_active;
     let now_us = self.schedule.now_us;
     match self.variant.fault {
       Fault::EnginesStall => {
-        let every = 10;
-        for engine in (0..self.engines.len()).step_by(every) {
+        let interval = 10;
+        for engine in (0..self.engines.len()).step_by(interval) {
           self.engines[engine].advance(now_us);
-          self.engines[engine].stalled = begins;
-          if begins {
-            self.watch_all(engine);
+          self.engines[engine].is_stalled = is_active;
+          if is_active {
+            self.schedule_all_stall_timeouts(engine);
           } else {
-            self.wake(engine);
+            self.resume(engine);
           }
         }
       }
-      Fault::BoxDies if begins => self.boxes[0].alive = false,
-      Fault::EngineDies if begins => {
+      Fault::BoxDies if is_active => self.boxes[0].is_alive = false,
+      Fault::EngineDies if is_active => {
         let engine = self
           .engines
           .iter()
           .position(|engine| engine.role == Role::Decode)
           .unwrap_or(0);
         self.engines[engine].advance(now_us);
-        self.engines[engine].dead = true;
-        self.watch_all(engine);
+        self.engines[engine].is_dead = true;
+        self.schedule_all_stall_timeouts(engine);
       }
       _ => {}
     }
   }
 
-  /// A stalled engine goes on with what it has.
-  pub(super) fn wake(&mut self, engine: usize) {
+  /// Resumes the work of a stalled engine.
+  pub(super) fn resume(&mut self, engine: usize) {
     let now_us = self.schedule.now_us;
-    if let Some(reading) = &self.engines[engine].reading {
-      let attempt = reading.job.attempt.clone();
-      self.schedule.after(0, What::PromptRead(engine, attempt));
+    if let Some(prefill) = &self.engines[engine].prefill {
+      let attempt = prefill.job.attempt.clone();
+      self
+        .schedule
+        .after(0, SimEvent::PrefillCompletes(engine, attempt));
     }
     for attempt in self.engines[engine].importing.clone() {
-      let index = self.fates[attempt.sequence as usize].box_index;
-      self.schedule.after(0, What::Moved(engine, attempt, index));
+      let index = self.request_states[attempt.sequence as usize].box_index;
+      self
+        .schedule
+        .after(0, SimEvent::TransferCompletes(engine, attempt, index));
     }
-    self.read_next(engine, now_us);
-    self.plan_mark(engine);
+    self.start_next_prefill(engine, now_us);
+    self.schedule_progress(engine);
   }
 
-  /// All orders at an engine that goes silent will be found stalled.
-  pub(super) fn watch_all(&mut self, engine: usize) {
+  /// Schedules the stall timeouts of all attempts at an engine that stops responding.
+  pub(super) fn schedule_all_stall_timeouts(&mut self, engine: usize) {
     let target = &self.engines[engine];
     let mut attempts = target
-      .writing
+      .decodes
       .iter()
-      .map(|writing| writing.attempt.clone())
+      .map(|decode| decode.attempt.clone())
       .collect::<Vec<_>>();
     attempts.extend(target.waiting.iter().map(|job| job.attempt.clone()));
     attempts.extend(
       target
-        .reading
+        .prefill
         .iter()
-        .map(|reading| reading.job.attempt.clone()),
+        .map(|prefill| prefill.job.attempt.clone()),
     );
     attempts.extend(target.importing.iter().cloned());
     for attempt in attempts {
-      let index = self.fates[attempt.sequence as usize].box_index;
-      self.watch_for_stall(index, &attempt, engine);
+      let index = self.request_states[attempt.sequence as usize].box_index;
+      self.schedule_stall_timeout(index, &attempt, engine);
     }
   }
 }
