--- a/emulator/src/limits/report.rs
+++ b/emulator/src/limits/report.rs
@@ -54,7 +54,8 @@
   let mean =
     |figure: fn(&LimitFigures) -> f64| runs.iter().map(figure).sum::<f64>() / runs.len() as f64;
   println!(
-    "| {pattern:?} | {strategy:?} | {:.2} | {:.5} | {:.2} | {:.1} | {:.0} |",
+    "| {pattern:?} | {} | {:.2} | {:.5} | {:.2} | {:.1} | {:.0} |",
+    printed_name(strategy),
     max(|run| run.most_used),
     mean(LimitFigures::refused_share),
     mean(|run| run.served_of_limit),
@@ -62,3 +63,12 @@
     max(|run| run.busiest_bytes_per_s),
   );
 }
+
+/// The name of `strategy` in the printed table, which does not follow the names of the variants.
+const fn printed_name(strategy: LimitStrategy) -> &'static str {
+  match strategy {
+    LimitStrategy::EvenSplit => "EvenParts",
+    LimitStrategy::ReportedTotals => "ToldSums",
+    LimitStrategy::AskNearLimit => "AskedWhenShort",
+  }
+}
